--- a/irisdeal/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The front door on real sockets: transport round the decisions of `cresspulley`."""
--- a/tests/test_servers.py
+++ b/tests/decisions/test_endpoints.py
@@ -4,9 +4,9 @@
 
 from collections import Counter
 
-from cresspulley.interface import ListKind, Send, ServerEntry, ServerList, ServerState
-from cresspulley.servers import REACH, Fleet
-from tests.desk import FREE, MS, SECOND, Desk, entry, of, settings
+from yardlane.decisions.interface import ListKind, Send, ServerEntry, ServerList, ServerState
+from yardlane.decisions.endpoints import REACH, Fleet
+from tests.gateway_driver import FREE, MS, SECOND, Desk, entry, of, settings
 
 GATEWAYS, SERVERS = 40, 60
 
--- a/tests/test_large_sets.py
+++ b/tests/decisions/test_many_gateways.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import (
     Action, Arrival, AttemptEnded, Count, CountAnswer, Event, ListKind, Result, Send, ServerList, Wake, Woken)
-from tests.desk import MS, SECOND, entry, plan, settings
+from tests.gateway_driver import MS, SECOND, entry, plan, settings
 
 GATEWAYS, SECONDS = 100, 30
 COUNTER_TAKES, SERVICE_TAKES = MS, 50 * MS
--- a/tests/test_property.py
+++ b/tests/decisions/test_properties.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, settings, strategies
 
-from cresspulley.interface import (
+from yardlane.decisions.interface import (
     Cancel,
     Fail,
     ListKind,
@@ -19,7 +19,7 @@
     ServerState,
     Wake,
 )
-from tests.desk import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, Desk, entry
+from tests.gateway_driver import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, Desk, entry
 
 PROOF = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
 FAILURES = (*PROOF, Result.ERROR, Result.TIMED_OUT, Result.CONNECTION_LOST)
--- a/tests/test_mechanism.py
+++ b/tests/decisions/test_quota.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cresspulley.share import Customer
-from cresspulley.interface import Count, Refuse, Result, Send
-from tests.desk import CAPPED, CEILED, FREE, MS, RATED, SECOND, Desk, name, of, plan
+from yardlane.decisions.quota import Customer
+from yardlane.decisions.interface import Count, Refuse, Result, Send
+from tests.gateway_driver import CAPPED, CEILED, FREE, MS, RATED, SECOND, Desk, name, of, plan
 
 
 def customer_of(desk: Desk, key: int, plan: int) -> Customer:
--- a/tests/test_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from cresspulley.interface import Action, Count, CountAnswer, Result, Send
-from tests.desk import MS, SECOND, Desk, of, plan
+from yardlane.decisions.interface import Action, Count, CountAnswer, Result, Send
+from tests.gateway_driver import MS, SECOND, Desk, of, plan
 
 PLAN = plan(rate=6.5, burst=13.0, ceiling_rate=13.0, ceiling_depth=19.0, ceiling_slack=2.0)
 STEP, START = 10 * MS, 77 * SECOND
--- a/tests/test_rules.py
+++ b/tests/decisions/test_retries.py
@@ -1,6 +1,6 @@
 """The five rules, one at a time."""
 
-from cresspulley.interface import (
+from yardlane.decisions.interface import (
     Action,
     Arrival,
     Cancel,
@@ -13,7 +13,7 @@
     ServerList,
     ServerState,
 )
-from tests.desk import CEILED, KEYED, MS, SAFE, SECOND, UNSAFE, Desk, entry, name, of, plan
+from tests.gateway_driver import CEILED, KEYED, MS, SAFE, SECOND, UNSAFE, Desk, entry, name, of, plan
 
 
 def final(actions: list[Action]) -> list[Action]:
--- a/tests/test_cold.py
+++ b/tests/decisions/test_slow_start.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import (
     Arrival, AttemptEnded, Cancel, Event, Fail, ListKind, Refuse, Result, Send, ServerEntry, ServerList,
     ServerState, Settings, Wake, Woken)
-from cresspulley.servers import COLD_MARGIN, NEWBORN, Fleet
-from tests.desk import FREE, MS, SECOND, entry, settings
+from yardlane.decisions.endpoints import COLD_MARGIN, NEWBORN, Fleet
+from tests.gateway_driver import FREE, MS, SECOND, entry, settings
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.GONE
 BEGIN = 100 * SECOND
--- a/tests/desk.py
+++ b/tests/gateway_driver.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from cresspulley.control import Gateway
-from cresspulley.interface import (
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import (
     Action,
     Arrival,
     AttemptEnded,
--- a/tests/peers.py
+++ b/tests/loopback.py
@@ -11,10 +11,10 @@
 
 import uvloop
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Action, Arrival, AttemptEnded, Decider, Event, Fail, Send
-from irisdeal.__main__ import Program
-from irisdeal.config import Config, parse
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import Action, Arrival, AttemptEnded, Decider, Event, Fail, Send
+from yardlane.__main__ import Program
+from yardlane.config import Config, parse
 
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/tests/test_clients.py
+++ b/tests/proxy/test_client_connection.py
@@ -8,9 +8,9 @@
 import pytest
 import uvloop
 
-from cresspulley.interface import Arrival, Refuse
-from irisdeal.clients import SLOW_REQUEST, Change, Client, ClientRequest, State
-from tests.peers import Script, answer, ask, read_message, running, socket_test
+from yardlane.decisions.interface import Arrival, Refuse
+from yardlane.proxy.client_connection import SLOW_REQUEST, Change, Client, ClientRequest, State
+from tests.loopback import Script, answer, ask, read_message, running, socket_test
 
 GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
 
@@ -155,7 +155,7 @@
 
 
 # The table of docs/design.md: the state after each change; a dot is a change that the state never meets.
-DESIGN = (Path(__file__).parent.parent / "docs" / "design.md").read_text()
+DESIGN = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
 STATES = re.search(r"^\| \| (NEW .*) \|$", DESIGN, re.M)
 ROWS = {name: row.split(" | ") for name, row in re.findall(r"^\| .* \((\w+)\) \| (.*) \|$", DESIGN, re.M)}
 
@@ -167,7 +167,7 @@
     faults: list[str] = []
     handler = logging.Handler()
     handler.emit = lambda record: faults.append(record.getMessage())  # type: ignore[method-assign]
-    logging.getLogger("irisdeal.clients").addHandler(handler)
+    logging.getLogger("yardlane.proxy.client_connection").addHandler(handler)
     async with running(Script(lambda event: [])) as door:
         side = door.program.clients
         for change, row in zip(Change, ROWS.values(), strict=True):
@@ -184,7 +184,7 @@
                 assert bool(client.waiting) is not ends
                 assert (client in side.connections) is not (ends and after is State.GONE)
                 side.connections.pop(client, None)
-    logging.getLogger("irisdeal.clients").removeHandler(handler)
+    logging.getLogger("yardlane.proxy.client_connection").removeHandler(handler)
 
 
 @socket_test
--- a/tests/test_leaving.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Action, Arrival, AttemptEnded, Event, Fail, RequestEnded, Result, Send
-from irisdeal.backends import Attempt
-from irisdeal.clients import MOST_PIPELINED, Client
-from tests.peers import (
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import (
+    Action, Arrival, AttemptEnded, Event, Fail, RequestEnded, Result, Send)
+from yardlane.proxy.upstream_connection import Attempt
+from yardlane.proxy.client_connection import MOST_PIPELINED, Client
+from tests.loopback import (
     LIMIT, LateConnections, Peer, Running, Script, answer, as_json, ask, member, read_message, running,
     send_all, settings, socket_test, whole_list)
 
--- a/tests/test_patience.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from cresspulley.interface import Action, Arrival, Event, Refuse, Send
-from irisdeal.clients import MOST_BEHIND, MOST_PIPELINED, ClientSide, State
-from irisdeal.limits import OWN, share
-from irisdeal.listener import Listener
-from tests.peers import (
+from yardlane.decisions.interface import Action, Arrival, Event, Refuse, Send
+from yardlane.proxy.client_connection import MOST_BEHIND, MOST_PIPELINED, ClientSide, State
+from yardlane.descriptors import OWN, share
+from yardlane.proxy.listener import Listener
+from tests.loopback import (
     Peer, Running, Script, Streams, ask, member, read_message, running, socket_test, whole_list)
 
 
--- a/tests/test_counter.py
+++ b/tests/proxy/test_counter_client.py
@@ -3,8 +3,8 @@
 import asyncio
 from typing import Any
 
-from cresspulley.interface import Count, CountAnswer, Result
-from tests.peers import Peer, Script, running, settings, socket_test
+from yardlane.decisions.interface import Count, CountAnswer, Result
+from tests.loopback import Peer, Script, running, settings, socket_test
 
 
 def counting(peer: Peer, **family: Any) -> dict[str, Any]:
--- a/tests/test_crowd.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from irisdeal.limits import share
-from tests.peers import (
+from yardlane.descriptors import share
+from tests.loopback import (
     Peer, Streams, answer, as_json, ask, member, read_message, settings, socket_test, whole_list)
-from tests.test_door import free_port, start
+from tests.proxy.test_proxy import free_port, start
 
 HELD = 128  # descriptors that the process may hold
 PLACES = share(HELD).clients
--- a/tests/test_discovery.py
+++ b/tests/proxy/test_discovery_client.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from cresspulley.interface import ListKind, ServerList, ServerState
-from irisdeal.config import Address
-from irisdeal.discovery import (
+from yardlane.decisions.interface import ListKind, ServerList, ServerState
+from yardlane.config import Address
+from yardlane.proxy.discovery_client import (
     MOST_LIST, MOST_NAMES, OWN_TIME, PAUSE, SHORT_WAIT, TOLD_AFTER, TOLD_AFTER_MOVE, WAIT, Call, Discovery,
     Reader, latest_news)
-from tests.peers import (
+from tests.loopback import (
     LIMIT, Peer, Script, Streams, answer, as_json, ask, config, member, read_message, running, send_all,
     settings, socket_test, whole_list)
 
--- a/tests/test_serving.py
+++ b/tests/proxy/test_forwarding.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.peers import Peer, answer, as_json, ask, member, read_message, running, socket_test, whole_list
+from tests.loopback import Peer, answer, as_json, ask, member, read_message, running, socket_test, whole_list
 
 
 @socket_test
--- a/tests/test_ending.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -3,10 +3,10 @@
 import asyncio
 import socket
 
-from cresspulley.interface import Arrival, Refuse, Send
-from irisdeal.__main__ import time_to_answer
-from irisdeal.clients import State
-from tests.peers import (
+from yardlane.decisions.interface import Arrival, Refuse, Send
+from yardlane.__main__ import time_to_answer
+from yardlane.proxy.client_connection import State
+from tests.loopback import (
     Peer, Running, Script, answer, ask, config, member, read_message, running, send_all, settings,
     socket_test, whole_list)
 
--- a/tests/test_door.py
+++ b/tests/proxy/test_proxy.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Action, Arrival, Event, Refuse, Send, ServerList, Wake, Woken
-from irisdeal.config import ConfigError, load
-from tests.peers import (
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import Action, Arrival, Event, Refuse, Send, ServerList, Wake, Woken
+from yardlane.config import ConfigError, load
+from tests.loopback import (
     Peer, Script, answer, ask, member, read_message, running, send_all, settings, socket_test, whole_list)
 
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
@@ -118,7 +118,7 @@
     path.write_text(json.dumps(told))
     limit = f"ulimit -n {descriptors} && " if descriptors else ""
     return await asyncio.create_subprocess_exec(
-        "sh", "-c", f'{limit}exec "$0" -m irisdeal', sys.executable, stderr=asyncio.subprocess.PIPE,
+        "sh", "-c", f'{limit}exec "$0" -m yardlane', sys.executable, stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "EDGE_CONFIG": str(path)})
 
 
--- a/tests/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from cresspulley.interface import Count, CountAnswer, Result, ServerList
-from tests.peers import (
+from yardlane.decisions.interface import Count, CountAnswer, Result, ServerList
+from tests.loopback import (
     Peer, Script, answer, as_json, member, read_message, running, settings, socket_test, whole_list)
-from tests.test_door import free_port, start
+from tests.proxy.test_proxy import free_port, start
 
 COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
--- a/tests/test_backends.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -12,11 +12,11 @@
 import pytest
 import uvloop
 
-from cresspulley.interface import (
+from yardlane.decisions.interface import (
     Action, Arrival, AttemptEnded, Cancel, Event, LoadReport, RequestEnded, Result, Send)
-from irisdeal.backends import REST, STALLED, Attempt, Backend, Pool
-from irisdeal.door import Door
-from tests.peers import (
+from yardlane.proxy.upstream_connection import REST, STALLED, Attempt, Backend, Pool
+from yardlane.proxy.proxy import Door
+from tests.loopback import (
     Peer, Running, Script, answer, ask, config, member, read_message, running, send_all, settings,
     socket_test, whole_list)
 
--- a/tests/test_wire.py
+++ b/tests/simulator/test_codec.py
@@ -11,8 +11,9 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from cresspulley import drill, wire
-from cresspulley.interface import (
+from yardlane.errors import WireError
+from yardlane.simulator import adapter as drill, codec as wire
+from yardlane.decisions.interface import (
     Arrival,
     AttemptEnded,
     CountAnswer,
@@ -109,7 +110,7 @@
         init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0)))
     [_, (_, event)] = list(wire.read_batch(whole, {})[1])
     assert (event.request, event.time_left) == (request, left)  # type: ignore[union-attr]
-    with pytest.raises(wire.WireError):
+    with pytest.raises(WireError):
         drill.serve(io.BytesIO(whole[:len(whole) - 1 - cut]), io.BytesIO())
 
 
@@ -122,7 +123,7 @@
 ])
 def test_malformed_input_is_named_in_one_line(broken: bytes, says: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "cresspulley.drill"], input=broken, capture_output=True, check=False)
+        [sys.executable, "-m", "yardlane.simulator.adapter"], input=broken, capture_output=True, check=False)
     assert done.returncode != 0 and done.stdout == b""
     assert says in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
@@ -142,6 +143,6 @@
     def fail(*_: object) -> None:
         raise RuntimeError("out of luck")
 
-    monkeypatch.setattr("cresspulley.drill.Gateway.handle", fail)
+    monkeypatch.setattr("yardlane.simulator.adapter.Gateway.handle", fail)
     reply = drill.Host().reply(frame(init()))
     assert struct.unpack_from("<H", reply, 8)[0] == 1070 and b"out of luck" in reply
--- a/tests/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from cresspulley import drill
-from cresspulley.control import Gateway
-from cresspulley.interface import Arrival, AttemptEnded, Result
-from tests.desk import CLASSES, PLANS, Desk, name, settings
+from yardlane.simulator import adapter as drill
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import Arrival, AttemptEnded, Result
+from tests.gateway_driver import CLASSES, PLANS, Desk, name, settings
 
 
 @pytest.mark.parametrize(("field", "changes"), [
@@ -47,4 +47,4 @@
 
     monkeypatch.setattr(drill, "serve", serve)
     assert drill.main() == 2
-    assert capsys.readouterr().err == "cresspulley: rank is 8: wanted from 0 to 2\n"
+    assert capsys.readouterr().err == "yardlane: rank is 8: wanted from 0 to 2\n"
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -8,10 +8,30 @@
 import tomllib
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parent.parent
-CONTROL = ROOT / "cresspulley" / "control.py"
+PACKAGE = ROOT / "yardlane"
+MODULES = sorted(PACKAGE.rglob("*.py"))
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 POLICY = [ROOT / path for path in DEPLOY["policy"]]
+DECISION_LIBRARIES = {
+    "__future__", "abc", "collections", "collections.abc", "dataclasses", "enum", "heapq", "math", "operator",
+    "random", "typing", "zlib"}
+# What each part of the package may import of the others: imports point down only.
+MAY_IMPORT = {
+    "decisions": {"decisions", "errors"},
+    "proxy": {"proxy", "decisions", "errors", "config", "settings_reader", "descriptors", "log"},
+    "simulator": {"simulator", "decisions", "errors", "settings_reader"},
+    "settings_reader": {"decisions", "errors"},
+    "config": {"decisions", "errors", "settings_reader"},
+    "descriptors": {"errors"},
+    "errors": set(),
+    "log": {"errors"},
+    "server": {"proxy", "decisions", "errors", "config", "descriptors", "log"},
+    "__main__": {"proxy", "decisions", "errors", "config", "descriptors", "log", "server"},
+    "__init__": set(),
+}
 
 
 def imported(path: Path) -> set[str]:
@@ -20,10 +40,18 @@
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0, f"{path}: a relative import"
             found.add(node.module or "")
+            if node.module in ("yardlane", *(f"yardlane.{part}" for part in MAY_IMPORT)):
+                found |= {f"{node.module}.{alias.name}" for alias in node.names}
     return found
 
 
+def part_of(path: Path) -> str:
+    """The part of the package that a module belongs to: its folder, or itself at the top."""
+    return path.relative_to(PACKAGE).with_suffix("").parts[0]
+
+
 def test_each_decision_file_is_short() -> None:
     for path in POLICY:
         lines = [line for line in path.read_text().splitlines() if line.strip()]
@@ -31,38 +59,44 @@
 
 
 def test_no_line_is_long() -> None:
-    for path in [*ROOT.glob("cresspulley/*.py"), *ROOT.glob("tests/*.py")]:
+    for path in [*MODULES, *ROOT.glob("tests/**/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
-def test_the_head_names_the_interface() -> None:
-    assert "interface.py" in "".join(CONTROL.read_text().splitlines(keepends=True)[:3])
+def test_the_decisions_do_no_input_or_output() -> None:
+    assert PACKAGE / "decisions" / "gateway.py" in POLICY
+    for path in (PACKAGE / "decisions").glob("*.py"):
+        outside = {name for name in imported(path) if not name.startswith("yardlane.decisions")}
+        assert outside <= DECISION_LIBRARIES | {"yardlane.errors", "yardlane.errors.YardlaneError"}, path
 
 
-def test_the_decision_files_do_no_input_or_output() -> None:
-    allowed = {
-        "__future__", "collections", "collections.abc", "heapq", "math", "operator", "random", "typing",
-        "zlib", "cresspulley.interface", *(f"cresspulley.{path.stem}" for path in POLICY),
-    }
-    assert CONTROL in POLICY
+def test_the_policy_of_the_deploy_file_is_in_the_decisions() -> None:
     for path in POLICY:
-        assert imported(path) <= allowed, path
+        assert path.is_file() and path.parent == PACKAGE / "decisions"
+
+
+@pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT)))
+def test_imports_point_down_only(path: Path) -> None:
+    names = {name.split(".")[1] for name in imported(path) if name.startswith("yardlane.")}
+    assert names <= MAY_IMPORT[part_of(path)]
 
 
 def test_no_other_module_decides() -> None:
-    assert "cresspulley.control" not in imported(ROOT / "cresspulley" / "wire.py")
-    assert imported(ROOT / "cresspulley" / "interface.py") == {"__future__", "dataclasses", "enum", "typing"}
+    """Only who assembles a program knows the gateway: the proxy and the codec know its interface alone."""
+    knows = {path for path in MODULES if "yardlane.decisions.gateway" in imported(path)}
+    assert knows <= {
+        PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
+    assert imported(PACKAGE / "decisions" / "interface.py") == {"__future__", "dataclasses", "enum", "typing"}
 
 
 def test_what_the_build_compiles_stands_whatever_times_the_files_get(tmp_path: Path) -> None:
-    for package in ("cresspulley", "irisdeal"):
-        shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
+    shutil.copytree(PACKAGE, tmp_path / "yardlane", ignore=shutil.ignore_patterns("__pycache__"))
     build = DEPLOY["build"].rpartition("&& ")[2].replace(".venv/bin/python", sys.executable)
     subprocess.run(build, shell=True, cwd=tmp_path, check=True)
-    for source in tmp_path.glob("*/*.py"):
+    for source in tmp_path.rglob("*.py"):
         os.utime(source, (1, 1))  # a copy of the root, or a fresh checkout
     told = subprocess.run(
-        [sys.executable, "-v", "-c", "import irisdeal.__main__"], cwd=tmp_path, check=True,
+        [sys.executable, "-v", "-c", "import yardlane.__main__"], cwd=tmp_path, check=True,
         capture_output=True, text=True, env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}).stderr
-    assert "irisdeal/__main__.py\n" in told
-    assert "bytecode is stale for 'irisdeal" not in told and "bytecode is stale for 'cresspulley" not in told
+    assert "yardlane/__main__.py\n" in told
+    assert "bytecode is stale for 'yardlane" not in told
--- a/irisdeal/__main__.py
+++ b/yardlane/__main__.py
@@ -13,16 +13,16 @@
 
 import uvloop
 
-from cresspulley.control import Gateway
-from cresspulley.interface import Decider, Settings
-from irisdeal.backends import Pool
-from irisdeal.clients import ClientSide
-from irisdeal.config import Config, ConfigError, load
-from irisdeal.discovery import Discovery
-from irisdeal.door import Door
-from irisdeal.limits import held, share
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import Decider, Settings
+from yardlane.proxy.upstream_connection import Pool
+from yardlane.proxy.client_connection import ClientSide
+from yardlane.config import Config, ConfigError, load
+from yardlane.proxy.discovery_client import Discovery
+from yardlane.proxy.proxy import Door
+from yardlane.descriptors import held, share
 
-log = logging.getLogger("irisdeal")
+log = logging.getLogger("yardlane")
 
 STILL_ACCEPTING = 0.5  # s after SIGTERM: connections go on coming, by the protocol for up to 0.4 s
 FIRST_WORDS = 0.3  # s more for the first request of a connection that came last
@@ -129,7 +129,7 @@
         gateway = Gateway(config.settings, config.seed)
         await Program(config, asyncio.get_running_loop(), gateway).run()
     except OSError as error:
-        print(f"irisdeal: cannot listen on {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
+        print(f"yardlane: cannot listen on {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
         return 1
     return 0
 
@@ -142,7 +142,7 @@
     try:
         config = load(os.environ)
     except ConfigError as error:
-        print("irisdeal:", " ".join(str(error).split()), file=sys.stderr)
+        print("yardlane:", " ".join(str(error).split()), file=sys.stderr)
         return 2
     return uvloop.run(serve(config))
 
--- a/irisdeal/config.py
+++ b/yardlane/config.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cresspulley import wire
-from cresspulley.interface import Settings
+from yardlane import settings_reader
+from yardlane.decisions.interface import Settings
 
 Address = tuple[str, int]
 
@@ -81,8 +81,8 @@
     if not isinstance(nested, dict):
         raise ConfigError("settings are missing")
     values = dict(flatten(nested))
-    settings, _ = wire.read_settings(values)
-    reader = wire.Reader(values)
+    settings, _ = settings_reader.read_settings(values)
+    reader = settings_reader.Reader(values)
     counter = told.get("counter")
     if settings.counter and not counter:
         raise ConfigError("counter is missing, though the settings tell of one")
@@ -135,7 +135,7 @@
     return "" if value is None else str(value)
 
 
-def _names(reader: wire.Reader, path: str, count: int) -> tuple[str, ...]:
+def _names(reader: settings_reader.Reader, path: str, count: int) -> tuple[str, ...]:
     return tuple(reader.text(f"{path}.{n}.name") for n in range(count))
 
 
--- a/cresspulley/servers.py
+++ b/yardlane/decisions/endpoints.py
@@ -6,7 +6,7 @@
 import zlib
 from collections import defaultdict, deque
 
-from cresspulley.interface import ListKind, Plan, ServerEntry, ServerList, ServerState, Settings
+from yardlane.decisions.interface import ListKind, Plan, ServerEntry, ServerList, ServerState, Settings
 
 # Servers that a gateway uses, its subset. With more than it sends requests in a second, none is known well
 # (what is out there, how slow it is, whether it lives), and each request opens a connection of its own.
--- a/cresspulley/control.py
+++ b/yardlane/decisions/gateway.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from cresspulley.interface import (
+from yardlane.decisions.interface import (
     Action, Arrival, AttemptEnded, Cancel, Count, CountAnswer, Event, Fail, FollowList, Group, ListKind,
     Plan, Refuse, Repeat, RequestEnded, Result, Send, ServerList, Settings, StreamStarted, Wake)
-from cresspulley.servers import FIRST_WORK_SHARE, Fleet, Server, Try
-from cresspulley.share import NEAR, SECOND, TELLERS, Customer, Request
+from yardlane.decisions.endpoints import FIRST_WORK_SHARE, Fleet, Server, Try
+from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Customer, Request
 
 # Parts that the chance aims at: of rate, small cap, what is left of a burst. Requests come at random: half of
 # a cap of two in use on average is all of it a quarter of the time, and a try beyond costs most of its worth.
--- a/cresspulley/interface.py
+++ b/yardlane/decisions/interface.py
@@ -350,7 +350,7 @@
 
 
 class Decider(Protocol):
-    """The shape of `cresspulley.control.Gateway`."""
+    """The shape of `yardlane.decisions.gateway.Gateway`."""
 
     actions: list[Action]  # of the last call; what was decided before an event failed stands
 
--- a/cresspulley/share.py
+++ b/yardlane/decisions/quota.py
@@ -4,8 +4,8 @@
 
 import math
 
-from cresspulley.interface import Arrival, Settings
-from cresspulley.servers import Try
+from yardlane.decisions.interface import Arrival, Settings
+from yardlane.decisions.endpoints import Try
 
 FADING_SHARE, FADING_TIMEOUTS = 0.4, 50  # fading interval: of the time a burst lasts; else counter time-outs
 # Time-outs where a cap is smaller than its set: about as long as a request takes. And where a rate's set is
--- a/irisdeal/limits.py
+++ b/yardlane/descriptors.py
@@ -6,7 +6,7 @@
 import resource
 from dataclasses import dataclass
 
-log = logging.getLogger("irisdeal.limits")
+log = logging.getLogger("yardlane.descriptors")
 
 # Loop, signals, listener and streams; discovery and counter, each twice while they move; and connections that
 # are being closed, which hold their descriptor until the end of the turn.
--- a/irisdeal/clients.py
+++ b/yardlane/proxy/client_connection.py
@@ -15,11 +15,11 @@
 
 import httptools
 
-from cresspulley.interface import Plan, Repeat
-from irisdeal.config import Config
-from irisdeal.listener import Listener
+from yardlane.decisions.interface import Plan, Repeat
+from yardlane.config import Config
+from yardlane.proxy.listener import Listener
 
-log = logging.getLogger("irisdeal.clients")
+log = logging.getLogger("yardlane.proxy.client_connection")
 
 MOST_BODY = 65_536
 MOST_HEAD = 16_384
--- a/irisdeal/counter.py
+++ b/yardlane/proxy/counter_client.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from typing import cast
 
-from cresspulley.interface import Count, CountAnswer, Result
-from irisdeal.config import Address
+from yardlane.decisions.interface import Count, CountAnswer, Result
+from yardlane.config import Address
 
-log = logging.getLogger("irisdeal.counter")
+log = logging.getLogger("yardlane.proxy.counter_client")
 
 CONNECTIONS = 4  # one name keeps to one of them, so that its answers keep their order
 MOST_UNANSWERED = 16  # on one connection: a silent counter must not find a pile when it is back
--- a/irisdeal/discovery.py
+++ b/yardlane/proxy/discovery_client.py
@@ -11,10 +11,10 @@
 
 import httptools
 
-from cresspulley.interface import ListKind, ServerEntry, ServerList, ServerState
-from irisdeal.config import Address, Config, address
+from yardlane.decisions.interface import ListKind, ServerEntry, ServerList, ServerState
+from yardlane.config import Address, Config, address
 
-log = logging.getLogger("irisdeal.discovery")
+log = logging.getLogger("yardlane.proxy.discovery_client")
 
 # µs after which a change counts as told, by the standing test's page: from when discovery had it and could be
 # reached, or from when a watch fell silent; and after SIGHUP.
--- a/irisdeal/listener.py
+++ b/yardlane/proxy/listener.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from irisdeal.config import Address
+from yardlane.config import Address
 
-log = logging.getLogger("irisdeal.listener")
+log = logging.getLogger("yardlane.proxy.listener")
 
 BACKLOG = 1024
 BURST = 16  # connections accepted in one turn; the others wait for the next
--- a/irisdeal/door.py
+++ b/yardlane/proxy/proxy.py
@@ -9,15 +9,15 @@
 from functools import partial
 from typing import Any
 
-from cresspulley.interface import (
+from yardlane.decisions.interface import (
     Action, Arrival, AttemptEnded, Cancel, CloseIdle, Count, CountAnswer, Decider, Event, Fail, FetchList,
     FollowList, ListKind, Note, Refuse, RequestEnded, Result, Send, ServerList, ServerState, Wake, Woken)
-from irisdeal.backends import Answer, Attempt, Pool
-from irisdeal.clients import ClientRequest, retry_after
-from irisdeal.config import Address, Config
-from irisdeal.counter import Counter
+from yardlane.proxy.upstream_connection import Answer, Attempt, Pool
+from yardlane.proxy.client_connection import ClientRequest, retry_after
+from yardlane.config import Address, Config
+from yardlane.proxy.counter_client import Counter
 
-log = logging.getLogger("irisdeal.door")
+log = logging.getLogger("yardlane.proxy.proxy")
 
 RESCUE_PAUSE = 10_000  # µs after a failed decision: one that fails each time must not spin
 
--- a/irisdeal/backends.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -15,11 +15,11 @@
 
 import httptools
 
-from cresspulley.interface import LoadReport, Result
-from cresspulley.wire import COLUMNS
-from irisdeal.config import Address, Config
+from yardlane.decisions.interface import LoadReport, Result
+from yardlane.settings_reader import COLUMNS
+from yardlane.config import Address, Config
 
-log = logging.getLogger("irisdeal.backends")
+log = logging.getLogger("yardlane.proxy.upstream_connection")
 
 MOST_BODY = 65_536
 MOST_HEAD = 16_384
--- /dev/null
+++ b/yardlane/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the binary wire of a simulator."""
--- a/cresspulley/drill.py
+++ b/yardlane/simulator/adapter.py
@@ -5,9 +5,10 @@
 import sys
 from typing import BinaryIO
 
-from cresspulley import wire
-from cresspulley.control import Gateway
-from cresspulley.interface import Event
+from yardlane.simulator import codec as wire
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.interface import Event
+from yardlane.errors import WireError
 
 
 
@@ -33,7 +34,7 @@
             elif door in self.gateways:
                 waiting.setdefault(door, []).append(event)
             else:
-                raise wire.WireError(f"{type(event).__name__} for unknown instance {door}")
+                raise WireError(f"{type(event).__name__} for unknown instance {door}")
         out: list[bytes] = []
         for door, events in waiting.items():
             try:
@@ -50,12 +51,12 @@
     host = Host()
     while header := source.read(wire.BATCH_HEADER.size):
         if len(header) < wire.BATCH_HEADER.size:
-            raise wire.WireError(f"frame header cut off after {len(header)} bytes")
+            raise WireError(f"frame header cut off after {len(header)} bytes")
         rest = wire.frame_size(header) - len(header)
         body = source.read(rest)
         if len(body) < rest:
             whole = rest + len(header)
-            raise wire.WireError(f"frame of {whole} bytes cut off after {len(header) + len(body)}")
+            raise WireError(f"frame of {whole} bytes cut off after {len(header) + len(body)}")
         sink.write(host.reply(header + body))
         sink.flush()
 
@@ -65,7 +66,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:  # of the wire or of the settings
-        print(f"cresspulley: {error}", file=sys.stderr)
+        print(f"yardlane: {error}", file=sys.stderr)
         return 2
     return 0
 
