--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -51,8 +51,10 @@
         users = set()
         for rank, fleet in enumerate(fleets((*many(), cold))):
             server, work = fleet.servers[cold.server], 200 * MS
-            if any(fleet.fits_cold(server, fleet.warmth(server, at), work, at)
-                   for at in range(now, now + 8 * SECOND, 50 * MS)):
+            if any(
+                fleet.fits_cold(server, fleet.warmth(server, at), work, at)
+                for at in range(now, now + 8 * SECOND, 50 * MS)
+            ):
                 users.add(rank)
         assert len(users) == fleet.sharers < GATEWAYS
 
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -8,7 +8,19 @@
 
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.interface import (
-    Action, Arrival, AttemptEnded, Count, CountAnswer, Event, ListKind, Result, Send, ServerList, Wake, Woken)
+    Action,
+    Arrival,
+    AttemptEnded,
+    Count,
+    CountAnswer,
+    Event,
+    ListKind,
+    Result,
+    Send,
+    ServerList,
+    Wake,
+    Woken,
+)
 from tests.gateway_driver import MS, SECOND, entry, plan, settings
 
 GATEWAYS, SECONDS = 100, 30
@@ -23,7 +35,8 @@
         rated = (plan(rate=rate, burst=burst),)
         self.gateways = [
             Gateway(settings(gateways=GATEWAYS, rank=rank, plans=rated, counter_timeout=80 * MS), rank)
-            for rank in range(GATEWAYS)]
+            for rank in range(GATEWAYS)
+        ]
         self.order, self.counts = count(), dict[int, float]()
         self.agenda: list[tuple[int, int, int, Event]] = []
         self.within = self.beyond = 0
@@ -52,17 +65,24 @@
             self.store -= is_within
             self.within += is_within
             self.beyond += not is_within
-            self.plan(now + SERVICE_TAKES, rank, AttemptEnded(
-                action.request, 0, action.server, Result.OK, SERVICE_TAKES, True))
+            self.plan(
+                now + SERVICE_TAKES,
+                rank,
+                AttemptEnded(action.request, 0, action.server, Result.OK, SERVICE_TAKES, True),
+            )
 
 
-@pytest.mark.parametrize(("rate", "burst", "usual", "spike", "most"), [  # beyond, as a part of within
-    (22.0, 44.0, 3.0, 3.0, 0.25),  # several times the rate, all day; 0.44 before
-    (22.0, 44.0, 0.5, 5.0, 0.15),  # and for 2.5 s in 20 s; 0.54
-    (1.3, 5.2, 3.0, 3.0, 0.35),  # so seldom that a gateway has forgotten it by the next request; 0.57
-])
+@pytest.mark.parametrize(
+    ("rate", "burst", "usual", "spike", "most"),
+    [  # beyond, as a part of within
+        (22.0, 44.0, 3.0, 3.0, 0.25),  # several times the rate, all day; 0.44 before
+        (22.0, 44.0, 0.5, 5.0, 0.15),  # and for 2.5 s in 20 s; 0.54
+        (1.3, 5.2, 3.0, 3.0, 0.35),  # so seldom that a gateway has forgotten it by the next request; 0.57
+    ],
+)
 def test_a_large_set_passes_little_beyond_a_rate(
-        rate: float, burst: float, usual: float, spike: float, most: float) -> None:
+    rate: float, burst: float, usual: float, spike: float, most: float
+) -> None:
     """Lost: each gateway's own record of the burst filled up again between two of its requests."""
     within = beyond = 0
     for seed in range(3):
@@ -71,8 +91,9 @@
             at += draw.expovariate(rate * (spike if at % 20 < 2.5 else usual))
             if at > SECONDS:
                 break
-            day.plan(int(at * SECOND), draw.randrange(GATEWAYS), Arrival(
-                number, 9, 0, 0, SECOND, 1.0, 0, GATEWAYS))
+            day.plan(
+                int(at * SECOND), draw.randrange(GATEWAYS), Arrival(number, 9, 0, 0, SECOND, 1.0, 0, GATEWAYS)
+            )
         day.play()
         within += day.within
         beyond += day.beyond
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -45,7 +45,7 @@
         return [s for n, s in enumerate(self.sends[request]) if (request, n) not in self.never]
 
     def check(self) -> None:
-        for at, action in self.desk.log[self.seen:]:
+        for at, action in self.desk.log[self.seen :]:
             if isinstance(action, Send):
                 self.send(at, action)
             elif isinstance(action, Refuse | Fail):
@@ -87,8 +87,12 @@
 
     def listed(kind: ListKind, numbers: range) -> None:
         entries = [
-            entry(n, random.choice((ServerState.READY,) * 4 + (ServerState.DRAINING, ServerState.GONE)),
-                  zone=n % 3, started=random.choice((0, desk.now - 2 * SECOND)))
+            entry(
+                n,
+                random.choice((ServerState.READY,) * 4 + (ServerState.DRAINING, ServerState.GONE)),
+                zone=n % 3,
+                started=random.choice((0, desk.now - 2 * SECOND)),
+            )
             for n in numbers
         ]
         if kind is ListKind.COMPLETE:
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -33,9 +33,17 @@
     assert sent == 2 == desk.gateway.customers[4, CAPPED].bound
 
 
-@pytest.mark.parametrize(("here", "total", "bound"), [
-    (0.0, 0.0, 2), (1.0, 3.0, 2), (3.0, 4.5, 3), (3.0, 6.0, 3), (6.0, 12.0, 3), (0.2, 12.0, 1),
-])
+@pytest.mark.parametrize(
+    ("here", "total", "bound"),
+    [
+        (0.0, 0.0, 2),
+        (1.0, 3.0, 2),
+        (3.0, 4.5, 3),
+        (3.0, 6.0, 3),
+        (6.0, 12.0, 3),
+        (0.2, 12.0, 1),
+    ],
+)
 def test_the_demand_split(here: float, total: float, bound: int) -> None:
     customer = customer_of(Desk(), 4, CAPPED)
     customer.split(here, total)
@@ -231,7 +239,9 @@
     desk.serve(customer=9, plan=CEILED, units=1.0)
     desk.serve(customer=9, plan=RATED)
     assert [c.plan for c in desk.gateway.customers.values()] == [
-        desk.settings.plans[CEILED], desk.settings.plans[RATED]]
+        desk.settings.plans[CEILED],
+        desk.settings.plans[RATED],
+    ]
 
 
 def test_the_room_holds_what_is_left_of_the_burst_and_no_more() -> None:
@@ -418,6 +428,7 @@
 
 def test_a_small_cap_is_kept_by_what_is_out_now_not_by_the_last_seconds() -> None:
     """Lost: over forty gateways a cap of two was thinned by chance from a mean over 1.5 s: full, or idle."""
+
     def sent(pause: int) -> int:
         desks = [Desk(gateways=40, rank=rank, seed=rank, plans=(plan(open_limit=2),)) for rank in range(40)]
         for desk in desks:
--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -73,7 +73,7 @@
         for desk in live:
             desk.run(self.now - desk.now)
         while self.random.random() < units * STEP / SECOND / 1.5:
-            desk, = self.random.choices(live)
+            (desk,) = self.random.choices(live)
             self.ask(desk, self.random.choice((1.0, 2.0)))
         for desk in live:
             desk.hear()
@@ -109,11 +109,19 @@
     return day.sent / (PLAN.ceiling_depth + 20 * PLAN.ceiling_rate)
 
 
-@pytest.mark.parametrize(("gateways", "every", "first", "least"), [
-    (3, 0, 10, 0.48), (4, 0, 5, 0.48), (6, 0, 0, 0.46), (4, 1500 * MS, 5, 0.43), (6, 1500 * MS, 20, 0.43),
-])
+@pytest.mark.parametrize(
+    ("gateways", "every", "first", "least"),
+    [
+        (3, 0, 10, 0.48),
+        (4, 0, 5, 0.48),
+        (6, 0, 0, 0.46),
+        (4, 1500 * MS, 5, 0.43),
+        (6, 1500 * MS, 20, 0.43),
+    ],
+)
 def test_a_ceiling_holds_while_bursts_begin_and_gateways_end(
-        gateways: int, every: int, first: int, least: float) -> None:
+    gateways: int, every: int, first: int, least: float
+) -> None:
     """Lost: parts told at different times were more than one together, and each moved depth and rate."""
     days = [Day(seed, gateways) for seed in range(first, first + 5)]
     used = sum(bursts(day, every) for day in days) / len(days)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -66,8 +66,11 @@
 def test_a_keyed_copy_is_written_within_the_window_or_never() -> None:
     """Broken: a copy decided in time went out when its connection came up, after the window."""
     window = Desk().settings.classes[KEYED].window
-    for kind, result, within in ((KEYED, Result.ERROR, window - 300 * MS), (SAFE, Result.ERROR, 0),
-                                 (KEYED, Result.TURNED_AWAY, 0)):
+    for kind, result, within in (
+        (KEYED, Result.ERROR, window - 300 * MS),
+        (SAFE, Result.ERROR, 0),
+        (KEYED, Result.TURNED_AWAY, 0),
+    ):
         desk = Desk()
         number, actions = desk.ask(kind=kind)
         desk.now += 300 * MS
@@ -94,8 +97,7 @@
 
 def test_nothing_goes_to_a_draining_gone_or_absent_server() -> None:
     desk = Desk(servers=4)
-    desk.give(ServerList(ListKind.CHANGES, 2, (
-        entry(0, ServerState.DRAINING), entry(1, ServerState.GONE))))
+    desk.give(ServerList(ListKind.CHANGES, 2, (entry(0, ServerState.DRAINING), entry(1, ServerState.GONE))))
     for _ in range(6):
         desk.ask()
     assert {a.server for _, a in desk.log if isinstance(a, Send)} == {name(2), name(3)}
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -14,8 +14,22 @@
 
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.interface import (
-    Arrival, AttemptEnded, Cancel, Event, Fail, ListKind, Refuse, Result, Send, ServerEntry, ServerList,
-    ServerState, Settings, Wake, Woken)
+    Arrival,
+    AttemptEnded,
+    Cancel,
+    Event,
+    Fail,
+    ListKind,
+    Refuse,
+    Result,
+    Send,
+    ServerEntry,
+    ServerList,
+    ServerState,
+    Settings,
+    Wake,
+    Woken,
+)
 from yardlane.decisions.endpoints import COLD_MARGIN, NEWBORN, Fleet
 from tests.gateway_driver import FREE, MS, SECOND, entry, settings
 
@@ -71,9 +85,9 @@
         self.over: set[int] = set()
         self.ended: set[tuple[int, int]] = set()
         names = [b"s-%08x" % self.random.getrandbits(32) for _ in range(scene.servers + scene.cold)]
-        for name in names[:scene.servers]:
+        for name in names[: scene.servers]:
             self.backends[name] = Backend(entry(0, server=name))
-        self.fresh = names[:scene.cold] if scene.restarts else names[scene.servers:]
+        self.fresh = names[: scene.cold] if scene.restarts else names[scene.servers :]
         for rank in range(scene.gateways):
             self.gateways.append(self._birth(rank))
         self._plan_day()
@@ -106,8 +120,12 @@
             self.at(when, lambda name=name: self._start(name))  # type: ignore[misc]
         if not scene.keeps:
             for name in [n for n in self.backends if n not in self.fresh]:
-                self.at(start + 1.5 * SECOND, lambda name=name: self._spread(  # type: ignore[misc]
-                    replace(self.backends[name].entry, state=DRAINING)))
+                self.at(
+                    start + 1.5 * SECOND,
+                    lambda name=name: self._spread(  # type: ignore[misc]
+                        replace(self.backends[name].entry, state=DRAINING)
+                    ),
+                )
         for again in (2, 4) if scene.births else ():
             for rank in range(scene.gateways):
                 if self.random.random() < scene.births:
@@ -207,8 +225,9 @@
         if result is Result.OK:
             self.over.add(request)
         server, at = self.attempts[request][number]
-        self._alive(rank, life, AttemptEnded(
-            request, number, server, result, self.now - at, request in self.over))
+        self._alive(
+            rank, life, AttemptEnded(request, number, server, result, self.now - at, request in self.over)
+        )
 
     def loads(self) -> list[tuple[float, float]]:
         """For each cold server, the worst window over what it bears; and work sent while cold over budget."""
@@ -275,11 +294,21 @@
 
 # By hand: scenes with three gateways or two, and the coarse one whose estimate is far too low. There a budget
 # is of one request or two, and a single one of over four times the mean work is a fall by chance.
-@pytest.mark.parametrize("title", [
-    "join, all else drains", "join, others stay", "come back cold", "many servers, lists differ",
-    "half start anew", "classes differ", "fine work, lists differ", "fine work, all start anew",
-    "fine work, lists flap", "fine work, too low, 40",
-])
+@pytest.mark.parametrize(
+    "title",
+    [
+        "join, all else drains",
+        "join, others stay",
+        "come back cold",
+        "many servers, lists differ",
+        "half start anew",
+        "classes differ",
+        "fine work, lists differ",
+        "fine work, all start anew",
+        "fine work, lists flap",
+        "fine work, too low, 40",
+    ],
+)
 def test_no_cold_server_gets_more_than_it_bears(title: str) -> None:
     worst, _, used = figures(SCENES[title], range(2))
     assert worst <= 1.0
@@ -289,7 +318,8 @@
 @pytest.mark.parametrize("births", (False, True))
 @pytest.mark.parametrize(("gateways", "work"), [(1, 1 * MS), (3, 150 * MS), (20, 15 * MS), (60, 150 * MS)])
 def test_all_that_fits_at_once_is_within_the_part_that_is_used(
-        gateways: int, work: int, births: bool) -> None:
+    gateways: int, work: int, births: bool
+) -> None:
     """Each gateway sends whenever it may; all may start anew once, and so spend half of a part more."""
     base = settings(gateways=gateways, fall_multiple=4.0, fall_window=3 * SECOND)
     base = replace(base, classes=tuple(replace(c, aim=6 * work) for c in base.classes))
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -38,16 +38,29 @@
 
 def klass(repeat: Repeat, group: Group = Group.ZONE, **changes: Any) -> RequestClass:
     base = RequestClass(
-        aim=900 * MS, deadline=3 * SECOND, repeat=repeat, group=group, window=2 * SECOND,
-        worth=1.0, late_worth=0.1, streams=False,
+        aim=900 * MS,
+        deadline=3 * SECOND,
+        repeat=repeat,
+        group=group,
+        window=2 * SECOND,
+        worth=1.0,
+        late_worth=0.1,
+        streams=False,
     )
     return replace(base, **changes)
 
 
 def plan(**changes: Any) -> Plan:
     base = Plan(
-        rate=0.0, burst=0.0, open_limit=0, ceiling_rate=0.0, ceiling_depth=0.0, ceiling_slack=0.0,
-        price=1.0, beyond_cost=1.0, beyond_worth=0.0,
+        rate=0.0,
+        burst=0.0,
+        open_limit=0,
+        ceiling_rate=0.0,
+        ceiling_depth=0.0,
+        ceiling_slack=0.0,
+        price=1.0,
+        beyond_cost=1.0,
+        beyond_worth=0.0,
     )
     return replace(base, **changes)
 
@@ -63,12 +76,32 @@
 
 def settings(**changes: Any) -> Settings:
     base = Settings(
-        gateways=3, rank=0, zone=0, classes=CLASSES, plans=PLANS, tick=2 * MS, answer_grace=8 * MS,
-        drain_grace=SECOND, start_capacity=0.2, warm_up=15 * SECOND, fall_multiple=3.0,
-        fall_window=SECOND, max_attempts=5, parallel_attempts=True, may_cancel=True, may_probe=False,
-        may_advise=True, longest_advice=SECOND, list_is_pushed=True, counter=True,
-        counter_timeout=40 * MS, counter_price=0.01, meter_period=0, units_settle=False,
-        crossing_price=0.0, waste_price=0.05,
+        gateways=3,
+        rank=0,
+        zone=0,
+        classes=CLASSES,
+        plans=PLANS,
+        tick=2 * MS,
+        answer_grace=8 * MS,
+        drain_grace=SECOND,
+        start_capacity=0.2,
+        warm_up=15 * SECOND,
+        fall_multiple=3.0,
+        fall_window=SECOND,
+        max_attempts=5,
+        parallel_attempts=True,
+        may_cancel=True,
+        may_probe=False,
+        may_advise=True,
+        longest_advice=SECOND,
+        list_is_pushed=True,
+        counter=True,
+        counter_timeout=40 * MS,
+        counter_price=0.01,
+        meter_period=0,
+        units_settle=False,
+        crossing_price=0.0,
+        waste_price=0.05,
     )
     return replace(base, **changes)
 
@@ -131,8 +164,14 @@
         return [action for _, action in self.log[seen:]]
 
     def ask(
-        self, customer: int = 9, plan: int = FREE, kind: int = SAFE, units: float = 1.0,
-        left: int | None = None, first: int = 0, gateways: int = 3,
+        self,
+        customer: int = 9,
+        plan: int = FREE,
+        kind: int = SAFE,
+        units: float = 1.0,
+        left: int | None = None,
+        first: int = 0,
+        gateways: int = 3,
     ) -> tuple[int, list[Action]]:
         """A new request; its number and the actions at once."""
         number = self.next_request
@@ -141,16 +180,31 @@
         return number, self.give(Arrival(number, customer, plan, kind, left, units, first, gateways))
 
     def end(
-        self, request: int, server: bytes, result: Result = Result.OK, took: int = 50 * MS,
-        attempt: int | None = None, ended: bool | None = None, load: LoadReport | None = None,
+        self,
+        request: int,
+        server: bytes,
+        result: Result = Result.OK,
+        took: int = 50 * MS,
+        attempt: int | None = None,
+        ended: bool | None = None,
+        load: LoadReport | None = None,
         true_units: int | None = None,
     ) -> list[Action]:
         """The outcome of an attempt, the last one if none is named."""
         attempt = self.attempts[request] - 1 if attempt is None else attempt
         ended = result is Result.OK if ended is None else ended
-        return self.give(AttemptEnded(
-            request, attempt, server, result, took, ended, load=load, true_units=true_units,
-        ))
+        return self.give(
+            AttemptEnded(
+                request,
+                attempt,
+                server,
+                result,
+                took,
+                ended,
+                load=load,
+                true_units=true_units,
+            )
+        )
 
     def serve(self, **ask: Any) -> bool:
         """Ask and, if it was sent, answer it well at once."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,34 +23,85 @@
 
 def settings(**changes: Any) -> dict[str, Any]:
     base: dict[str, Any] = {
-        "discovery": "pushed", "peers_total": 1, "rank": 0, "locality": 0, "round_us": 1000,
-        "zones": ["north", "south"], "kinds": ["m1"],
+        "discovery": "pushed",
+        "peers_total": 1,
+        "rank": 0,
+        "locality": 0,
+        "round_us": 1000,
+        "zones": ["north", "south"],
+        "kinds": ["m1"],
         "profiles": [
             {"name": "look", "slo_us": 5_000_000, "deadline_us": 10_000_000, "repeat": "free", "worth": 1.0},
-            {"name": "file", "slo_us": 5_000_000, "deadline_us": 10_000_000, "repeat": "guarded",
-             "group": "zone", "window_us": 5_000_000, "worth": 2.0}],
+            {
+                "name": "file",
+                "slo_us": 5_000_000,
+                "deadline_us": 10_000_000,
+                "repeat": "guarded",
+                "group": "zone",
+                "window_us": 5_000_000,
+                "worth": 2.0,
+            },
+        ],
         "packages": [
-            {"name": "basic", "refill": 0.0, "burst": 0.0, "concurrency": 0, "hard_rate": 0.0,
-             "never_over_depth": 0.0, "cap_slack": 0.0, "value_factor": 1.0, "beyond_costs": 1.0,
-             "extra_worth": 0.0},
-            {"name": "metered", "refill": 100.0, "burst": 200.0, "concurrency": 0, "hard_rate": 0.0,
-             "never_over_depth": 0.0, "cap_slack": 0.0, "value_factor": 1.0, "beyond_costs": 1.0,
-             "extra_worth": 0.0}],
-        "safety": {"grace_to_answer_us": 8000, "drain_grace_us": 1_000_000, "start_capacity": 0.2,
-                   "warm_up_us": 15_000_000, "tip_multiple": 4.0, "fall_us": 2_000_000},
-        "permissions": {"max_attempts": 4, "parallel_tries": True, "cancel": True, "probes": False,
-                        "retry_after": True, "max_retry_after_us": 1_000_000,
-                        "connect_timeout_us": 250_000, "keepalive_us": 30_000_000},
+            {
+                "name": "basic",
+                "refill": 0.0,
+                "burst": 0.0,
+                "concurrency": 0,
+                "hard_rate": 0.0,
+                "never_over_depth": 0.0,
+                "cap_slack": 0.0,
+                "value_factor": 1.0,
+                "beyond_costs": 1.0,
+                "extra_worth": 0.0,
+            },
+            {
+                "name": "metered",
+                "refill": 100.0,
+                "burst": 200.0,
+                "concurrency": 0,
+                "hard_rate": 0.0,
+                "never_over_depth": 0.0,
+                "cap_slack": 0.0,
+                "value_factor": 1.0,
+                "beyond_costs": 1.0,
+                "extra_worth": 0.0,
+            },
+        ],
+        "safety": {
+            "grace_to_answer_us": 8000,
+            "drain_grace_us": 1_000_000,
+            "start_capacity": 0.2,
+            "warm_up_us": 15_000_000,
+            "tip_multiple": 4.0,
+            "fall_us": 2_000_000,
+        },
+        "permissions": {
+            "max_attempts": 4,
+            "parallel_tries": True,
+            "cancel": True,
+            "probes": False,
+            "retry_after": True,
+            "max_retry_after_us": 1_000_000,
+            "connect_timeout_us": 250_000,
+            "keepalive_us": 30_000_000,
+        },
         "family_info": {"shared_counter": False, "count_wait_us": 30_000},
-        "report": {"columns": ["mean_ms", "load_share", "depth"], "source": "inline"}}
+        "report": {"columns": ["mean_ms", "load_share", "depth"], "source": "inline"},
+    }
     base.update(changes)
     return base
 
 
 def config(**changes: Any) -> Config:
     base: dict[str, Any] = {
-        "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "5",
-        "limits": {"sockets": 256}, "settings": settings()}
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:1",
+        "seed": "5",
+        "limits": {"sockets": 256},
+        "settings": settings(),
+    }
     base.update(changes)
     made = parse(base)
     # Port 0: the kernel picks one, and the test asks which.
@@ -58,8 +109,17 @@
 
 
 def member(name: str, port: int, **changes: Any) -> dict[str, Any]:
-    return {"id": name, "host_port": f"127.0.0.1:{port}", "locality": "north", "flavor": "m1", "cell": 1,
-            "phase": "Ready", "size": 1.0, "up_since_ms": 0, **changes}
+    return {
+        "id": name,
+        "host_port": f"127.0.0.1:{port}",
+        "locality": "north",
+        "flavor": "m1",
+        "cell": 1,
+        "phase": "Ready",
+        "size": 1.0,
+        "up_since_ms": 0,
+        **changes,
+    }
 
 
 def whole_list(*members: dict[str, Any], revision: int = 1) -> dict[str, Any]:
@@ -113,8 +173,13 @@
 def ask(kind: str = "look", trace: str = "ab12", **changes: str | None) -> bytes:
     """A client's request; a header set to None is left out."""
     headers: dict[str, str | None] = {
-        "X-Trace-Id": trace, "X-Qos": kind, "Plan": "basic", "Account": "00000000b4d65521",
-        "X-Expires-In": "9000m", "Quota-Info": "units=2,spread=1,first=0"}
+        "X-Trace-Id": trace,
+        "X-Qos": kind,
+        "Plan": "basic",
+        "Account": "00000000b4d65521",
+        "X-Expires-In": "9000m",
+        "Quota-Info": "units=2,spread=1,first=0",
+    }
     if kind == "file":
         headers |= {"Idempotency-Key": "k1", "Content-Length": "0"}
     headers |= {key.replace("_", "-"): value for key, value in changes.items()}
@@ -180,6 +245,7 @@
 
 def socket_test(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
     """Run a test on the program's own kind of loop."""
+
     def run() -> None:
         async def limited() -> None:
             async with asyncio.timeout(LIMIT):
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -19,51 +19,80 @@
     return ask("file", Content_Length=length) + body
 
 
-@pytest.mark.parametrize(("request_bytes", "status"), [
-    (GET + b"\r\n", 400),
-    (ask(X_Qos="unheard-of"), 400),
-    (ask(Plan="unheard-of"), 400),
-    (ask(X_Trace_Id=None), 400),
-    (ask(X_Trace_Id="a b"), 400),
-    (ask(Account="b4d65521"), 400),
-    (ask(Account="ffffffffffffffff"), 400),
-    (ask(Account="000000000000000g"), 400),
-    (ask(X_Expires_In="480"), 400),
-    (ask(X_Expires_In="-5m"), 400),
-    (ask(X_Expires_In="0m"), 400),
-    (ask(X_Expires_In="nanm"), 400),
-    (ask(Quota_Info="units=2,spread=1"), 400),
-    (ask(Quota_Info="units=0,spread=1,first=0"), 400),
-    (ask(Quota_Info="units=2,spread=9,first=0"), 400),
-    (ask(Quota_Info="units=2,spread=1,first=1"), 400),
-    (ask(Quota_Info="units=inf,spread=1,first=0"), 400),
-    (ask("file", Idempotency_Key=None), 400),
-    (ask().replace(b"GET", b"POST"), 405),
-    (ask("file").replace(b"POST", b"GET"), 405),
-    (ask().replace(b"Host: svc\r\n", b""), 400),
-    (ask().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
-    (ask(Content_Length="3") + b"abc", 400),
-    (post("70000", b"x" * 70_000), 413),
-    (post("-1"), 400),
-    (post("4x", b"1234"), 400),
-    (ask("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
-    (ask("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
-    (ask("file", Content_Length=None, Transfer_Encoding="chunked").replace(
-        b"g: chunked", b"g: chunked\r\nContent-Length: 4") + b"0\r\n\r\n", 400),
-    *((ask("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400) for odd in (
-        "gzip, chunked", "chunked, identity", "identity", "xchunked", "chunked;a=1", "\x0bchunked", "")),
-    *((ask("file", Content_Length=odd) + b"aa", 400) for odd in (
-        "+2", "-2", "0x2", "2 2", "2, 2", "", "2\r\nContent-Length: 2", "2\r\nContent-Length: 3")),
-    (post("12345678901", b""), 413),
-    (post("9" * 30, b""), 400),
-    (ask(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
-    (ask(Quota_Info="units=999999999,spread=1,first=0"), 400),
-    (ask(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
-    (b"hello\r\n\r\n", 400),
-    (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
-    (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
-    (GET + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
-])
+@pytest.mark.parametrize(
+    ("request_bytes", "status"),
+    [
+        (GET + b"\r\n", 400),
+        (ask(X_Qos="unheard-of"), 400),
+        (ask(Plan="unheard-of"), 400),
+        (ask(X_Trace_Id=None), 400),
+        (ask(X_Trace_Id="a b"), 400),
+        (ask(Account="b4d65521"), 400),
+        (ask(Account="ffffffffffffffff"), 400),
+        (ask(Account="000000000000000g"), 400),
+        (ask(X_Expires_In="480"), 400),
+        (ask(X_Expires_In="-5m"), 400),
+        (ask(X_Expires_In="0m"), 400),
+        (ask(X_Expires_In="nanm"), 400),
+        (ask(Quota_Info="units=2,spread=1"), 400),
+        (ask(Quota_Info="units=0,spread=1,first=0"), 400),
+        (ask(Quota_Info="units=2,spread=9,first=0"), 400),
+        (ask(Quota_Info="units=2,spread=1,first=1"), 400),
+        (ask(Quota_Info="units=inf,spread=1,first=0"), 400),
+        (ask("file", Idempotency_Key=None), 400),
+        (ask().replace(b"GET", b"POST"), 405),
+        (ask("file").replace(b"POST", b"GET"), 405),
+        (ask().replace(b"Host: svc\r\n", b""), 400),
+        (ask().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
+        (ask(Content_Length="3") + b"abc", 400),
+        (post("70000", b"x" * 70_000), 413),
+        (post("-1"), 400),
+        (post("4x", b"1234"), 400),
+        (ask("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
+        (ask("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
+        (
+            ask("file", Content_Length=None, Transfer_Encoding="chunked").replace(
+                b"g: chunked", b"g: chunked\r\nContent-Length: 4"
+            )
+            + b"0\r\n\r\n",
+            400,
+        ),
+        *(
+            (ask("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
+            for odd in (
+                "gzip, chunked",
+                "chunked, identity",
+                "identity",
+                "xchunked",
+                "chunked;a=1",
+                "\x0bchunked",
+                "",
+            )
+        ),
+        *(
+            (ask("file", Content_Length=odd) + b"aa", 400)
+            for odd in (
+                "+2",
+                "-2",
+                "0x2",
+                "2 2",
+                "2, 2",
+                "",
+                "2\r\nContent-Length: 2",
+                "2\r\nContent-Length: 3",
+            )
+        ),
+        (post("12345678901", b""), 413),
+        (post("9" * 30, b""), 400),
+        (ask(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
+        (ask(Quota_Info="units=999999999,spread=1,first=0"), 400),
+        (ask(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
+        (b"hello\r\n\r\n", 400),
+        (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
+        (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
+        (GET + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
+    ],
+)
 def test_malformed_input_never_reaches_the_module(request_bytes: bytes, status: int) -> None:
     async def run() -> None:
         script = Script(lambda event: [])
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -10,12 +10,34 @@
 
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.interface import (
-    Action, Arrival, AttemptEnded, Event, Fail, RequestEnded, Result, Send)
+    Action,
+    Arrival,
+    AttemptEnded,
+    Event,
+    Fail,
+    RequestEnded,
+    Result,
+    Send,
+)
 from yardlane.proxy.upstream_connection import Attempt
 from yardlane.proxy.client_connection import MOST_PIPELINED, Client
 from tests.loopback import (
-    LIMIT, LateConnections, Peer, Running, Script, answer, as_json, ask, member, read_message, running,
-    send_all, settings, socket_test, whole_list)
+    LIMIT,
+    LateConnections,
+    Peer,
+    Running,
+    Script,
+    answer,
+    as_json,
+    ask,
+    member,
+    read_message,
+    running,
+    send_all,
+    settings,
+    socket_test,
+    whole_list,
+)
 
 
 Leave = Callable[[asyncio.StreamWriter], None]
@@ -34,8 +56,11 @@
         return [Send(event.request, s) for s in (b"s-1", b"s-2")] if isinstance(event, Arrival) else []
 
     script = Script(twice)
-    async with Peer() as first, Peer() as second, running(
-            script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as door:
+    async with (
+        Peer() as first,
+        Peer() as second,
+        running(script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as door,
+    ):
         late = LateConnections(door, second.port)
         client, to_door = await door.client()
         to_door.write(ask())
@@ -46,7 +71,9 @@
         late.go_on.set()
         ends = await script.wait_for(AttemptEnded, 2)
         assert {e.attempt: (e.result, e.ended) for e in ends} == {
-            0: (Result.OK, True), 1: (Result.NOT_SENT, True)}
+            0: (Result.OK, True),
+            1: (Result.NOT_SENT, True),
+        }
         await door.call(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert second.accepted.empty()
 
@@ -83,6 +110,7 @@
 
 def each_way(test: Callable[[Leave], Awaitable[None]]) -> Callable[[Leave], None]:
     """The test for a client that closes, resets, and half-closes."""
+
     def run(leave: Leave) -> None:
         async def leaving() -> None:
             await test(leave)
@@ -114,8 +142,10 @@
 
 @each_way
 async def test_a_client_that_leaves_while_its_request_is_held_for_a_slot(leave: Leave) -> None:
-    async with Peer() as backend, running(
-            settings=settings(packages=CAPPED), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(settings=settings(packages=CAPPED), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         gateway = cast(Gateway, door.program.door.decider)
         first, to_first = await door.client()
         to_first.write(ask(trace="first"))
@@ -153,8 +183,11 @@
 
 @each_way
 async def test_a_client_that_leaves_before_a_further_attempt(leave: Leave) -> None:
-    async with Peer() as one, Peer() as two, running(
-            known=whole_list(member("s-1", one.port), member("s-2", two.port))) as door:
+    async with (
+        Peer() as one,
+        Peer() as two,
+        running(known=whole_list(member("s-1", one.port), member("s-2", two.port))) as door,
+    ):
         gateway = cast(Gateway, door.program.door.decider)
         _, to_door = await door.client()
         to_door.write(ask())
@@ -238,8 +271,10 @@
 
 @each_way
 async def test_no_held_request_gets_a_slot_after_the_leaving(leave: Leave) -> None:
-    async with Peer() as backend, running(
-            settings=settings(packages=CAPPED), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(settings=settings(packages=CAPPED), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         begun = unswept(door)
         to_door = await pipelined(door)
         reader, writer = await backend.connection()
@@ -308,7 +343,8 @@
 
 
 async def slow_reader(
-        door: Running, requests: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, Client]:
+    door: Running, requests: int
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, Client]:
     """A client that reads no answers for now, over buffers of the kernel that hold far less than one."""
     made = socket.socket()
     made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -372,9 +408,11 @@
 
 
 @pytest.mark.parametrize(
-    "leave", [socket.socket.close, lambda made: made.shutdown(socket.SHUT_WR)], ids=["close", "half_close"])
+    "leave", [socket.socket.close, lambda made: made.shutdown(socket.SHUT_WR)], ids=["close", "half_close"]
+)
 def test_no_attempt_begins_for_a_request_that_comes_together_with_the_leaving(
-        leave: Callable[[socket.socket], None]) -> None:
+    leave: Callable[[socket.socket], None],
+) -> None:
     @socket_test
     async def run() -> None:
         script = Script(send_all)
@@ -406,8 +444,9 @@
     script = Script(on_to_the_next)
     async with Peer() as one, Peer() as two, Peer() as discovery:
         first, second = member("s-1", one.port), member("s-2", two.port)
-        async with running(script, known=whole_list(first, second),
-                           discovery=f"127.0.0.1:{discovery.port}") as door:
+        async with running(
+            script, known=whole_list(first, second), discovery=f"127.0.0.1:{discovery.port}"
+        ) as door:
             door.program.pool.connect_timeout = LIMIT
             to_agent, agent = await discovery.connection()
             await read_message(to_agent)
@@ -456,8 +495,12 @@
     async def run() -> None:
         script = Script(copy)
         patient = [{**rule, "deadline_us": 60_000_000} for rule in settings()["profiles"]]
-        async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port)),
-                                              settings=settings(profiles=patient)) as door:
+        async with (
+            Peer() as backend,
+            running(
+                script, known=whole_list(member("s-1", backend.port)), settings=settings(profiles=patient)
+            ) as door,
+        ):
             door.program.pool.connect_timeout = LIMIT
             late, clock = LateConnections(door, backend.port), door.program.door.clock
             _, to_door = await door.client()
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -12,7 +12,17 @@
 from yardlane.descriptors import OWN, share
 from yardlane.proxy.listener import Listener
 from tests.loopback import (
-    Peer, Running, Script, Streams, ask, member, read_message, running, socket_test, whole_list)
+    Peer,
+    Running,
+    Script,
+    Streams,
+    ask,
+    member,
+    read_message,
+    running,
+    socket_test,
+    whole_list,
+)
 
 
 class Hand:
@@ -30,7 +40,8 @@
 async def connected(door: Running, count: int) -> list[Streams]:
     made = [await door.client() for _ in range(count)]
     while len(door.program.clients.connections) < count or not all(
-            c.transport for c in door.program.clients.connections):
+        c.transport for c in door.program.clients.connections
+    ):
         await asyncio.sleep(0)
     return made
 
@@ -155,8 +166,10 @@
     script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         _, to_door = await door.client()
-        to_door.write(ask("file", Content_Length=None, Transfer_Encoding="chunked")
-                      + b"3\r\nabc\r\n0\r\nX-Trace-Id: other\r\nX-More: 1\r\n\r\n")
+        to_door.write(
+            ask("file", Content_Length=None, Transfer_Encoding="chunked")
+            + b"3\r\nabc\r\n0\r\nX-Trace-Id: other\r\nX-More: 1\r\n\r\n"
+        )
         reader, _ = await backend.connection()
         _, headers, body = await read_message(reader)
         assert (headers["x-trace-id"], body, "x-more" in headers) == ("ab12", b"abc", False)
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -30,8 +30,11 @@
         writer.write(b"or\r\nok 1e3\r\n")
         told = await script.wait_for(CountAnswer, 4)
         assert [(a.name, a.result, a.total) for a in told] == [
-            (0xAB, Result.OK, 2.5), (0xAB, Result.TURNED_AWAY, 0.0), (0xAB, Result.TURNED_AWAY, 0.0),
-            (0xAB, Result.OK, 1000.0)]
+            (0xAB, Result.OK, 2.5),
+            (0xAB, Result.TURNED_AWAY, 0.0),
+            (0xAB, Result.TURNED_AWAY, 0.0),
+            (0xAB, Result.OK, 1000.0),
+        ]
 
 
 @socket_test
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -14,7 +14,17 @@
 
 from yardlane.descriptors import share
 from tests.loopback import (
-    Peer, Streams, answer, as_json, ask, member, read_message, settings, socket_test, whole_list)
+    Peer,
+    Streams,
+    answer,
+    as_json,
+    ask,
+    member,
+    read_message,
+    settings,
+    socket_test,
+    whole_list,
+)
 from tests.proxy.test_proxy import free_port, start
 
 HELD = 128  # descriptors that the process may hold
@@ -64,6 +74,7 @@
 
 async def serve_list(discovery: Peer, told: dict[str, Any], watched: asyncio.Event) -> None:
     """The whole list to whoever asks for it, also to who waits already; a watch hears nothing."""
+
     async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while "index=" not in (await read_message(reader))[0]:
@@ -88,6 +99,7 @@
 
 async def call(port: int, *backends: Peer) -> None:
     """A new client each; all are served, each backend has at least one of them before any is answered."""
+
     async def one(n: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(ask(trace=f"t{n}", Plan="metered", Account=f"{n:016x}"))
@@ -118,7 +130,8 @@
 @pytest.mark.parametrize("told", [HELD, 1024])  # by the configuration
 @pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses while it is down
 def test_a_crowd_while_discovery_is_down_takes_no_descriptor_that_others_need(
-        is_silent: bool, told: int, tmp_path: Path) -> None:
+    is_silent: bool, told: int, tmp_path: Path
+) -> None:
     @socket_test
     async def run() -> None:
         async with AsyncExitStack() as stack:
@@ -127,8 +140,13 @@
             if is_silent:
                 await stack.enter_async_context(discovery)
             config = {
-                "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{discovery.port}", "seed": "1f",
-                "counter": f"127.0.0.1:{counter.port}", "limits": {"sockets": told}, "settings": COUNTED}
+                "listen": f"127.0.0.1:{port}",
+                "discovery": f"127.0.0.1:{discovery.port}",
+                "seed": "1f",
+                "counter": f"127.0.0.1:{counter.port}",
+                "limits": {"sockets": told},
+                "settings": COUNTED,
+            }
             crowd = Crowd(port)
             stack.push_async_callback(crowd.leave)
             coming = asyncio.create_task(crowd.come(3 * HELD))
@@ -146,8 +164,15 @@
                     await crowd.come(HELD)
                     door.send_signal(signal.SIGHUP)
                 watched = asyncio.Event()
-                helpers.append(asyncio.create_task(serve_list(place, whole_list(
-                    *(member(f"s-{peer.port}", peer.port) for peer in members)), watched)))
+                helpers.append(
+                    asyncio.create_task(
+                        serve_list(
+                            place,
+                            whole_list(*(member(f"s-{peer.port}", peer.port) for peer in members)),
+                            watched,
+                        )
+                    )
+                )
                 await watched.wait()
                 await crowd.come(HELD)  # all places are taken again
                 await call(port, *members)
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -12,11 +12,36 @@
 from yardlane.decisions.interface import ListKind, ServerList, ServerState
 from yardlane.config import Address
 from yardlane.proxy.discovery_client import (
-    MOST_LIST, MOST_NAMES, OWN_TIME, PAUSE, SHORT_WAIT, TOLD_AFTER, TOLD_AFTER_MOVE, WAIT, Call, Discovery,
-    Reader, latest_news)
+    MOST_LIST,
+    MOST_NAMES,
+    OWN_TIME,
+    PAUSE,
+    SHORT_WAIT,
+    TOLD_AFTER,
+    TOLD_AFTER_MOVE,
+    WAIT,
+    Call,
+    Discovery,
+    Reader,
+    latest_news,
+)
 from tests.loopback import (
-    LIMIT, Peer, Script, Streams, answer, as_json, ask, config, member, read_message, running, send_all,
-    settings, socket_test, whole_list)
+    LIMIT,
+    Peer,
+    Script,
+    Streams,
+    answer,
+    as_json,
+    ask,
+    config,
+    member,
+    read_message,
+    running,
+    send_all,
+    settings,
+    socket_test,
+    whole_list,
+)
 
 
 def changes(revision: int, *members: dict[str, object]) -> bytes:
@@ -47,9 +72,16 @@
 @socket_test
 async def test_oddities_lead_back_to_the_whole_list() -> None:
     odd = [
-        answer(500), answer(200, b"{"), answer(200, b"[]"), answer(200, b'{"revision":"x","members":[]}'),
-        answer(200, b"[" * 100_000), answer(200, b'{"revision":"\xff"}'),
-        b"nonsense\r\n\r\n", changes(7), b""]
+        answer(500),
+        answer(200, b"{"),
+        answer(200, b"[]"),
+        answer(200, b'{"revision":"x","members":[]}'),
+        answer(200, b"[" * 100_000),
+        answer(200, b'{"revision":"\xff"}'),
+        b"nonsense\r\n\r\n",
+        changes(7),
+        b"",
+    ]
     script = Script(lambda event: [])
     async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}"):
         for n, bad in enumerate(odd):
@@ -64,7 +96,9 @@
         assert "index=3&" in (await read_message(reader))[0]  # discovery began anew: its version counts
         last = (await script.wait_for(ServerList, len(odd) + 2))[-1]
         assert [(e.server, e.state) for e in last.entries] == [
-            (b"s-1", ServerState.READY), (b"s-2", ServerState.DRAINING)]
+            (b"s-1", ServerState.READY),
+            (b"s-2", ServerState.DRAINING),
+        ]
 
 
 @socket_test
@@ -94,7 +128,9 @@
         assert "index=42&" in (await read_message(reader))[0]
         told = [t for t in await script.wait_for(ServerList, 3) if t.kind is ListKind.COMPLETE]
         assert [(t.version, t.entries[0].state) for t in told] == [
-            (41, ServerState.DRAINING), (42, ServerState.DRAINING)]
+            (41, ServerState.DRAINING),
+            (42, ServerState.DRAINING),
+        ]
 
 
 @socket_test
@@ -102,8 +138,10 @@
     # Each call that is made while it is silent must end in time for one that is answered.
     grace = 0.5
     safety = {**settings()["safety"], "drain_grace_us": int(grace * 1e6)}
-    async with Peer() as discovery, running(
-            discovery=f"127.0.0.1:{discovery.port}", settings=settings(safety=safety)) as door:
+    async with (
+        Peer() as discovery,
+        running(discovery=f"127.0.0.1:{discovery.port}", settings=settings(safety=safety)) as door,
+    ):
         watch = door.program.discovery
         assert watch.patience + watch.longest_pause < grace
         for _ in range(4):  # calls that are never answered; the pause between them grows meanwhile
@@ -119,8 +157,10 @@
 @socket_test
 async def test_what_is_remembered_serves_only_once_discovery_was_asked() -> None:
     health = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
-    async with Peer() as discovery, running(
-            discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", 9))) as door:
+    async with (
+        Peer() as discovery,
+        running(discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", 9))) as door,
+    ):
         reader, _ = await discovery.connection()
         await read_message(reader)
         assert (await door.call(health))[0].split()[1] == "503"  # it may name what has long gone
@@ -131,9 +171,14 @@
 @socket_test
 async def test_an_address_that_changes_is_followed() -> None:
     script = Script(send_all)
-    async with Peer() as discovery, Peer() as old, Peer() as new, running(
-            script, discovery=f"127.0.0.1:{discovery.port}",
-            known=whole_list(member("s-1", old.port))) as door:
+    async with (
+        Peer() as discovery,
+        Peer() as old,
+        Peer() as new,
+        running(
+            script, discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", old.port))
+        ) as door,
+    ):
         client, to_door = await door.client()
         to_door.write(ask())
         reader, writer = await old.connection()
@@ -227,8 +272,10 @@
         safety = {**settings()["safety"], "drain_grace_us": grace}
         self.failed, self.heard, self.break_next = asyncio.Event(), asyncio.Event(), False
         self.watch = Discovery(
-            config(discovery=f"127.0.0.1:{agent.port}", settings=settings(safety=safety)), self.found,
-            self.failed.set)
+            config(discovery=f"127.0.0.1:{agent.port}", settings=settings(safety=safety)),
+            self.found,
+            self.failed.set,
+        )
         self.due, self.pause, self.since = self.watch.patience, self.watch.longest_pause, 0.0
 
     def found(self, told: ServerList, places: dict[bytes, Address]) -> None:
@@ -276,6 +323,7 @@
 
 # Each brings a watch into a state as its change comes and returns the pause that it is in.
 
+
 async def silent_watch(w: Watched) -> float:
     await w.established()
     w.loop.now += WAIT / 1000 + w.due
@@ -374,16 +422,24 @@
 
 
 STATES: list[tuple[str, Callable[[Watched], Awaitable[float]]]] = [
-    ("silent watch", silent_watch), ("watch answered in part", watch_answered_in_part),
-    ("watch reset", watch_reset), ("refused", refused), ("never connected", never_connected),
-    ("slow answer", slow_answer), ("slow answer", slow_short_watch), ("unreadable list", unreadable_list),
-    ("own error", own_error), ("moved", moved)]
+    ("silent watch", silent_watch),
+    ("watch answered in part", watch_answered_in_part),
+    ("watch reset", watch_reset),
+    ("refused", refused),
+    ("never connected", never_connected),
+    ("slow answer", slow_answer),
+    ("slow answer", slow_short_watch),
+    ("unreadable list", unreadable_list),
+    ("own error", own_error),
+    ("moved", moved),
+]
 
 
 @pytest.mark.parametrize(("state", "bring"), STATES, ids=lambda of: getattr(of, "__name__", ""))
 @pytest.mark.parametrize("grace", [GRACES[0], GRACES[-1]])
 def test_a_change_is_heard_in_time_whichever_state_we_are_in(
-        state: str, bring: Callable[[Watched], Awaitable[float]], grace: int) -> None:
+    state: str, bring: Callable[[Watched], Awaitable[float]], grace: int
+) -> None:
     async def body(loop: StillClock) -> None:
         async with Peer() as agent:
             w = Watched(loop, agent, grace)
@@ -463,16 +519,36 @@
 
 
 ODD: list[dict[str, Any]] = [
-    {"size": float("nan")}, {"size": float("inf")}, {"size": 0}, {"size": -1}, {"size": "1"}, {"size": True},
-    {"up_since_ms": 1e400}, {"up_since_ms": "0"}, {"up_since_ms": 10 ** 4000}, {"cell": [1]}, {"cell": 1e300},
-    {"locality": [[]]}, {"flavor": {}}, {"phase": []}, {"phase": "Dancing"}, {"phase": None},
-    {"host_port": "x"}, {"host_port": None}, {"host_port": ["127.0.0.1:9"]}, {"host_port": "a..b:9"},
-    {"host_port": "\0:9"}, {"host_port": "127.0.0.1:" + "9" * 5000}, {"host_port": "\ud800:9"}]
+    {"size": float("nan")},
+    {"size": float("inf")},
+    {"size": 0},
+    {"size": -1},
+    {"size": "1"},
+    {"size": True},
+    {"up_since_ms": 1e400},
+    {"up_since_ms": "0"},
+    {"up_since_ms": 10**4000},
+    {"cell": [1]},
+    {"cell": 1e300},
+    {"locality": [[]]},
+    {"flavor": {}},
+    {"phase": []},
+    {"phase": "Dancing"},
+    {"phase": None},
+    {"host_port": "x"},
+    {"host_port": None},
+    {"host_port": ["127.0.0.1:9"]},
+    {"host_port": "a..b:9"},
+    {"host_port": "\0:9"},
+    {"host_port": "127.0.0.1:" + "9" * 5000},
+    {"host_port": "\ud800:9"},
+]
 
 
 @pytest.mark.parametrize("odd", ODD, ids=lambda odd: str(odd)[:30])
 def test_a_server_of_which_something_cannot_be_read_drains(
-        odd: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
+    odd: dict[str, Any], caplog: pytest.LogCaptureFixture
+) -> None:
     reader = Reader(config())
     members = [member("s-1", 9), *(member(f"s-{n}", 9, **odd) for n in range(2, 50))]
     told, places = reader.read(json.loads(json.dumps(whole_list(*members))))
@@ -485,8 +561,10 @@
     assert [e.state for e in gone.entries] == [ServerState.GONE]
 
 
-@pytest.mark.parametrize("text", [
-    b"[" * 100_000, b'{"revision": "\xff"}', b'{"revision": ' + b"9" * 5000 + b"}", b'{"revision": 1e400}'])
+@pytest.mark.parametrize(
+    "text",
+    [b"[" * 100_000, b'{"revision": "\xff"}', b'{"revision": ' + b"9" * 5000 + b"}", b'{"revision": 1e400}'],
+)
 def test_an_unreadable_list_gets_a_plain_line(text: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def body(loop: StillClock) -> None:
         async with Peer() as agent:
@@ -501,11 +579,18 @@
     assert line.exc_info is None and "\n" not in line.getMessage() and len(line.getMessage()) < 300
 
 
-@pytest.mark.parametrize(("phases", "state"), [
-    (("Ready", "Terminating"), ServerState.DRAINING), (("Terminating", "Ready"), ServerState.DRAINING),
-    (("Gone", "Ready"), ServerState.GONE), (("Ready", "Gone"), ServerState.GONE)])
+@pytest.mark.parametrize(
+    ("phases", "state"),
+    [
+        (("Ready", "Terminating"), ServerState.DRAINING),
+        (("Terminating", "Ready"), ServerState.DRAINING),
+        (("Gone", "Ready"), ServerState.GONE),
+        (("Ready", "Gone"), ServerState.GONE),
+    ],
+)
 def test_of_two_entries_for_one_server_the_less_ready_counts(
-        phases: tuple[str, str], state: ServerState) -> None:
+    phases: tuple[str, str], state: ServerState
+) -> None:
     reader = Reader(config())
     told, places = reader.read({"revision": 2, "members": [member("s-1", 9, phase=p) for p in phases]})
     assert [e.state for e in told.entries] == [state]
@@ -533,8 +618,11 @@
 @socket_test
 async def test_what_is_open_goes_on_at_a_server_whose_address_cannot_be_read() -> None:
     for news in (full, changes):
-        async with Peer() as discovery, Peer() as backend, running(
-                Script(send_all), discovery=f"127.0.0.1:{discovery.port}") as door:
+        async with (
+            Peer() as discovery,
+            Peer() as backend,
+            running(Script(send_all), discovery=f"127.0.0.1:{discovery.port}") as door,
+        ):
             to_agent, agent = await discovery.connection()
             await read_message(to_agent)
             agent.write(full(5, member("s-1", backend.port)))
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -7,8 +7,20 @@
 from yardlane.__main__ import time_to_answer
 from yardlane.proxy.client_connection import State
 from tests.loopback import (
-    Peer, Running, Script, answer, ask, config, member, read_message, running, send_all, settings,
-    socket_test, whole_list)
+    Peer,
+    Running,
+    Script,
+    answer,
+    ask,
+    config,
+    member,
+    read_message,
+    running,
+    send_all,
+    settings,
+    socket_test,
+    whole_list,
+)
 
 
 async def closed_to_new(door: Running) -> None:
@@ -20,7 +32,8 @@
     def all_answered(*deadlines: int) -> int:
         [look, file] = settings()["profiles"]
         classes = [{**look, "name": f"c{n}", "deadline_us": d} for n, d in enumerate(deadlines)] + [
-            {**file, "deadline_us": 100_000}]
+            {**file, "deadline_us": 100_000}
+        ]
         return time_to_answer(config(settings=settings(profiles=classes)).settings)
 
     # SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most; 0.3 s are left to write.
@@ -33,8 +46,12 @@
 async def test_what_a_hung_backend_leaves_open_is_answered_by_then() -> None:
     brief = [{**c, "deadline_us": 200_000} for c in settings()["profiles"]]
     script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
-    async with Peer() as backend, running(
-            script, settings=settings(profiles=brief), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(
+            script, settings=settings(profiles=brief), known=whole_list(member("s-1", backend.port))
+        ) as door,
+    ):
         client, to_door = await door.client()
         to_door.write(ask()[:40])
         while not door.program.clients.owes():
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -16,7 +16,18 @@
 from yardlane.decisions.interface import Action, Arrival, Event, Refuse, Send, ServerList, Wake, Woken
 from yardlane.config import ConfigError, load
 from tests.loopback import (
-    Peer, Script, answer, ask, member, read_message, running, send_all, settings, socket_test, whole_list)
+    Peer,
+    Script,
+    answer,
+    ask,
+    member,
+    read_message,
+    running,
+    send_all,
+    settings,
+    socket_test,
+    whole_list,
+)
 
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 
@@ -54,8 +65,10 @@
     # Its own timer and the door's guard are due at once then; a held request is refused, which promises more
     # than a failure does.
     capped = [{**settings()["packages"][0], "concurrency": 1}]
-    async with Peer() as backend, running(
-            settings=settings(packages=capped), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(settings=settings(packages=capped), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         _, to_first = await door.client()
         to_first.write(ask(trace="first"))
         await backend.connection()
@@ -118,16 +131,28 @@
     path.write_text(json.dumps(told))
     limit = f"ulimit -n {descriptors} && " if descriptors else ""
     return await asyncio.create_subprocess_exec(
-        "sh", "-c", f'{limit}exec "$0" -m yardlane', sys.executable, stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "EDGE_CONFIG": str(path)})
+        "sh",
+        "-c",
+        f'{limit}exec "$0" -m yardlane',
+        sys.executable,
+        stderr=asyncio.subprocess.PIPE,
+        env={**os.environ, "EDGE_CONFIG": str(path)},
+    )
 
 
 def test_sigterm_ends_the_process_with_0(tmp_path: Path) -> None:
     async def run() -> None:
         async with Peer() as discovery:
-            door = await start(tmp_path / "config.json", {
-                "listen": f"127.0.0.1:{await free_port()}", "discovery": f"127.0.0.1:{discovery.port}",
-                "seed": "1f", "settings": settings(), "known": whole_list(member("s-1", 9))})
+            door = await start(
+                tmp_path / "config.json",
+                {
+                    "listen": f"127.0.0.1:{await free_port()}",
+                    "discovery": f"127.0.0.1:{discovery.port}",
+                    "seed": "1f",
+                    "settings": settings(),
+                    "known": whole_list(member("s-1", 9)),
+                },
+            )
             await discovery.connection()  # it has started, and listens
             door.send_signal(signal.SIGTERM)
             _, errors = await door.communicate()
@@ -141,20 +166,32 @@
         return peer.port
 
 
-@pytest.mark.parametrize(("told", "says"), [
-    ({}, "settings are missing"),
-    ({"settings": {"rank": 0}}, "discovery is missing"),
-    ({"settings": settings(rank=7)}, "rank is 7"),
-    ({"settings": settings(), "listen": "nowhere"}, "listen is 'nowhere'"),
-    ({"settings": settings(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"}, "seed is"),
-    ([], "wanted an object"),
-    ({"settings": settings(), "limits": [256]}, "limits are [256]"),
-    ({"settings": settings(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
-    ({"settings": settings(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
-    ({"settings": settings(permissions={"max_attempts": 0})}, "permissions.max_attempts is 0"),
-    ({"listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "settings": settings(
-        permissions={**settings()["permissions"], "connect_timeout_us": 0})}, "connect_timeout_us is 0"),
-])
+@pytest.mark.parametrize(
+    ("told", "says"),
+    [
+        ({}, "settings are missing"),
+        ({"settings": {"rank": 0}}, "discovery is missing"),
+        ({"settings": settings(rank=7)}, "rank is 7"),
+        ({"settings": settings(), "listen": "nowhere"}, "listen is 'nowhere'"),
+        (
+            {"settings": settings(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"},
+            "seed is",
+        ),
+        ([], "wanted an object"),
+        ({"settings": settings(), "limits": [256]}, "limits are [256]"),
+        ({"settings": settings(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
+        ({"settings": settings(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
+        ({"settings": settings(permissions={"max_attempts": 0})}, "permissions.max_attempts is 0"),
+        (
+            {
+                "listen": "127.0.0.1:9",
+                "discovery": "127.0.0.1:9",
+                "settings": settings(permissions={**settings()["permissions"], "connect_timeout_us": 0}),
+            },
+            "connect_timeout_us is 0",
+        ),
+    ],
+)
 def test_a_bad_configuration_is_one_plain_line_and_exit_2(told: object, says: str, tmp_path: Path) -> None:
     async def run() -> tuple[int | None, str]:
         door = await start(tmp_path / "config.json", told)
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -11,15 +11,31 @@
 
 from yardlane.decisions.interface import Count, CountAnswer, Result, ServerList
 from tests.loopback import (
-    Peer, Script, answer, as_json, member, read_message, running, settings, socket_test, whole_list)
+    Peer,
+    Script,
+    answer,
+    as_json,
+    member,
+    read_message,
+    running,
+    settings,
+    socket_test,
+    whole_list,
+)
 from tests.proxy.test_proxy import free_port, start
 
 COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
 
 def told(discovery: Peer, counter: Peer, **changes: Any) -> dict[str, Any]:
-    return {"listen": "127.0.0.1:9", "discovery": f"127.0.0.1:{discovery.port}",
-            "counter": f"127.0.0.1:{counter.port}", "seed": "1f", "settings": COUNTED, **changes}
+    return {
+        "listen": "127.0.0.1:9",
+        "discovery": f"127.0.0.1:{discovery.port}",
+        "counter": f"127.0.0.1:{counter.port}",
+        "seed": "1f",
+        "settings": COUNTED,
+        **changes,
+    }
 
 
 @socket_test
@@ -48,8 +64,11 @@
 @socket_test
 async def test_each_call_ends_once_where_it_was_written() -> None:
     script = Script(lambda event: [])
-    async with Peer() as old, Peer() as new, running(
-            script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door:
+    async with (
+        Peer() as old,
+        Peer() as new,
+        running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
+    ):
         count = door.program.door._apply
         count(Count(1, 1.0, 1000))
         reader, writer = await old.connection()
@@ -68,8 +87,11 @@
 @socket_test
 async def test_a_call_not_yet_written_is_written_to_the_new_counter() -> None:
     script = Script(lambda event: [])
-    async with Peer() as old, Peer() as new, running(
-            script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door:
+    async with (
+        Peer() as old,
+        Peer() as new,
+        running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
+    ):
         door.program.door._apply(Count(1, 1.0, 1000))
         door.program.door.recount(("127.0.0.1", new.port))
         reader, writer = await new.connection()
@@ -81,8 +103,11 @@
 @socket_test
 async def test_a_silent_old_counter_does_not_keep_its_connection() -> None:
     script = Script(lambda event: [])
-    async with Peer() as old, Peer() as new, running(
-            script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door:
+    async with (
+        Peer() as old,
+        Peer() as new,
+        running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
+    ):
         door.program.door._apply(Count(1, 1.0, 1000))
         reader, _ = await old.connection()
         await reader.readuntil(b"\r\n")
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -13,38 +13,66 @@
 import uvloop
 
 from yardlane.decisions.interface import (
-    Action, Arrival, AttemptEnded, Cancel, Event, LoadReport, RequestEnded, Result, Send)
+    Action,
+    Arrival,
+    AttemptEnded,
+    Cancel,
+    Event,
+    LoadReport,
+    RequestEnded,
+    Result,
+    Send,
+)
 from yardlane.proxy.upstream_connection import REST, STALLED, Attempt, Backend, Pool
 from yardlane.proxy.proxy import Door
 from tests.loopback import (
-    Peer, Running, Script, answer, ask, config, member, read_message, running, send_all, settings,
-    socket_test, whole_list)
+    Peer,
+    Running,
+    Script,
+    answer,
+    ask,
+    config,
+    member,
+    read_message,
+    running,
+    send_all,
+    settings,
+    socket_test,
+    whole_list,
+)
 
 CLOSE = b""  # the connection ends
 
 
-@pytest.mark.parametrize(("written", "result", "status"), [
-    (answer(200, b"yes"), Result.OK, "200"),
-    (answer(500), Result.ERROR, "502"),
-    (answer(404), Result.ERROR, "502"),
-    (answer(503, extra="X-Never-Ran: 1\r\n"), Result.TURNED_AWAY, "502"),
-    (answer(504, extra="X-Never-Ran: 1\r\n"), Result.TURNED_AWAY, "502"),
-    (answer(503), Result.ERROR, "502"),
-    (answer(503, extra="X-Never-Ran: 0\r\n"), Result.ERROR, "502"),
-    (answer(500, extra="X-Never-Ran: 1\r\n"), Result.ERROR, "502"),
-    (CLOSE, Result.CONNECTION_LOST, "502"),
-    (answer(200, b"yes")[:-1] + CLOSE, Result.CONNECTION_LOST, "502"),
-    (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Result.CONNECTION_LOST, "502"),
-    (b"nonsense\r\n\r\n", Result.CONNECTION_LOST, "502"),
-    (b"HTTP/1.1 200 X\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", Result.CONNECTION_LOST, "502"),
-    (b"HTTP/1.1 102 X\r\n\r\n" + answer(200, b"yes"), Result.OK, "200"),
-    (b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc", Result.CONNECTION_LOST, "502"),
-    (b"HTTP/1.1 102 X\r\n\r\n" * 100, Result.CONNECTION_LOST, "502"),
-    (answer(200, b"yes") + answer(200, b"yes"), Result.OK, "200"),
-    (answer(200, b"yes") + b"\x00\xffnoise", Result.OK, "200"),
-    (answer(200, b"yes", "Connection: close\r\n") + b"noise", Result.OK, "200"),
-    (answer(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"), Result.OK, "200"),
-])
+@pytest.mark.parametrize(
+    ("written", "result", "status"),
+    [
+        (answer(200, b"yes"), Result.OK, "200"),
+        (answer(500), Result.ERROR, "502"),
+        (answer(404), Result.ERROR, "502"),
+        (answer(503, extra="X-Never-Ran: 1\r\n"), Result.TURNED_AWAY, "502"),
+        (answer(504, extra="X-Never-Ran: 1\r\n"), Result.TURNED_AWAY, "502"),
+        (answer(503), Result.ERROR, "502"),
+        (answer(503, extra="X-Never-Ran: 0\r\n"), Result.ERROR, "502"),
+        (answer(500, extra="X-Never-Ran: 1\r\n"), Result.ERROR, "502"),
+        (CLOSE, Result.CONNECTION_LOST, "502"),
+        (answer(200, b"yes")[:-1] + CLOSE, Result.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Result.CONNECTION_LOST, "502"),
+        (b"nonsense\r\n\r\n", Result.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 200 X\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", Result.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 102 X\r\n\r\n" + answer(200, b"yes"), Result.OK, "200"),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc", Result.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 102 X\r\n\r\n" * 100, Result.CONNECTION_LOST, "502"),
+        (answer(200, b"yes") + answer(200, b"yes"), Result.OK, "200"),
+        (answer(200, b"yes") + b"\x00\xffnoise", Result.OK, "200"),
+        (answer(200, b"yes", "Connection: close\r\n") + b"noise", Result.OK, "200"),
+        (
+            answer(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"),
+            Result.OK,
+            "200",
+        ),
+    ],
+)
 def test_outcomes(written: bytes, result: Result, status: str) -> None:
     async def run() -> None:
         script = Script(send_all)
@@ -112,8 +140,12 @@
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        writer.write(answer(extra="Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
-                                  "Usage-Percent: 140\r\n"))
+        writer.write(
+            answer(
+                extra="Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
+                "Usage-Percent: 140\r\n"
+            )
+        )
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.usage, ended.load) == (140, LoadReport(waiting=3.0, busy=0.25, service_ms=8.5))
 
@@ -157,8 +189,11 @@
         return [Send(event.request, b) for b in (b"s-1", b"s-2")] if isinstance(event, Arrival) else []
 
     script = Script(twice)
-    async with Peer() as one, Peer() as two, running(
-            script, known=whole_list(member("s-1", one.port), member("s-2", two.port))) as door:
+    async with (
+        Peer() as one,
+        Peer() as two,
+        running(script, known=whole_list(member("s-1", one.port), member("s-2", two.port))) as door,
+    ):
         client, to_door = await door.client()
         to_door.write(ask())
         (first, to_first), (second, to_second) = await one.connection(), await two.connection()
@@ -282,8 +317,10 @@
 
 @socket_test
 async def test_a_connection_rests_before_it_is_used_again() -> None:
-    async with Peer() as backend, running(
-            Script(send_all), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         door.program.pool.rest_time = 1e6
         client, to_door = await door.client()
         for trace in ("a1", "a2"):
@@ -310,8 +347,10 @@
 
 @socket_test
 async def test_an_interim_answer_is_no_answer_that_stopped() -> None:
-    async with Peer() as backend, running(
-            Script(send_all), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         door.program.pool.stall_time = 0.0
         client, to_door = await door.client()
         to_door.write(ask())
@@ -328,9 +367,13 @@
 
 @socket_test
 async def test_a_new_backend_at_an_old_address_gets_no_connection_of_the_old_one() -> None:
-    async with Peer() as backend, running(
+    async with (
+        Peer() as backend,
+        running(
             Script(lambda event: send_all(event, b"s-2" if getattr(event, "request", 0) > 1 else b"s-1")),
-            known=whole_list(member("s-1", backend.port))) as door:
+            known=whole_list(member("s-1", backend.port)),
+        ) as door,
+    ):
         door.program.pool.rest_time = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
@@ -354,16 +397,21 @@
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        writer.write(answer(
-            extra="Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"))
+        writer.write(
+            answer(
+                extra="Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"
+            )
+        )
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.result, ended.load) == (Result.OK, None)
 
 
 @socket_test
 async def test_a_closed_connection_leaves_nothing_for_the_collector() -> None:
-    async with Peer() as backend, running(
-            Script(send_all), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         gc.disable()
         try:
             client, to_door = await door.client()
@@ -382,8 +430,10 @@
 
 @socket_test
 async def test_a_connection_found_dead_shortens_the_rest_of_the_others() -> None:
-    async with Peer() as backend, running(
-            Script(send_all), known=whole_list(member("s-1", backend.port))) as door:
+    async with (
+        Peer() as backend,
+        running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+    ):
         pool = door.program.pool
         pool.rest_time = 0.0
         client, to_door = await door.client()
@@ -427,8 +477,9 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen()
             listener.setblocking(False)
-        self.known = whole_list(*(
-            member(f"s-{n}", made.getsockname()[1]) for n, made in enumerate(self.listeners, 1)))
+        self.known = whole_list(
+            *(member(f"s-{n}", made.getsockname()[1]) for n, made in enumerate(self.listeners, 1))
+        )
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
@@ -441,7 +492,8 @@
         return await self.loop.create_connection(made, sock=up)
 
     async def half_written(
-            self, door: Running, peer: socket.socket | None = None) -> tuple[Backend, socket.socket]:
+        self, door: Running, peer: socket.socket | None = None
+    ) -> tuple[Backend, socket.socket]:
         """A client's request of 64 KiB: its connection to a backend, which stands, and the backend's end."""
         door.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
         self.client, self.to_door = await door.client()
@@ -513,16 +565,24 @@
 Ending = Callable[[Door, Backend, socket.socket, SmallBuffers], None]
 
 
-@pytest.mark.parametrize(("end", "half", "whole"), [
-    (by_reset, Result.NOT_CONNECTED, Result.CONNECTION_LOST),
-    (by_time, Result.NOT_CONNECTED, Result.TIMED_OUT),
-    (by_cancel, Result.NOT_SENT, Result.CANCELLED),
-    (by_client, Result.NOT_SENT, Result.OK),  # written whole, it goes on
-    (by_answer, Result.NOT_CONNECTED, Result.OK),  # on a new connection only this request can have caused it
-])
+@pytest.mark.parametrize(
+    ("end", "half", "whole"),
+    [
+        (by_reset, Result.NOT_CONNECTED, Result.CONNECTION_LOST),
+        (by_time, Result.NOT_CONNECTED, Result.TIMED_OUT),
+        (by_cancel, Result.NOT_SENT, Result.CANCELLED),
+        (by_client, Result.NOT_SENT, Result.OK),  # written whole, it goes on
+        (
+            by_answer,
+            Result.NOT_CONNECTED,
+            Result.OK,
+        ),  # on a new connection only this request can have caused it
+    ],
+)
 @pytest.mark.parametrize("is_half", [True, False])
 def test_a_request_whose_last_byte_never_left_never_ran(
-        end: Ending, half: Result, whole: Result, is_half: bool) -> None:
+    end: Ending, half: Result, whole: Result, is_half: bool
+) -> None:
     async def run() -> None:
         script, buffers = Script(send_all), SmallBuffers()
         async with running(script, known=buffers.known) as door:
@@ -601,8 +661,10 @@
 @pytest.mark.parametrize("is_read", [True, False])
 def test_connections_rest_longer_than_a_second_answer_was_late(is_read: bool) -> None:
     async def run() -> None:
-        async with Peer() as backend, running(
-                Script(send_all), known=whole_list(member("s-1", backend.port))) as door:
+        async with (
+            Peer() as backend,
+            running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
+        ):
             pool = door.program.pool
             client, to_door = await door.client()
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -107,23 +107,28 @@
 @given(strategies.integers(0, 2**52), strategies.integers(0, 2**32 - 1), strategies.integers(0, 120))
 def test_cut_off_frames_are_refused(request: int, left: int, cut: int) -> None:
     whole = frame(
-        init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0)))
+        init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0))
+    )
     [_, (_, event)] = list(wire.read_batch(whole, {})[1])
     assert (event.request, event.time_left) == (request, left)  # type: ignore[union-attr]
     with pytest.raises(WireError):
-        drill.serve(io.BytesIO(whole[:len(whole) - 1 - cut]), io.BytesIO())
-
-
-@pytest.mark.parametrize(("broken", "says"), [
-    (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
-    (frame(init(text=b"rank=1")), "discovery is missing"),
-    (frame(init(text=SETTINGS.replace(b"rank=0", b"rank=x"))), "rank is no number"),
-    (frame(record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
-    (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
-])
+        drill.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
+
+
+@pytest.mark.parametrize(
+    ("broken", "says"),
+    [
+        (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
+        (frame(init(text=b"rank=1")), "discovery is missing"),
+        (frame(init(text=SETTINGS.replace(b"rank=0", b"rank=x"))), "rank is no number"),
+        (frame(record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
+        (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
+    ],
+)
 def test_malformed_input_is_named_in_one_line(broken: bytes, says: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "yardlane.simulator.adapter"], input=broken, capture_output=True, check=False)
+        [sys.executable, "-m", "yardlane.simulator.adapter"], input=broken, capture_output=True, check=False
+    )
     assert done.returncode != 0 and done.stdout == b""
     assert says in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -11,16 +11,19 @@
 from tests.gateway_driver import CLASSES, PLANS, Desk, name, settings
 
 
-@pytest.mark.parametrize(("field", "changes"), [
-    ("gateways", {"gateways": 0}),
-    ("rank", {"rank": 3}),
-    ("classes", {"classes": ()}),
-    ("warm_up", {"warm_up": -1}),
-    ("counter_timeout", {"counter_timeout": -5}),
-    ("start_capacity", {"start_capacity": 0.0}),
-    (r"classes\[0\].aim", {"classes": (replace(CLASSES[0], aim=0),)}),
-    (r"plans\[1\].rate", {"plans": (PLANS[0], replace(PLANS[1], rate=-2.0))}),
-])
+@pytest.mark.parametrize(
+    ("field", "changes"),
+    [
+        ("gateways", {"gateways": 0}),
+        ("rank", {"rank": 3}),
+        ("classes", {"classes": ()}),
+        ("warm_up", {"warm_up": -1}),
+        ("counter_timeout", {"counter_timeout": -5}),
+        ("start_capacity", {"start_capacity": 0.0}),
+        (r"classes\[0\].aim", {"classes": (replace(CLASSES[0], aim=0),)}),
+        (r"plans\[1\].rate", {"plans": (PLANS[0], replace(PLANS[1], rate=-2.0))}),
+    ],
+)
 def test_wrong_settings_name_their_field(field: str, changes: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**changes)
@@ -40,7 +43,8 @@
 
 
 def test_settings_that_cannot_be_end_the_adapter_with_one_line(
-    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch,
+    capsys: pytest.CaptureFixture[str],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def serve(*_: object) -> None:
         settings(rank=8)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -47,8 +47,13 @@
         (commands / name).write_text(f'#!/bin/sh\n{does} "$@"\n')
         (commands / name).chmod(0o755)
     made = subprocess.run(
-        ["bash", ".ci/run"], cwd=path, capture_output=True, text=True, check=False,
-        env={**os.environ, "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1", "PYTEST_ADDOPTS": f"-k '{only}'"})
+        ["bash", ".ci/run"],
+        cwd=path,
+        capture_output=True,
+        text=True,
+        check=False,
+        env={**os.environ, "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1", "PYTEST_ADDOPTS": f"-k '{only}'"},
+    )
     return made.returncode, made.stdout + made.stderr
 
 
@@ -82,22 +87,29 @@
     assert code == 1 and f"ERROR {name}" in output, output
 
 
-@pytest.mark.parametrize("listed, tests, ends", [
-    (None, "", 5), (f"{ODD} | cause | #1", "import nothing_of_the_kind\n", 2)])
+@pytest.mark.parametrize(
+    "listed, tests, ends", [(None, "", 5), (f"{ODD} | cause | #1", "import nothing_of_the_kind\n", 2)]
+)
 def test_a_run_without_the_tests_fails(tmp_path: Path, listed: str | None, tests: str, ends: int) -> None:
     code, output = run_ci(tmp_path, listed, tests=tests)
     assert code == ends, output
 
 
-@pytest.mark.parametrize("listed, told", [
-    ("tests/test_some.py::test_odd | a cause | #1", "no such test in this run: tests/test_some.py::test_odd"),
-    ("tests/test_some.py::test_unready | a cause | #1", "no such test in this run"),  # not selected
-    (f"{ODD} | a cause", "wanted TEST | CAUSE | ISSUE"),
-    (f"{ODD} | a cause | ", "wanted TEST | CAUSE | ISSUE"),
-    (f"{ODD} |  | #1", "wanted TEST | CAUSE | ISSUE"),
-    (f"{ODD} | a | #1\n{ODD} | b | #2", "listed twice"),
-    ("\n".join(f"a.py::test_{n} | a cause | #1" for n in range(4)), "4 tests, at most 3"),
-])
+@pytest.mark.parametrize(
+    "listed, told",
+    [
+        (
+            "tests/test_some.py::test_odd | a cause | #1",
+            "no such test in this run: tests/test_some.py::test_odd",
+        ),
+        ("tests/test_some.py::test_unready | a cause | #1", "no such test in this run"),  # not selected
+        (f"{ODD} | a cause", "wanted TEST | CAUSE | ISSUE"),
+        (f"{ODD} | a cause | ", "wanted TEST | CAUSE | ISSUE"),
+        (f"{ODD} |  | #1", "wanted TEST | CAUSE | ISSUE"),
+        (f"{ODD} | a | #1\n{ODD} | b | #2", "listed twice"),
+        ("\n".join(f"a.py::test_{n} | a cause | #1" for n in range(4)), "4 tests, at most 3"),
+    ],
+)
 def test_an_odd_list_is_told_in_one_line(tmp_path: Path, listed: str, told: str) -> None:
     code, output = run_ci(tmp_path, listed)
     assert code != 0 and "Traceback" not in output, output
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -16,8 +16,19 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 POLICY = [ROOT / path for path in DEPLOY["policy"]]
 DECISION_LIBRARIES = {
-    "__future__", "abc", "collections", "collections.abc", "dataclasses", "enum", "heapq", "math", "operator",
-    "random", "typing", "zlib"}
+    "__future__",
+    "abc",
+    "collections",
+    "collections.abc",
+    "dataclasses",
+    "enum",
+    "heapq",
+    "math",
+    "operator",
+    "random",
+    "typing",
+    "zlib",
+}
 # What each part of the package may import of the others: imports point down only.
 MAY_IMPORT = {
     "decisions": {"decisions", "errors"},
@@ -84,8 +95,7 @@
 def test_no_other_module_decides() -> None:
     """Only who assembles a program knows the gateway: the proxy and the codec know its interface alone."""
     knows = {path for path in MODULES if "yardlane.decisions.gateway" in imported(path)}
-    assert knows <= {
-        PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
+    assert knows <= {PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
     assert imported(PACKAGE / "decisions" / "interface.py") == {"__future__", "dataclasses", "enum", "typing"}
 
 
@@ -96,7 +106,12 @@
     for source in tmp_path.rglob("*.py"):
         os.utime(source, (1, 1))  # a copy of the root, or a fresh checkout
     told = subprocess.run(
-        [sys.executable, "-v", "-c", "import yardlane.__main__"], cwd=tmp_path, check=True,
-        capture_output=True, text=True, env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}).stderr
+        [sys.executable, "-v", "-c", "import yardlane.__main__"],
+        cwd=tmp_path,
+        check=True,
+        capture_output=True,
+        text=True,
+        env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
+    ).stderr
     assert "yardlane/__main__.py\n" in told
     assert "bytecode is stale for 'yardlane" not in told
--- a/yardlane/__main__.py
+++ b/yardlane/__main__.py
@@ -93,8 +93,11 @@
             config = load(os.environ, again=True)
         except ConfigError as error:
             return log.error("the old configuration goes on: %s", " ".join(str(error).split()))
-        log.info("configuration read again: discovery %s:%d, counter %s:%d",
-                 *config.discovery, *(config.counter or ("none", 0)))
+        log.info(
+            "configuration read again: discovery %s:%d, counter %s:%d",
+            *config.discovery,
+            *(config.counter or ("none", 0)),
+        )
         self.discovery.move(config.discovery)
         self.door.recount(config.counter)
 
@@ -136,8 +139,9 @@
 
 def main() -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # before there is a handler, it would end the process
-    logging.basicConfig(stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s",
-                        level=logging.INFO)
+    logging.basicConfig(
+        stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s", level=logging.INFO
+    )
     logging.getLogger().handlers[0].addFilter(Sparing())
     try:
         config = load(os.environ)
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -13,8 +13,28 @@
 from typing import Any
 
 from yardlane.decisions.interface import (
-    Action, Arrival, AttemptEnded, Cancel, Count, CountAnswer, Event, Fail, FollowList, Group, ListKind,
-    Plan, Refuse, Repeat, RequestEnded, Result, Send, ServerList, Settings, StreamStarted, Wake)
+    Action,
+    Arrival,
+    AttemptEnded,
+    Cancel,
+    Count,
+    CountAnswer,
+    Event,
+    Fail,
+    FollowList,
+    Group,
+    ListKind,
+    Plan,
+    Refuse,
+    Repeat,
+    RequestEnded,
+    Result,
+    Send,
+    ServerList,
+    Settings,
+    StreamStarted,
+    Wake,
+)
 from yardlane.decisions.endpoints import FIRST_WORK_SHARE, Fleet, Server, Try
 from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Customer, Request
 
@@ -60,8 +80,13 @@
         self.agenda: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ServerList: self._server_list, Arrival: self._arrival, AttemptEnded: self._attempt_ended,
-            StreamStarted: self._end, RequestEnded: self._end, CountAnswer: self._counted}
+            ServerList: self._server_list,
+            Arrival: self._arrival,
+            AttemptEnded: self._attempt_ended,
+            StreamStarted: self._end,
+            RequestEnded: self._end,
+            CountAnswer: self._counted,
+        }
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what happened by `now`; return what to do, in order."""
@@ -102,8 +127,11 @@
         ready, tied = self.fleet.near, next((t.server.entry for t in request.tries if t.may_have_run), None)
         if tied and rule.repeat is Repeat.KEYED and rule.group is not Group.ALL:  # rule 2
             zonal = rule.group is Group.ZONE
-            ready = [s for s in self.fleet.ready if (
-                s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)]
+            ready = [
+                s
+                for s in self.fleet.ready
+                if (s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)
+            ]
         tried, best, least = [t.server for t in request.tries], None, math.inf
         for server in (s for s in ready if s not in tried):
             warmth = self.fleet.warmth(server, self.now)
@@ -148,8 +176,12 @@
     def _forget(self) -> None:
         for _ in range(FORGOTTEN):
             oldest = self.customers[key := next(iter(self.customers))]
-            if (self.now - oldest.asked_at <= KNOWN_FOR or oldest.out or oldest.held
-                    or not oldest.is_full(self.now)):  # a ceiling is not given back early
+            if (
+                self.now - oldest.asked_at <= KNOWN_FOR
+                or oldest.out
+                or oldest.held
+                or not oldest.is_full(self.now)
+            ):  # a ceiling is not given back early
                 return
             del self.customers[key]
 
@@ -159,7 +191,8 @@
         interval = request.customer.fading / SECOND
         if plan.rate:  # a cap passes so much: Little's law
             return request.units, interval * min(
-                ROOM * plan.rate, plan.open_limit * request.units / took or math.inf)
+                ROOM * plan.rate, plan.open_limit * request.units / took or math.inf
+            )
         return took, (FILL if request.customer.small else 1.0) * plan.open_limit * interval
 
     def _admit(self, request: Request) -> None:  # the companion's chance, then the bound
@@ -225,8 +258,10 @@
         risky = [t for t in request.tries if t.may_have_run]
         if request.ended or late or len(request.tries) >= self.settings.max_attempts or self.again < 1.0:
             return None
-        if risky and (rule.repeat is Repeat.UNSAFE or (
-                rule.repeat is Repeat.KEYED and self.now - risky[0].at >= rule.window)):
+        if risky and (
+            rule.repeat is Repeat.UNSAFE
+            or (rule.repeat is Repeat.KEYED and self.now - risky[0].at >= rule.window)
+        ):
             return None
         return self._pick(request)
 
@@ -274,7 +309,8 @@
             self.work_weight = max(LEARN, self.work_weight / (1.0 + self.work_weight))  # the first tell most
             self.work += self.work_weight * (took - self.work)
         elif event.result not in (Result.CANCELLED, Result.NOT_SENT) and (
-                event.result is not Result.TIMED_OUT or event.took >= PATIENCE * usual):  # else little time
+            event.result is not Result.TIMED_OUT or event.took >= PATIENCE * usual
+        ):  # else little time
             self._judge(attempt, False, None, customer.plan if event.result is Result.TURNED_AWAY else None)
         if load := event.load:
             told = load.in_hand if load.in_hand is not None else (load.waiting or 0.0) + (load.busy or 0.0)
--- a/yardlane/decisions/interface.py
+++ b/yardlane/decisions/interface.py
@@ -252,8 +252,15 @@
 
 
 Event = (
-    ServerList | Arrival | AttemptEnded | StreamStarted | RequestEnded | CountAnswer | ProbeEnded
-    | PeerMessage | Woken
+    ServerList
+    | Arrival
+    | AttemptEnded
+    | StreamStarted
+    | RequestEnded
+    | CountAnswer
+    | ProbeEnded
+    | PeerMessage
+    | Woken
 )
 
 
@@ -344,8 +351,7 @@
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | Count | Wake | Probe | CloseIdle | FetchList | FollowList
-    | Tell | Note
+    Send | Cancel | Refuse | Fail | Count | Wake | Probe | CloseIdle | FetchList | FollowList | Tell | Note
 )
 
 
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -36,21 +36,51 @@
 LINGER = 1.0  # s that a client may take to read why its connection ends
 SWEEP = 0.2  # s between two looks at what takes too long, or has left while it is read no further
 # Headers that speak of one connection, or that are written anew.
-NOT_FORWARDED = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"content-length", b"expect", b"x-expires-in"))
-SINGLE = frozenset((
-    b"x-trace-id", b"x-qos", b"plan", b"account", b"x-expires-in", b"idempotency-key", b"quota-info",
-    b"x-second-try", b"host"))
+NOT_FORWARDED = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+        b"x-expires-in",
+    )
+)
+SINGLE = frozenset(
+    (
+        b"x-trace-id",
+        b"x-qos",
+        b"plan",
+        b"account",
+        b"x-expires-in",
+        b"idempotency-key",
+        b"quota-info",
+        b"x-second-try",
+        b"host",
+    )
+)
 ACCOUNT = re.compile(rb"[0-9a-fA-F]{16}")
 EXPIRES = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
 TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
 WHOLE = re.compile(rb"[0-9]{1,9}")
 NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 405: b"Method Not Allowed", 408: b"Request Timeout", 409: b"Conflict",
-    413: b"Content Too Large", 429: b"Too Many Requests", 431: b"Request Header Fields Too Large",
-    500: b"Internal Server Error", 502: b"Bad Gateway", 503: b"Service Unavailable"}
+    200: b"OK",
+    400: b"Bad Request",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
 
 
 class State(Enum):
@@ -80,21 +110,39 @@
 NEW, OPEN, LAST, BROKEN, ENDING, GONE = State  # a name of the module's is found sooner, at each request
 # Each change that a state may meet, and the state after it; any other is a fault of ours, and is logged.
 TABLE = {
-    NEW: {
-        Change.MADE: OPEN, Change.RETIRED: GONE, Change.CUT: GONE, Change.LOST: GONE},
+    NEW: {Change.MADE: OPEN, Change.RETIRED: GONE, Change.CUT: GONE, Change.LOST: GONE},
     OPEN: {
-        Change.LAST_TAKEN: LAST, Change.REJECTED: BROKEN, Change.RETIRED: ENDING,
-        Change.LEFT: ENDING, Change.CUT: GONE, Change.LOST: GONE},
+        Change.LAST_TAKEN: LAST,
+        Change.REJECTED: BROKEN,
+        Change.RETIRED: ENDING,
+        Change.LEFT: ENDING,
+        Change.CUT: GONE,
+        Change.LOST: GONE,
+    },
     LAST: {  # what comes behind the last request is not read, whatever it is
-        Change.LAST_TAKEN: LAST, Change.REJECTED: LAST, Change.ANSWERED: ENDING,
-        Change.LEFT: ENDING, Change.CUT: GONE, Change.LOST: GONE},
+        Change.LAST_TAKEN: LAST,
+        Change.REJECTED: LAST,
+        Change.ANSWERED: ENDING,
+        Change.LEFT: ENDING,
+        Change.CUT: GONE,
+        Change.LOST: GONE,
+    },
     BROKEN: {
-        Change.REJECTED: BROKEN, Change.ANSWERED: ENDING,
-        Change.LEFT: ENDING, Change.CUT: GONE, Change.LOST: GONE},
+        Change.REJECTED: BROKEN,
+        Change.ANSWERED: ENDING,
+        Change.LEFT: ENDING,
+        Change.CUT: GONE,
+        Change.LOST: GONE,
+    },
     ENDING: {  # closed once more with bytes unread, it would be reset, and the answer lost
-        Change.REJECTED: ENDING, Change.RETIRED: ENDING,
-        Change.LEFT: ENDING, Change.CUT: GONE, Change.LOST: GONE},
-    GONE: {Change.MADE: GONE, Change.LOST: GONE}}
+        Change.REJECTED: ENDING,
+        Change.RETIRED: ENDING,
+        Change.LEFT: ENDING,
+        Change.CUT: GONE,
+        Change.LOST: GONE,
+    },
+    GONE: {Change.MADE: GONE, Change.LOST: GONE},
+}
 
 
 class Malformed(Exception):
@@ -122,8 +170,23 @@
     """A well-formed request and the place of its answer."""
 
     __slots__ = (
-        "answer", "body", "customer", "first", "gateways", "head", "is_retry", "is_write", "kind", "number",
-        "plan", "then_close", "time_left", "trace", "units", "where")
+        "answer",
+        "body",
+        "customer",
+        "first",
+        "gateways",
+        "head",
+        "is_retry",
+        "is_write",
+        "kind",
+        "number",
+        "plan",
+        "then_close",
+        "time_left",
+        "trace",
+        "units",
+        "where",
+    )
 
     def __init__(self, where: Client) -> None:
         self.where, self.answer = where, b""
@@ -396,9 +459,15 @@
         if (self.side.draining or self.side.crowded()) and request is self.waiting[-1]:
             self._take_as_last(request)  # behind others it would take their answers along
         self.side.open_traces.discard(request.trace)
-        request.answer = b"".join((
-            b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, REASONS.get(status, b"Other"), len(body)),
-            extra, b"Connection: close\r\n\r\n" if request.then_close else b"\r\n", body))
+        request.answer = b"".join(
+            (
+                b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n"
+                % (status, REASONS.get(status, b"Other"), len(body)),
+                extra,
+                b"Connection: close\r\n\r\n" if request.then_close else b"\r\n",
+                body,
+            )
+        )
         while self.waiting and self.waiting[0].answer:  # a connection's answers go in order
             done = self.waiting.popleft()
             self.transport.write(done.answer)
@@ -497,7 +566,11 @@
     """All client connections of this front door."""
 
     def __init__(
-        self, config: Config, door: Taker, most: int, loop: asyncio.AbstractEventLoop,
+        self,
+        config: Config,
+        door: Taker,
+        most: int,
+        loop: asyncio.AbstractEventLoop,
         now: Callable[[], float] | None = None,
     ) -> None:
         self.config, self.door, self.most, self.loop = config, door, most, loop
@@ -530,8 +603,7 @@
     def _make_room(self) -> bool:
         """One that is silent or ends makes room, else the longest idle; the busy and the fresh stay."""
         before = self.now() - IDLE_IN_CROWD
-        useless = (c for c in self.connections
-                   if c.state is ENDING or (c.is_idle() and not c.spoke))
+        useless = (c for c in self.connections if c.state is ENDING or (c.is_idle() and not c.spoke))
         idle = [c for c in self.connections if c.is_idle() and c.since < before]
         client = next(useless, None) or min(idle, key=lambda c: c.since, default=None)
         if client is None:
@@ -575,8 +647,14 @@
 
 def most_units(plan: Plan) -> float:
     """More than this a plan never passes at once: its stores do not hold it."""
-    return min([store for rate, store in (
-        (plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_depth)) if rate > 0] or [MOST_UNITS])
+    return min(
+        [
+            store
+            for rate, store in ((plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_depth))
+            if rate > 0
+        ]
+        or [MOST_UNITS]
+    )
 
 
 def retry_after(delay: int) -> bytes:
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -72,7 +72,8 @@
             self.connecting = self.loop.create_task(self._connect())
         if self.timer is None:
             self.timer = self.loop.call_later(
-                max(0.0, call.at + self.counter.timeout - self.loop.time()), self._time_out)
+                max(0.0, call.at + self.counter.timeout - self.loop.time()), self._time_out
+            )
 
     def _write(self, call: Call) -> None:
         assert self.transport is not None
@@ -207,7 +208,10 @@
     """Deals calls out to a few lines, by name."""
 
     def __init__(
-        self, address: Address, timeout: int, on_answer: Callable[[CountAnswer], None],
+        self,
+        address: Address,
+        timeout: int,
+        on_answer: Callable[[CountAnswer], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.address, self.timeout, self.on_answer, self.loop = address, timeout / 1e6, on_answer, loop
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -10,8 +10,29 @@
 from typing import Any
 
 from yardlane.decisions.interface import (
-    Action, Arrival, AttemptEnded, Cancel, CloseIdle, Count, CountAnswer, Decider, Event, Fail, FetchList,
-    FollowList, ListKind, Note, Refuse, RequestEnded, Result, Send, ServerList, ServerState, Wake, Woken)
+    Action,
+    Arrival,
+    AttemptEnded,
+    Cancel,
+    CloseIdle,
+    Count,
+    CountAnswer,
+    Decider,
+    Event,
+    Fail,
+    FetchList,
+    FollowList,
+    ListKind,
+    Note,
+    Refuse,
+    RequestEnded,
+    Result,
+    Send,
+    ServerList,
+    ServerState,
+    Wake,
+    Woken,
+)
 from yardlane.proxy.upstream_connection import Answer, Attempt, Pool
 from yardlane.proxy.client_connection import ClientRequest, retry_after
 from yardlane.config import Address, Config
@@ -76,10 +97,17 @@
         self.drain_by = 0  # when all must be answered; 0 while in service
         self.on_refetch: Callable[[], None] = lambda: None
         self.actions: dict[type, Callable[[Any], None]] = {
-            Send: self._send, Cancel: self._cancel, Refuse: self._refuse, Fail: self._fail,
-            Count: self._count, Wake: self._wake, CloseIdle: self._close_idle,
-            FetchList: lambda _: self.on_refetch(), FollowList: lambda _: None,  # the watch always runs
-            Note: lambda note: log.info("%s", note.text)}
+            Send: self._send,
+            Cancel: self._cancel,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Count: self._count,
+            Wake: self._wake,
+            CloseIdle: self._close_idle,
+            FetchList: lambda _: self.on_refetch(),
+            FollowList: lambda _: None,  # the watch always runs
+            Note: lambda note: log.info("%s", note.text),
+        }
 
     # Events in
 
@@ -112,7 +140,7 @@
         """One event failed: its request fails, what was decided before it stands, the rest goes on."""
         if events.read and (number := getattr(events[events.read - 1], "request", None)) is not None:
             self._leave(number, lambda client: client.reply(500, b"failed\n"))
-        for event in events[events.read:]:
+        for event in events[events.read :]:
             self.post(event)
         self._after(RESCUE_PAUSE, self.post, Woken(0))  # what was due may have been left undone
         return list(self.decider.actions)
@@ -128,9 +156,20 @@
         request = self.requests[number] = Open(client, now + left)
         self.unanswered += 1
         request.guard = self._after(left + self.settings.answer_grace, self._overdue, number)
-        self.post(Arrival(
-            number, client.customer, client.plan, client.kind, left, client.units, client.first,
-            client.gateways, client.is_retry, client.is_write))
+        self.post(
+            Arrival(
+                number,
+                client.customer,
+                client.plan,
+                client.kind,
+                left,
+                client.units,
+                client.first,
+                client.gateways,
+                client.is_retry,
+                client.is_write,
+            )
+        )
 
     def gone(self, client: ClientRequest) -> None:
         """The client left; attempts that are written go on and still count as out."""
@@ -245,8 +284,9 @@
         client = request.client
         attempt.address, attempt.on_begin = place, client.where.look
         length = b"Content-Length: %d\r\n" % len(client.body) if client.is_write else b""
-        attempt.payload = b"".join((
-            client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body))
+        attempt.payload = b"".join(
+            (client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body)
+        )
         attempt.timer = self._after(left, attempt.time_out)
         if action.begin_within:
             attempt.on_begin = partial(self._begin, attempt, client, now + action.begin_within)
@@ -271,9 +311,19 @@
             self._final(request)
         if request.final and not request.out:
             self.closed.append(number)
-        self.post(AttemptEnded(
-            number, attempt.number, attempt.server, result, self.clock.now() - attempt.sent, request.final,
-            answer.usage if answer else None, None, answer.load if answer else None))
+        self.post(
+            AttemptEnded(
+                number,
+                attempt.number,
+                attempt.server,
+                result,
+                self.clock.now() - attempt.sent,
+                request.final,
+                answer.usage if answer else None,
+                None,
+                answer.load if answer else None,
+            )
+        )
 
     def _cancel(self, action: Cancel) -> None:
         request = self.requests.get(action.request)
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -37,8 +37,14 @@
 # The most of each figure that a backend can mean; beyond it is noise.
 MOST_LOAD = {"in_hand": 10_000.0, "waiting": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
 TOLD_LOAD = {  # the names of load figures, as in the settings and as plain words
-    **COLUMNS, "inflight": "in_hand", "queue": "waiting", "util": "busy", "latency_ms": "service_ms",
-    "qps": "served_per_s", "eps": "errors_per_s"}
+    **COLUMNS,
+    "inflight": "in_hand",
+    "queue": "waiting",
+    "util": "busy",
+    "latency_ms": "service_ms",
+    "qps": "served_per_s",
+    "eps": "errors_per_s",
+}
 
 
 class Wire(Enum):
@@ -92,11 +98,27 @@
 class Attempt:
     """One attempt of a request, out until `finish`."""
 
-    __slots__ = ("address", "connection", "done", "latest", "number", "on_begin", "on_end", "payload",
-                 "request", "sent", "server", "timer")
+    __slots__ = (
+        "address",
+        "connection",
+        "done",
+        "latest",
+        "number",
+        "on_begin",
+        "on_end",
+        "payload",
+        "request",
+        "sent",
+        "server",
+        "timer",
+    )
 
     def __init__(
-        self, request: Any, number: int, server: bytes, sent: int,
+        self,
+        request: Any,
+        number: int,
+        server: bytes,
+        sent: int,
         on_end: Callable[[Attempt, Result, Answer | None], None],
     ) -> None:
         self.request, self.number, self.server, self.sent, self.on_end = request, number, server, sent, on_end
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -11,7 +11,6 @@
 from yardlane.errors import WireError
 
 
-
 class Host:
     """The instances that one process holds. They share nothing."""
 
--- a/yardlane/simulator/codec.py
+++ b/yardlane/simulator/codec.py
@@ -118,7 +118,7 @@
 def _tail(frame: memoryview, at: int, end: int, size: int, what: str) -> memoryview:
     if at + size > end:
         raise WireError(f"{what} of {size} bytes passes the end of its record at byte {end}")
-    return frame[at:at + size]
+    return frame[at : at + size]
 
 
 def _load(frame: memoryview, at: int, end: int, n: int, columns: Columns) -> LoadReport | None:
@@ -148,8 +148,14 @@
 def _completed(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, request, took, leg, state, ended, server, usage, settled, n = COMPLETED.read(frame, at, end)
     return AttemptEnded(
-        request, leg, server, _known(RESULTS, state, "outcome", at), took, bool(ended),
-        usage - 1 if usage else None, settled or None,
+        request,
+        leg,
+        server,
+        _known(RESULTS, state, "outcome", at),
+        took,
+        bool(ended),
+        usage - 1 if usage else None,
+        settled or None,
         _load(frame, at + COMPLETED.size, end, n, columns) if n else None,
     )
 
@@ -195,8 +201,17 @@
 
 
 READERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
-    1000: _completed, 1010: _ring, 1020: _halt, 1030: _health, 1040: _count_result, 1050: _init,
-    1060: _request, 1070: _ack_first, 1080: _dropped, 1090: _neighbour, 1100: _members,
+    1000: _completed,
+    1010: _ring,
+    1020: _halt,
+    1030: _health,
+    1040: _count_result,
+    1050: _init,
+    1060: _request,
+    1070: _ack_first,
+    1080: _dropped,
+    1090: _neighbour,
+    1100: _members,
 }
 
 
@@ -208,9 +223,7 @@
     return size
 
 
-def read_batch(
-    data: bytes, columns_of: dict[int, Columns]
-) -> tuple[int, Iterator[tuple[int, Decoded]]]:
+def read_batch(data: bytes, columns_of: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, Decoded]]]:
     """The clock and the events, each with its instance; unknown codes are skipped."""
     if len(data) < BATCH_HEADER.size:
         raise WireError(f"frame header cut off after {len(data)} bytes")
@@ -286,7 +299,9 @@
     Refuse: lambda d, a: REFUSE(d, a.request, a.retry_after),  # type: ignore[union-attr]
     Note: lambda d, a: _text(1060, d, b"", _clip(a.text)),  # type: ignore[union-attr]
     Tell: lambda d, a: _text(
-        1090, d, U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway),  # type: ignore[union-attr]
+        1090,
+        d,
+        U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway),  # type: ignore[union-attr]
         a.content,  # type: ignore[union-attr]
     ),
 }
