--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -4,21 +4,25 @@
 
 from collections import Counter
 
-from yardlane.decisions.interface import ListKind, Send, ServerEntry, ServerList, ServerState
+from yardlane.decisions.actions import StartAttempt
+from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
 from yardlane.decisions.endpoints import REACH, Fleet
-from tests.gateway_driver import FREE, MS, SECOND, Desk, entry, of, settings
+from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_endpoint, of_type, make_settings
 
 GATEWAYS, SERVERS = 40, 60
 
 
-def many(servers: int = SERVERS, first: int = 0) -> tuple[ServerEntry, ...]:
-    return tuple(entry(0, server=b"s-%08x" % (n * 2654435761 % 2**32)) for n in range(first, first + servers))
+def many(servers: int = SERVERS, first: int = 0) -> tuple[Endpoint, ...]:
+    return tuple(
+        make_endpoint(0, endpoint_id=b"s-%08x" % (n * 2654435761 % 2**32))
+        for n in range(first, first + servers)
+    )
 
 
-def fleets(entries: tuple[ServerEntry, ...], gateways: int = GATEWAYS) -> list[Fleet]:
-    made = [Fleet(settings(gateways=gateways, rank=rank)) for rank in range(gateways)]
+def fleets(entries: tuple[Endpoint, ...], gateways: int = GATEWAYS) -> list[Fleet]:
+    made = [Fleet(make_settings(gateway_count=gateways, rank=rank)) for rank in range(gateways)]
     for fleet in made:
-        fleet.hear(ServerList(ListKind.COMPLETE, 1, entries))
+        fleet.hear(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, entries))
     return made
 
 
@@ -27,7 +31,7 @@
     used: Counter[bytes] = Counter()
     for fleet in fleets(many()):
         assert len(fleet.near) == REACH
-        used.update(s.entry.server for s in fleet.near)
+        used.update(s.entry.endpoint_id for s in fleet.near)
     assert len(used) == SERVERS
     assert max(used.values()) <= 2 * GATEWAYS * REACH / SERVERS
 
@@ -39,18 +43,20 @@
 
 def test_a_change_of_the_list_moves_few_other_servers() -> None:
     for fleet in fleets(many()):
-        before = {s.entry.server for s in fleet.near}
+        before = {s.entry.endpoint_id for s in fleet.near}
         new = many(1, first=900)
-        fleet.hear(ServerList(ListKind.CHANGES, 2, new))
-        assert len(before - {s.entry.server for s in fleet.near}) <= 1
+        fleet.hear(EndpointListUpdate(UpdateKind.DELTA, 2, new))
+        assert len(before - {s.entry.endpoint_id for s in fleet.near}) <= 1
 
 
 def test_a_cold_server_has_as_many_users_as_share_its_budget() -> None:
     now = 500 * SECOND
-    for cold in (entry(0, server=b"s-%x" % n, started=now - 2 * SECOND) for n in range(20)):
+    for cold in (
+        make_endpoint(0, endpoint_id=b"s-%x" % n, started_at_us=now - 2 * SECOND) for n in range(20)
+    ):
         users = set()
         for rank, fleet in enumerate(fleets((*many(), cold))):
-            server, work = fleet.servers[cold.server], 200 * MS
+            server, work = fleet.servers[cold.endpoint_id], 200 * MS
             if any(
                 fleet.fits_cold(server, fleet.warmth(server, at), work, at)
                 for at in range(now, now + 8 * SECOND, 50 * MS)
@@ -60,22 +66,22 @@
 
 
 def test_requests_go_to_the_subset_and_to_the_next_when_one_of_it_drains() -> None:
-    desk = Desk(servers=0, gateways=GATEWAYS)
-    desk.give(ServerList(ListKind.COMPLETE, 1, many()))
+    desk = GatewayDriver(servers=0, gateway_count=GATEWAYS)
+    desk.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, many()))
     near = [s.entry for s in desk.gateway.fleet.near]
 
     def reached() -> set[bytes]:
         found = set()
         for _ in range(60):
-            number, actions = desk.ask(plan=FREE)
-            for send in of(Send, actions):
-                found.add(send.server)
-                desk.end(number, send.server)
+            number, actions = desk.ask(quota_plan=FREE)
+            for send in of_type(StartAttempt, actions):
+                found.add(send.endpoint_id)
+                desk.end(number, send.endpoint_id)
             desk.run(200 * MS)
         return found
 
-    assert reached() <= {e.server for e in near}
-    gone = entry(0, server=near[0].server, state=ServerState.DRAINING)
-    desk.give(ServerList(ListKind.CHANGES, 2, (gone,)))
+    assert reached() <= {e.endpoint_id for e in near}
+    gone = make_endpoint(0, endpoint_id=near[0].endpoint_id, state=EndpointState.DRAINING)
+    desk.give(EndpointListUpdate(UpdateKind.DELTA, 2, (gone,)))
     assert len(desk.gateway.fleet.near) == REACH
-    assert near[0].server not in reached()
+    assert near[0].endpoint_id not in reached()
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -7,21 +7,18 @@
 import pytest
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import (
-    Action,
-    Arrival,
+from yardlane.decisions.actions import Action, AddToCounter, SetTimer, StartAttempt
+from yardlane.decisions.events import (
     AttemptEnded,
-    Count,
-    CountAnswer,
+    CounterResult,
+    EndpointListUpdate,
     Event,
-    ListKind,
-    Result,
-    Send,
-    ServerList,
-    Wake,
-    Woken,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
 )
-from tests.gateway_driver import MS, SECOND, entry, plan, settings
+from tests.gateway_driver import MS, SECOND, make_endpoint, make_quota_plan, make_settings
 
 GATEWAYS, SECONDS = 100, 30
 COUNTER_TAKES, SERVICE_TAKES = MS, 50 * MS
@@ -32,18 +29,25 @@
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst, self.store, self.store_at = rate, burst, burst, 0
-        rated = (plan(rate=rate, burst=burst),)
+        rated = (make_quota_plan(rate_per_s=rate, burst=burst),)
         self.gateways = [
-            Gateway(settings(gateways=GATEWAYS, rank=rank, plans=rated, counter_timeout=80 * MS), rank)
+            Gateway(
+                make_settings(
+                    gateway_count=GATEWAYS, rank=rank, quota_plans=rated, counter_timeout_us=80 * MS
+                ),
+                rank,
+            )
             for rank in range(GATEWAYS)
         ]
         self.order, self.counts = count(), dict[int, float]()
         self.agenda: list[tuple[int, int, int, Event]] = []
         self.within = self.beyond = 0
         for rank in range(GATEWAYS):
-            self.plan(0, rank, ServerList(ListKind.REMEMBERED, 1, tuple(entry(n) for n in range(10))))
+            self.schedule(
+                0, rank, EndpointListUpdate(UpdateKind.CACHED, 1, tuple(make_endpoint(n) for n in range(10)))
+            )
 
-    def plan(self, at: int, rank: int, event: Event) -> None:
+    def schedule(self, at: int, rank: int, event: Event) -> None:
         heapq.heappush(self.agenda, (at, next(self.order), rank, event))
 
     def play(self) -> None:
@@ -53,22 +57,24 @@
                 self.do(now, rank, action)
 
     def do(self, now: int, rank: int, action: Action) -> None:
-        if isinstance(action, Count):
-            total = self.counts[action.name] = self.counts.get(action.name, 0.0) + action.amount
-            self.plan(now + COUNTER_TAKES, rank, CountAnswer(action.name, Result.OK, total, COUNTER_TAKES))
-        elif isinstance(action, Wake):
-            self.plan(now + max(1, action.delay), rank, Woken(action.token))
-        elif isinstance(action, Send):
+        if isinstance(action, AddToCounter):
+            total = self.counts[action.counter_key] = self.counts.get(action.counter_key, 0.0) + action.amount
+            self.schedule(
+                now + COUNTER_TAKES, rank, CounterResult(action.counter_key, Outcome.OK, total, COUNTER_TAKES)
+            )
+        elif isinstance(action, SetTimer):
+            self.schedule(now + max(1, action.delay_us), rank, TimerFired(action.token))
+        elif isinstance(action, StartAttempt):
             flown, self.store_at = now - self.store_at, now
             self.store = min(self.burst, self.store + self.rate * flown / SECOND)
             is_within = self.store >= 1.0
             self.store -= is_within
             self.within += is_within
             self.beyond += not is_within
-            self.plan(
+            self.schedule(
                 now + SERVICE_TAKES,
                 rank,
-                AttemptEnded(action.request, 0, action.server, Result.OK, SERVICE_TAKES, True),
+                AttemptEnded(action.request_id, 0, action.endpoint_id, Outcome.OK, SERVICE_TAKES, True),
             )
 
 
@@ -91,8 +97,10 @@
             at += draw.expovariate(rate * (spike if at % 20 < 2.5 else usual))
             if at > SECONDS:
                 break
-            day.plan(
-                int(at * SECOND), draw.randrange(GATEWAYS), Arrival(number, 9, 0, 0, SECOND, 1.0, 0, GATEWAYS)
+            day.schedule(
+                int(at * SECOND),
+                draw.randrange(GATEWAYS),
+                RequestArrived(number, 9, 0, 0, SECOND, 1.0, 0, GATEWAYS),
             )
         day.play()
         within += day.within
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -6,29 +6,19 @@
 
 from hypothesis import given, settings, strategies
 
-from yardlane.decisions.interface import (
-    Cancel,
-    Fail,
-    ListKind,
-    Refuse,
-    Repeat,
-    RequestEnded,
-    Result,
-    Send,
-    ServerList,
-    ServerState,
-    Wake,
-)
-from tests.gateway_driver import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, Desk, entry
-
-PROOF = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
-FAILURES = (*PROOF, Result.ERROR, Result.TIMED_OUT, Result.CONNECTION_LOST)
+from yardlane.decisions.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
+from yardlane.decisions.events import EndpointListUpdate, EndpointState, Outcome, RequestEnded, UpdateKind
+from yardlane.decisions.settings import Idempotency
+from tests.gateway_driver import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, GatewayDriver, make_endpoint
+
+PROOF = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+FAILURES = (*PROOF, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
 
 
 class Watch:
     """Checks every action against the rules as it comes."""
 
-    def __init__(self, desk: Desk) -> None:
+    def __init__(self, desk: GatewayDriver) -> None:
         self.desk, self.seen = desk, 0
         self.kind: dict[int, int] = {}
         self.plan: dict[int, int] = {}
@@ -37,8 +27,8 @@
         self.sends: dict[int, list[tuple[int, bytes]]] = {}
         self.out: set[tuple[int, int]] = set()
         self.never: set[tuple[int, int]] = set()
-        self.states: dict[bytes, tuple[ServerState, int]] = {}
-        self.ceiling = PLANS[CEILED].ceiling_slack / 3
+        self.states: dict[bytes, tuple[EndpointState, int]] = {}
+        self.ceiling = PLANS[CEILED].hard_rate_slack / 3
         self.ceiling_at = desk.now
 
     def risky(self, request: int) -> list[tuple[int, bytes]]:
@@ -46,63 +36,63 @@
 
     def check(self) -> None:
         for at, action in self.desk.log[self.seen :]:
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 self.send(at, action)
-            elif isinstance(action, Refuse | Fail):
-                number = action.request
+            elif isinstance(action, Reject | Fail):
+                number = action.request_id
                 assert number not in self.over
-                assert at <= self.gives_up[number] + self.desk.settings.answer_grace
+                assert at <= self.gives_up[number] + self.desk.settings.answer_grace_us
                 rule = CLASSES[self.kind[number]]
-                if isinstance(action, Refuse) and rule.repeat is not Repeat.SAFE:
+                if isinstance(action, Reject) and rule.idempotency is not Idempotency.IDEMPOTENT:
                     assert not self.risky(number)
                 self.over.add(number)
         self.seen = len(self.desk.log)
 
-    def send(self, at: int, action: Send) -> None:
-        number = action.request
+    def send(self, at: int, action: StartAttempt) -> None:
+        number = action.request_id
         assert number not in self.over
         rule, earlier = CLASSES[self.kind[number]], self.risky(number)
-        if earlier and rule.repeat is Repeat.UNSAFE:
+        if earlier and rule.idempotency is Idempotency.NON_IDEMPOTENT:
             raise AssertionError("unsafe sent twice")
-        if earlier and rule.repeat is Repeat.KEYED:
-            assert self.states[earlier[0][1]][1] == self.states[action.server][1]
-            assert at - earlier[0][0] < rule.window
-        if not self.desk.settings.parallel_attempts:
+        if earlier and rule.idempotency is Idempotency.KEYED:
+            assert self.states[earlier[0][1]][1] == self.states[action.endpoint_id][1]
+            assert at - earlier[0][0] < rule.idempotency_window_us
+        if not self.desk.settings.may_hedge:
             assert not any(n == number for n, _ in self.out)
-        assert self.states[action.server][0] is ServerState.READY
+        assert self.states[action.endpoint_id][0] is EndpointState.READY
         if self.plan[number] == CEILED and not self.sends[number]:
             self.ceiling = min(10.0, self.ceiling + 2.0 * (at - self.ceiling_at) / SECOND) - 1.0
             self.ceiling_at = at
             assert self.ceiling >= -1e-6
         self.out.add((number, len(self.sends[number])))
-        self.sends[number].append((at, action.server))
+        self.sends[number].append((at, action.endpoint_id))
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
 def test_random_orders_keep_the_rules(seed: int, parallel: bool, counter: bool) -> None:
     random = Random(seed)
-    desk = Desk(servers=0, parallel_attempts=parallel, counter=counter)
+    desk = GatewayDriver(servers=0, may_hedge=parallel, has_shared_counter=counter)
     watch = Watch(desk)
 
-    def listed(kind: ListKind, numbers: range) -> None:
+    def listed(kind: UpdateKind, numbers: range) -> None:
         entries = [
-            entry(
+            make_endpoint(
                 n,
-                random.choice((ServerState.READY,) * 4 + (ServerState.DRAINING, ServerState.GONE)),
+                random.choice((EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)),
                 zone=n % 3,
-                started=random.choice((0, desk.now - 2 * SECOND)),
+                started_at_us=random.choice((0, desk.now - 2 * SECOND)),
             )
             for n in numbers
         ]
-        if kind is ListKind.COMPLETE:
-            entries = [e for e in entries if e.state is not ServerState.GONE]
-            watch.states = {s: (ServerState.GONE, z) for s, (_, z) in watch.states.items()}
+        if kind is UpdateKind.SNAPSHOT:
+            entries = [e for e in entries if e.state is not EndpointState.REMOVED]
+            watch.states = {s: (EndpointState.REMOVED, z) for s, (_, z) in watch.states.items()}
         for e in entries:
-            watch.states[e.server] = (e.state, e.zone)
-        desk.give(ServerList(kind, 1, tuple(entries)))
+            watch.states[e.endpoint_id] = (e.state, e.zone)
+        desk.give(EndpointListUpdate(kind, 1, tuple(entries)))
 
-    listed(ListKind.COMPLETE, range(6))
+    listed(UpdateKind.SNAPSHOT, range(6))
     for _ in range(150):
         move = random.random()
         if move < 0.45:
@@ -111,17 +101,19 @@
             number = desk.next_request
             watch.kind[number], watch.plan[number] = kind, plan
             watch.gives_up[number], watch.sends[number] = desk.now + left, []
-            desk.ask(customer=plan, plan=plan, kind=kind, left=left)
+            desk.ask(tenant=plan, quota_plan=plan, request_class=kind, time_left_us=left)
         elif move < 0.75 and watch.out:
             number, attempt = random.choice(sorted(watch.out))
-            result = Result.OK if random.random() < 0.5 else random.choice(FAILURES)
-            if (number, attempt) in {(a.request, a.attempt) for _, a in desk.log if isinstance(a, Cancel)}:
-                result = Result.CANCELLED
+            result = Outcome.OK if random.random() < 0.5 else random.choice(FAILURES)
+            if (number, attempt) in {
+                (a.request_id, a.attempt_index) for _, a in desk.log if isinstance(a, CancelAttempt)
+            }:
+                result = Outcome.CANCELLED
             watch.out.discard((number, attempt))
             if result in PROOF:
                 watch.never.add((number, attempt))
             sent, server = watch.sends[number][attempt]
-            if result is Result.OK:
+            if result is Outcome.OK:
                 watch.over.add(number)
             desk.end(number, server, result, max(1, desk.now - sent), attempt, number in watch.over)
         elif move < 0.80 and (alive := sorted(set(watch.kind) - watch.over)):
@@ -129,7 +121,7 @@
             watch.over.add(number)
             desk.give(RequestEnded(number))
         elif move < 0.85:
-            listed(random.choice((ListKind.CHANGES, ListKind.COMPLETE)), range(random.randrange(7)))
+            listed(random.choice((UpdateKind.DELTA, UpdateKind.SNAPSHOT)), range(random.randrange(7)))
         elif move < 0.88:
             desk.counter_answers = not desk.counter_answers
         else:
@@ -143,8 +135,8 @@
 
 
 def test_every_delay_of_a_wake_is_positive() -> None:
-    desk = Desk()
+    desk = GatewayDriver()
     for _ in range(100):
-        desk.ask(kind=SAFE)
+        desk.ask(request_class=SAFE)
         desk.run(7 * MS)
-    assert all(a.delay > 0 for _, a in desk.log if isinstance(a, Wake))
+    assert all(a.delay_us > 0 for _, a in desk.log if isinstance(a, SetTimer))
--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -6,22 +6,25 @@
 
 import pytest
 
-from yardlane.decisions.interface import Action, Count, CountAnswer, Result, Send
-from tests.gateway_driver import MS, SECOND, Desk, of, plan
+from yardlane.decisions.actions import Action, AddToCounter, StartAttempt
+from yardlane.decisions.events import CounterResult, Outcome
+from tests.gateway_driver import MS, SECOND, GatewayDriver, of_type, make_quota_plan
 
-PLAN = plan(rate=6.5, burst=13.0, ceiling_rate=13.0, ceiling_depth=19.0, ceiling_slack=2.0)
+PLAN = make_quota_plan(
+    rate_per_s=6.5, burst=13.0, hard_rate_per_s=13.0, hard_rate_depth=19.0, hard_rate_slack=2.0
+)
 STEP, START = 10 * MS, 77 * SECOND
 
 
-class Far(Desk):
+class Far(GatewayDriver):
     """A desk whose counter is shared and far away; some answers are lost."""
 
     def __init__(self, counts: dict[int, float], random: Random, **changes: object) -> None:
-        self.random, self.calls = random, list[tuple[int, int, Count]]()
-        super().__init__(servers=10, counter_timeout=80 * MS, **changes)  # type: ignore[arg-type]
+        self.random, self.calls = random, list[tuple[int, int, AddToCounter]]()
+        super().__init__(servers=10, counter_timeout_us=80 * MS, **changes)  # type: ignore[arg-type]
         self.counts = counts
 
-    def _count(self, call: Count) -> list[Action]:
+    def _count(self, call: AddToCounter) -> list[Action]:
         took = self.random.choice((1, 2, 3, 3, 20, 60)) * MS
         answered = self.now + (80 * MS if self.random.random() < 0.02 else took)
         self.calls += [(self.now + took // 2, 0, call), (answered, answered - self.now, call)]
@@ -33,10 +36,10 @@
             self.calls.remove(due)
             _, took, call = due
             if not took:
-                self.counts[call.name] = self.counts.get(call.name, 0.0) + call.amount
+                self.counts[call.counter_key] = self.counts.get(call.counter_key, 0.0) + call.amount
             else:
-                result = Result.TIMED_OUT if took == 80 * MS else Result.OK
-                self.give(CountAnswer(call.name, result, self.counts[call.name], took))
+                result = Outcome.TIMED_OUT if took == 80 * MS else Outcome.OK
+                self.give(CounterResult(call.counter_key, result, self.counts[call.counter_key], took))
 
 
 class Day:
@@ -49,12 +52,12 @@
         self.back: dict[int, int] = {}  # when an ended one is back, with no memory
         self.units: dict[tuple[Far, int], float] = {}
         self.ends: list[tuple[int, Far, int, bytes]] = []
-        self.store = self.lowest = PLAN.ceiling_depth
+        self.store = self.lowest = PLAN.hard_rate_depth
         self.sent = 0.0
 
     def start(self, rank: int) -> Far:
         seed = self.random.randrange(2**32)
-        settings = {"gateways": self.gateways, "plans": (PLAN,)}
+        settings = {"gateway_count": self.gateways, "quota_plans": (PLAN,)}
         return Far(self.counts, self.random, rank=rank, seed=seed, start=self.now, **settings)
 
     def end(self, rank: int, away: int = 150 * MS) -> None:
@@ -64,8 +67,8 @@
     def step(self, units: float) -> None:
         """Ten milliseconds, with so many units asked in a second."""
         self.now += STEP
-        filled = self.store + PLAN.ceiling_rate * STEP / SECOND
-        self.store = min(PLAN.ceiling_depth, filled)
+        filled = self.store + PLAN.hard_rate_per_s * STEP / SECOND
+        self.store = min(PLAN.hard_rate_depth, filled)
         for rank in [r for r, at in self.back.items() if at <= self.now]:
             del self.back[rank]
             self.desks[rank] = self.start(rank)
@@ -79,20 +82,20 @@
             desk.hear()
             for due in [e for e in self.ends if e[1] is desk and e[0] <= self.now]:
                 self.ends.remove(due)
-                desk.end(due[2], due[3], attempt=0)
+                desk.end(due[2], due[3], attempt_index=0)
             self.take(desk)
 
     def ask(self, desk: Far, units: float) -> None:
         self.units[desk, desk.next_request] = units
-        desk.ask(customer=4, plan=0, units=units, gateways=self.gateways, left=SECOND)
+        desk.ask(tenant=4, quota_plan=0, units=units, gateway_count=self.gateways, time_left_us=SECOND)
 
     def take(self, desk: Far) -> None:
-        for send in of(Send, [action for _, action in desk.log]):
-            units = self.units.pop((desk, send.request), 0.0)  # a first attempt takes its units
+        for send in of_type(StartAttempt, [action for _, action in desk.log]):
+            units = self.units.pop((desk, send.request_id), 0.0)  # a first attempt takes its units
             self.store, self.sent = self.store - units, self.sent + units
             self.lowest = min(self.lowest, self.store)
             answered = self.now + self.random.choice((40, 80, 150)) * MS
-            self.ends.append((answered, desk, send.request, send.server))
+            self.ends.append((answered, desk, send.request_id, send.endpoint_id))
         desk.log.clear()
 
 
@@ -106,7 +109,7 @@
         if burst and every and age % every == 0:
             day.end(age // every % day.gateways)
         day.step(32.0 if burst else 5.0)
-    return day.sent / (PLAN.ceiling_depth + 20 * PLAN.ceiling_rate)
+    return day.sent / (PLAN.hard_rate_depth + 20 * PLAN.hard_rate_per_s)
 
 
 @pytest.mark.parametrize(
@@ -125,5 +128,5 @@
     """Lost: parts told at different times were more than one together, and each moved depth and rate."""
     days = [Day(seed, gateways) for seed in range(first, first + 5)]
     used = sum(bursts(day, every) for day in days) / len(days)
-    assert min(day.lowest for day in days) >= -PLAN.ceiling_slack
+    assert min(day.lowest for day in days) >= -PLAN.hard_rate_slack
     assert used >= least  # not held by refusing all
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -13,27 +13,23 @@
 import pytest
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import (
-    Arrival,
+from yardlane.decisions.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
+from yardlane.decisions.events import (
     AttemptEnded,
-    Cancel,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    Fail,
-    ListKind,
-    Refuse,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
-    Settings,
-    Wake,
-    Woken,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
 )
+from yardlane.decisions.settings import Settings
 from yardlane.decisions.endpoints import COLD_MARGIN, NEWBORN, Fleet
-from tests.gateway_driver import FREE, MS, SECOND, entry, settings
+from tests.gateway_driver import FREE, MS, SECOND, make_endpoint, make_settings
 
-READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.GONE
+READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
 BEGIN = 100 * SECOND
 TAPPED = 2 * MS  # a refusal or a failed connection takes so long
 
@@ -61,7 +57,7 @@
 class Backend:
     """A server of many cores; it keeps what reached it since its start."""
 
-    def __init__(self, line: ServerEntry) -> None:
+    def __init__(self, line: Endpoint) -> None:
         self.entry, self.down = line, False
         self.sent: list[tuple[int, float, bool]] = []  # when, work, whether the sender knew of the start
 
@@ -71,22 +67,25 @@
 
     def __init__(self, scene: Scene, seed: int) -> None:
         self.random, self.scene, self.now = Random(seed), scene, BEGIN
-        base = settings(gateways=scene.gateways, counter=False, **scene.changes)
-        self.base = replace(base, classes=tuple(replace(c, aim=scene.aim) for c in base.classes))
-        self.window, self.first = self.base.fall_window, scene.aim / 6
+        base = make_settings(gateway_count=scene.gateways, has_shared_counter=False, **scene.changes)
+        self.base = replace(
+            base,
+            request_classes=tuple(replace(c, latency_objective_us=scene.aim) for c in base.request_classes),
+        )
+        self.window, self.first = self.base.overload_window_us, scene.aim / 6
         self.mean = self.first * scene.factor
         self.agenda: list[tuple[int, int, Callable[[], None]]] = []
         self.numbers = self.requests = 0
         self.backends: dict[bytes, Backend] = {}
         self.gateways: list[Gateway] = []
         self.lives = [0] * scene.gateways
-        self.told: list[dict[bytes, ServerEntry]] = [{} for _ in range(scene.gateways)]
+        self.told: list[dict[bytes, Endpoint]] = [{} for _ in range(scene.gateways)]
         self.attempts: dict[int, list[tuple[bytes, int]]] = {}
         self.over: set[int] = set()
         self.ended: set[tuple[int, int]] = set()
         names = [b"s-%08x" % self.random.getrandbits(32) for _ in range(scene.servers + scene.cold)]
         for name in names[: scene.servers]:
-            self.backends[name] = Backend(entry(0, server=name))
+            self.backends[name] = Backend(make_endpoint(0, endpoint_id=name))
         self.fresh = names[: scene.cold] if scene.restarts else names[scene.servers :]
         for rank in range(scene.gateways):
             self.gateways.append(self._birth(rank))
@@ -108,7 +107,7 @@
     def _plan_day(self) -> None:
         scene, start = self.scene, BEGIN + 3 * SECOND
         for rank in range(scene.gateways):
-            self._tell(rank, tuple(b.entry for b in self.backends.values()), ListKind.REMEMBERED)
+            self._tell(rank, tuple(b.entry for b in self.backends.values()), UpdateKind.CACHED)
             short = self.random.random() < scene.unlike
             if short:  # lacks some of the others, so counts other sharers
                 lacks = [n for n in self.backends if n not in self.fresh and self.random.random() < 0.6]
@@ -142,17 +141,19 @@
         self.at(self.now + 1 + self.random.expovariate(rate), self._arrive)
         self.requests += 1
         rank, kind = self.random.randrange(self.scene.gateways), self.requests % 3
-        self._give(rank, Arrival(self.requests, rank, FREE, kind, 3 * SECOND, 1.0, 0, self.scene.gateways))
+        self._give(
+            rank, RequestArrived(self.requests, rank, FREE, kind, 3 * SECOND, 1.0, 0, self.scene.gateways)
+        )
 
     def _start(self, name: bytes) -> None:
-        self.backends[name] = Backend(entry(0, server=name, started=self.now // MS * MS))
+        self.backends[name] = Backend(make_endpoint(0, endpoint_id=name, started_at_us=self.now // MS * MS))
         self._spread(self.backends[name].entry)
 
     def _crash(self, name: bytes) -> None:
         self.backends[name].down = True
         self._spread(replace(self.backends[name].entry, state=GONE))
 
-    def _spread(self, line: ServerEntry) -> None:
+    def _spread(self, line: Endpoint) -> None:
         """Each gateway learns of it at its own time."""
         for rank in range(self.scene.gateways):
             delay = self.random.randrange(20 * MS, 800 * MS)
@@ -161,68 +162,68 @@
     def _again(self, rank: int) -> None:
         self.lives[rank] += 1
         self.gateways[rank], known = self._birth(rank), tuple(self.told[rank].values())
-        self._tell(rank, known, ListKind.REMEMBERED)
+        self._tell(rank, known, UpdateKind.CACHED)
 
     def _flap(self) -> None:
         for rank in range(self.scene.gateways):
             lines = tuple(self.told[rank].values())
-            keeps = tuple(line for line in lines if not line.started)
-            self._tell(rank, keeps, ListKind.COMPLETE)
-            self._tell(rank, tuple(replace(line, state=GONE) for line in lines if line.started))
-            self._tell(rank, lines, ListKind.COMPLETE)
+            keeps = tuple(line for line in lines if not line.started_at_us)
+            self._tell(rank, keeps, UpdateKind.SNAPSHOT)
+            self._tell(rank, tuple(replace(line, state=GONE) for line in lines if line.started_at_us))
+            self._tell(rank, lines, UpdateKind.SNAPSHOT)
 
-    def _tell(self, rank: int, lines: tuple[ServerEntry, ...], kind: ListKind = ListKind.CHANGES) -> None:
+    def _tell(self, rank: int, lines: tuple[Endpoint, ...], kind: UpdateKind = UpdateKind.DELTA) -> None:
         known = self.told[rank]
-        if kind is not ListKind.CHANGES:
+        if kind is not UpdateKind.DELTA:
             known.clear()
-        known.update((line.server, line) for line in lines)
-        self._give(rank, ServerList(kind, 1, lines))
+        known.update((line.endpoint_id, line) for line in lines)
+        self._give(rank, EndpointListUpdate(kind, 1, lines))
 
     def _give(self, rank: int, event: Event) -> None:
         life = self.lives[rank]
         for action in self.gateways[rank].handle(self.now, [event]):
-            if isinstance(action, Wake):
-                self.at(self.now + max(1, action.delay), lambda: self._alive(rank, life, Woken(0)))
-            elif isinstance(action, Send):
+            if isinstance(action, SetTimer):
+                self.at(self.now + max(1, action.delay_us), lambda: self._alive(rank, life, TimerFired(0)))
+            elif isinstance(action, StartAttempt):
                 self._attempt(rank, life, action)
-            elif isinstance(action, Refuse | Fail):
-                self.over.add(action.request)
-            elif isinstance(action, Cancel):
-                self._end(rank, life, action.request, action.attempt, Result.CANCELLED)
+            elif isinstance(action, Reject | Fail):
+                self.over.add(action.request_id)
+            elif isinstance(action, CancelAttempt):
+                self._end(rank, life, action.request_id, action.attempt_index, Outcome.CANCELLED)
 
     def _alive(self, rank: int, life: int, event: Event) -> None:
         if self.lives[rank] == life:
             self._give(rank, event)
 
-    def _attempt(self, rank: int, life: int, send: Send) -> None:
-        tries = self.attempts.setdefault(send.request, [])
+    def _attempt(self, rank: int, life: int, send: StartAttempt) -> None:
+        tries = self.attempts.setdefault(send.request_id, [])
         number = len(tries)
-        tries.append((send.server, self.now))
-        backend, work = self.backends[send.server], self._work(send.request)
-        knows = self.told[rank][send.server].started == backend.entry.started
-        after, result = float(TAPPED), Result.OK
+        tries.append((send.endpoint_id, self.now))
+        backend, work = self.backends[send.endpoint_id], self._work(send.request_id)
+        knows = self.told[rank][send.endpoint_id].started_at_us == backend.entry.started_at_us
+        after, result = float(TAPPED), Outcome.OK
         if backend.down:
-            result = Result.NOT_CONNECTED
+            result = Outcome.NOT_CONNECTED
         else:
             backend.sent.append((self.now, work, knows))
             chance = self.random.random() - self.scene.hangs
             if chance < 0.0:
-                after, result = 2.0 * SECOND, Result.TIMED_OUT
+                after, result = 2.0 * SECOND, Outcome.TIMED_OUT
             elif chance < 0.1:
-                result = Result.ERROR if chance < 0.05 else Result.TURNED_AWAY
+                result = Outcome.ERROR if chance < 0.05 else Outcome.REJECTED
             else:
                 after = work  # no queue and warm speed: the budgets bind, not the windows of attempts
-        self.at(self.now + max(1, after), lambda: self._end(rank, life, send.request, number, result))
+        self.at(self.now + max(1, after), lambda: self._end(rank, life, send.request_id, number, result))
 
     def _work(self, request: int) -> float:
         mean = self.mean * self.scene.kinds[request % 3]
         return self.random.gammavariate(2.0, mean / 2.0)  # spread as in the field: 0.7 of the mean
 
-    def _end(self, rank: int, life: int, request: int, number: int, result: Result) -> None:
+    def _end(self, rank: int, life: int, request: int, number: int, result: Outcome) -> None:
         if (request, number) in self.ended:
             return
         self.ended.add((request, number))
-        if result is Result.OK:
+        if result is Outcome.OK:
             self.over.add(request)
         server, at = self.attempts[request][number]
         self._alive(
@@ -234,29 +235,37 @@
         return [self._load(self.backends[name]) for name in self.fresh]
 
     def _load(self, backend: Backend) -> tuple[float, float]:
-        s, start, worst, total, told = self.base, backend.entry.started, 0.0, 0.0, 0.0
+        s, start, worst, total, told = self.base, backend.entry.started_at_us, 0.0, 0.0, 0.0
         window: deque[tuple[int, float, bool]] = deque()
         cold = [x for x in backend.sent if warmth(s, start, x[0]) < 1.0]
         for at, work, knows in cold:
             window.append((at, work, knows))
-            while window[0][0] <= at - s.fall_window:
+            while window[0][0] <= at - s.overload_window_us:
                 window.popleft()
             total, told = sum(w for _, w, _ in window), sum(w for _, w, k in window if k)
-            allowed = s.fall_multiple * warmth(s, start, at) * s.fall_window / self.mean
+            allowed = s.overload_multiple * warmth(s, start, at) * s.overload_window_us / self.mean
             if told > total * 2 / 3:  # else it is the fall of those that could not know
                 worst = max(worst, total / self.mean / (allowed + 2 * math.sqrt(allowed) + 2))
-        until = min(self.now, start + s.warm_up)
-        budget = s.fall_multiple * (until - start) * (warmth(s, start, start) + warmth(s, start, until)) / 2
+        until = min(self.now, start + s.warm_up_us)
+        budget = (
+            s.overload_multiple * (until - start) * (warmth(s, start, start) + warmth(s, start, until)) / 2
+        )
         return worst, sum(w for _, w, _ in cold) / budget
 
 
 def warmth(s: Settings, started: int, now: int) -> float:
     if not started:
         return 1.0
-    return min(1.0, s.start_capacity + (1.0 - s.start_capacity) * max(0, now - started) / s.warm_up)
+    return min(
+        1.0,
+        s.initial_capacity_share + (1.0 - s.initial_capacity_share) * max(0, now - started) / s.warm_up_us,
+    )
 
 
-MANY = {"fall_multiple": 4.0, "fall_window": 3 * SECOND}  # a budget of many requests, so little is chance
+MANY = {
+    "overload_multiple": 4.0,
+    "overload_window_us": 3 * SECOND,
+}  # a budget of many requests, so little is chance
 FINE = Scene(gateways=20, servers=4, cold=1, aim=90 * MS, hangs=0.005, changes=MANY)
 SCENES = {
     "join, all else drains": Scene(),
@@ -321,9 +330,11 @@
     gateways: int, work: int, births: bool
 ) -> None:
     """Each gateway sends whenever it may; all may start anew once, and so spend half of a part more."""
-    base = settings(gateways=gateways, fall_multiple=4.0, fall_window=3 * SECOND)
-    base = replace(base, classes=tuple(replace(c, aim=6 * work) for c in base.classes))
-    cold = ServerList(ListKind.COMPLETE, 1, (entry(1, started=BEGIN),))
+    base = make_settings(gateway_count=gateways, overload_multiple=4.0, overload_window_us=3 * SECOND)
+    base = replace(
+        base, request_classes=tuple(replace(c, latency_objective_us=6 * work) for c in base.request_classes)
+    )
+    cold = EndpointListUpdate(UpdateKind.SNAPSHOT, 1, (make_endpoint(1, started_at_us=BEGIN),))
 
     def made(born: int) -> list[Fleet]:
         fleets = [Fleet(replace(base, rank=rank)) for rank in range(gateways)]
@@ -333,19 +344,19 @@
         return fleets
 
     fleets, sent = made(0), deque[int]()
-    for now in range(BEGIN, BEGIN + base.warm_up, 20 * MS):
+    for now in range(BEGIN, BEGIN + base.warm_up_us, 20 * MS):
         if births and now == BEGIN + SECOND:
             fleets = made(now)
         share = warmth(base, BEGIN, now)
         for fleet in fleets:
-            server = fleet.servers[cold.entries[0].server]
+            server = fleet.servers[cold.endpoints[0].endpoint_id]
             while fleet.fits_cold(server, share, work, now):
                 fleet.send_cold(server, work, now)
                 server.last_sent = now
                 sent.append(now)
-                while sent[0] <= now - base.fall_window:
+                while sent[0] <= now - base.overload_window_us:
                     sent.popleft()
-                part = COLD_MARGIN * base.fall_multiple * share * base.fall_window / work
+                part = COLD_MARGIN * base.overload_multiple * share * base.overload_window_us / work
                 assert len(sent) <= part * (1.0 + NEWBORN * births) + 1  # of the turn that is on
 
 
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -6,28 +6,21 @@
 from typing import Any, TypeVar
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import (
-    Action,
-    Arrival,
+from yardlane.decisions.actions import Action, AddToCounter, SetTimer, StartAttempt
+from yardlane.decisions.events import (
     AttemptEnded,
-    Count,
-    CountAnswer,
+    CounterResult,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    Group,
-    ListKind,
     LoadReport,
-    Plan,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
-    Settings,
-    Wake,
-    Woken,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
 )
+from yardlane.decisions.settings import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings
 
 A = TypeVar("A")
 MS = 1_000
@@ -36,121 +29,119 @@
 FREE, RATED, CAPPED, CEILED = 0, 1, 2, 3
 
 
-def klass(repeat: Repeat, group: Group = Group.ZONE, **changes: Any) -> RequestClass:
+def make_request_class(
+    repeat: Idempotency, group: DeduplicationScope = DeduplicationScope.ZONE, **changes: Any
+) -> RequestClass:
     base = RequestClass(
-        aim=900 * MS,
-        deadline=3 * SECOND,
-        repeat=repeat,
-        group=group,
-        window=2 * SECOND,
-        worth=1.0,
-        late_worth=0.1,
-        streams=False,
+        latency_objective_us=900 * MS,
+        deadline_us=3 * SECOND,
+        idempotency=repeat,
+        deduplication_scope=group,
+        idempotency_window_us=2 * SECOND,
+        priority_weight=1.0,
     )
     return replace(base, **changes)
 
 
-def plan(**changes: Any) -> Plan:
-    base = Plan(
-        rate=0.0,
+def make_quota_plan(**changes: Any) -> QuotaPlan:
+    base = QuotaPlan(
+        rate_per_s=0.0,
         burst=0.0,
-        open_limit=0,
-        ceiling_rate=0.0,
-        ceiling_depth=0.0,
-        ceiling_slack=0.0,
-        price=1.0,
-        beyond_cost=1.0,
-        beyond_worth=0.0,
+        concurrency_limit=0,
+        hard_rate_per_s=0.0,
+        hard_rate_depth=0.0,
+        hard_rate_slack=0.0,
     )
     return replace(base, **changes)
 
 
-CLASSES = (klass(Repeat.SAFE), klass(Repeat.KEYED), klass(Repeat.UNSAFE))
+CLASSES = (
+    make_request_class(Idempotency.IDEMPOTENT),
+    make_request_class(Idempotency.KEYED),
+    make_request_class(Idempotency.NON_IDEMPOTENT),
+)
 PLANS = (
-    plan(),
-    plan(rate=10.0, burst=20.0),
-    plan(open_limit=6),
-    plan(ceiling_rate=6.0, ceiling_depth=30.0, ceiling_slack=3.0),
+    make_quota_plan(),
+    make_quota_plan(rate_per_s=10.0, burst=20.0),
+    make_quota_plan(concurrency_limit=6),
+    make_quota_plan(hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0),
 )
 
 
-def settings(**changes: Any) -> Settings:
+def make_settings(**changes: Any) -> Settings:
     base = Settings(
-        gateways=3,
+        gateway_count=3,
         rank=0,
         zone=0,
-        classes=CLASSES,
-        plans=PLANS,
-        tick=2 * MS,
-        answer_grace=8 * MS,
-        drain_grace=SECOND,
-        start_capacity=0.2,
-        warm_up=15 * SECOND,
-        fall_multiple=3.0,
-        fall_window=SECOND,
+        request_classes=CLASSES,
+        quota_plans=PLANS,
+        tick_us=2 * MS,
+        answer_grace_us=8 * MS,
+        drain_grace_us=SECOND,
+        initial_capacity_share=0.2,
+        warm_up_us=15 * SECOND,
+        overload_multiple=3.0,
+        overload_window_us=SECOND,
         max_attempts=5,
-        parallel_attempts=True,
+        may_hedge=True,
         may_cancel=True,
-        may_probe=False,
-        may_advise=True,
-        longest_advice=SECOND,
-        list_is_pushed=True,
-        counter=True,
-        counter_timeout=40 * MS,
-        counter_price=0.01,
-        meter_period=0,
-        units_settle=False,
-        crossing_price=0.0,
-        waste_price=0.05,
+        may_send_retry_after=True,
+        max_retry_after_us=SECOND,
+        endpoint_list_is_pushed=True,
+        has_shared_counter=True,
+        counter_timeout_us=40 * MS,
+        cross_zone_cost=0.0,
     )
     return replace(base, **changes)
 
 
-def name(number: int) -> bytes:
+def make_endpoint_id(number: int) -> bytes:
     return bytes((10, 1, 0, number)) + b"\x50\x00"
 
 
-def entry(number: int, state: ServerState = ServerState.READY, **changes: Any) -> ServerEntry:
-    base = ServerEntry(name(number), state, 0, 1.0, 0, 0, 0)
+def make_endpoint(number: int, state: EndpointState = EndpointState.READY, **changes: Any) -> Endpoint:
+    base = Endpoint(make_endpoint_id(number), state, 0, 1.0, 0, 0, 0)
     return replace(base, **changes)
 
 
-def of(kind: type[A], actions: list[Action]) -> list[A]:
+def of_type(kind: type[A], actions: list[Action]) -> list[A]:
     return [a for a in actions if isinstance(a, kind)]
 
 
-class Desk:
+class GatewayDriver:
     """Drives one gateway; wakes it as it asked and remembers what it did."""
 
     def __init__(self, servers: int = 4, seed: int = 5, start: int = 77 * SECOND, **changes: Any) -> None:
-        self.settings = settings(**changes)
+        self.settings = make_settings(**changes)
         self.gateway = Gateway(self.settings, seed)
         self.now = start
         self.wakes: list[int] = []
         self.log: list[tuple[int, Action]] = []
         self.counts: dict[int, float] = {}
-        self.counter_answers, self.counter_takes, self.refusal = True, MS, Result.TIMED_OUT
+        self.counter_answers, self.counter_takes, self.refusal = True, MS, Outcome.TIMED_OUT
         self.others: float = 0.0  # what other gateways add to each name before it is read
         self.next_request = 1
         self.attempts: dict[int, int] = {}
-        self.give(ServerList(ListKind.REMEMBERED, 1, tuple(entry(n) for n in range(servers))))
+        self.give(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(make_endpoint(n) for n in range(servers))))
 
     def give(self, *events: Event) -> list[Action]:
         actions = self.gateway.handle(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
-            if isinstance(action, Wake):
-                self.wakes.append(self.now + max(1, action.delay))
-            elif isinstance(action, Send):
-                self.attempts[action.request] = self.attempts.get(action.request, 0) + 1
-        return actions + [a for call in of(Count, actions) for a in self._count(call)]
+            if isinstance(action, SetTimer):
+                self.wakes.append(self.now + max(1, action.delay_us))
+            elif isinstance(action, StartAttempt):
+                self.attempts[action.request_id] = self.attempts.get(action.request_id, 0) + 1
+        return actions + [a for call in of_type(AddToCounter, actions) for a in self._count(call)]
 
-    def _count(self, call: Count) -> list[Action]:
+    def _count(self, call: AddToCounter) -> list[Action]:
         if not self.counter_answers:
-            return self.give(CountAnswer(call.name, self.refusal, 0.0, self.settings.counter_timeout))
-        total = self.counts.get(call.name, self.others) + call.amount
-        self.counts[call.name] = total
-        return self.give(CountAnswer(call.name, Result.OK, total, self.counter_takes))
+            return self.give(
+                CounterResult(call.counter_key, self.refusal, 0.0, self.settings.counter_timeout_us)
+            )
+        total = self.counts.get(call.counter_key, self.others) + call.amount
+        self.counts[call.counter_key] = total
+        return self.give(CounterResult(call.counter_key, Outcome.OK, total, self.counter_takes))
 
     def run(self, duration: int) -> list[Action]:
         """Let time pass; only wakes happen."""
@@ -159,57 +150,55 @@
         while self.wakes and min(self.wakes) <= end:
             self.now = max(self.now, min(self.wakes))
             self.wakes = [w for w in self.wakes if w > self.now]
-            self.give(Woken(0))
+            self.give(TimerFired(0))
         self.now = end
         return [action for _, action in self.log[seen:]]
 
     def ask(
         self,
-        customer: int = 9,
-        plan: int = FREE,
-        kind: int = SAFE,
+        tenant: int = 9,
+        quota_plan: int = FREE,
+        request_class: int = SAFE,
         units: float = 1.0,
-        left: int | None = None,
-        first: int = 0,
-        gateways: int = 3,
+        time_left_us: int | None = None,
+        first_gateway: int = 0,
+        gateway_count: int = 3,
     ) -> tuple[int, list[Action]]:
         """A new request; its number and the actions at once."""
         number = self.next_request
         self.next_request += 1
-        left = left if left is not None else self.settings.classes[kind].deadline
-        return number, self.give(Arrival(number, customer, plan, kind, left, units, first, gateways))
+        if time_left_us is None:
+            time_left_us = self.settings.request_classes[request_class].deadline_us
+        arrived = RequestArrived(
+            number, tenant, quota_plan, request_class, time_left_us, units, first_gateway, gateway_count
+        )
+        return number, self.give(arrived)
 
     def end(
         self,
-        request: int,
-        server: bytes,
-        result: Result = Result.OK,
-        took: int = 50 * MS,
-        attempt: int | None = None,
-        ended: bool | None = None,
+        request_id: int,
+        endpoint_id: bytes,
+        outcome: Outcome = Outcome.OK,
+        elapsed_us: int = 50 * MS,
+        attempt_index: int | None = None,
+        request_ended: bool | None = None,
         load: LoadReport | None = None,
-        true_units: int | None = None,
     ) -> list[Action]:
         """The outcome of an attempt, the last one if none is named."""
-        attempt = self.attempts[request] - 1 if attempt is None else attempt
-        ended = result is Result.OK if ended is None else ended
+        if attempt_index is None:
+            attempt_index = self.attempts[request_id] - 1
+        if request_ended is None:
+            request_ended = outcome is Outcome.OK
         return self.give(
             AttemptEnded(
-                request,
-                attempt,
-                server,
-                result,
-                took,
-                ended,
-                load=load,
-                true_units=true_units,
+                request_id, attempt_index, endpoint_id, outcome, elapsed_us, request_ended, load=load
             )
         )
 
     def serve(self, **ask: Any) -> bool:
         """Ask and, if it was sent, answer it well at once."""
         number, actions = self.ask(**ask)
-        sent = of(Send, actions)
+        sent = of_type(StartAttempt, actions)
         if sent:
-            self.end(number, sent[0].server)
+            self.end(number, sent[0].endpoint_id)
         return bool(sent)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,9 @@
 import uvloop
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import Action, Arrival, AttemptEnded, Decider, Event, Fail, Send
+from yardlane.decisions.actions import Action, Fail, StartAttempt
+from yardlane.decisions.decider import Decider
+from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
 from yardlane.__main__ import Program
 from yardlane.config import Config, parse
 
@@ -289,8 +291,8 @@
 
 def send_all(event: Event, server: bytes = b"s-1") -> list[Action]:
     """Each request gets one attempt; whatever ends badly fails."""
-    if isinstance(event, Arrival):
-        return [Send(event.request, server)]
-    if isinstance(event, AttemptEnded) and not event.ended:
-        return [Fail(event.request)]
+    if isinstance(event, RequestArrived):
+        return [StartAttempt(event.request_id, server)]
+    if isinstance(event, AttemptEnded) and not event.request_ended:
+        return [Fail(event.request_id)]
     return []
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -8,7 +8,8 @@
 import pytest
 import uvloop
 
-from yardlane.decisions.interface import Arrival, Refuse
+from yardlane.decisions.actions import Reject
+from yardlane.decisions.events import RequestArrived
 from yardlane.proxy.client_connection import SLOW_REQUEST, Change, Client, ClientRequest, State
 from tests.loopback import Script, answer, ask, read_message, running, socket_test
 
@@ -99,7 +100,7 @@
         async with running(script) as door:
             line, _, _ = await door.call(request_bytes)
             assert line.split()[1] == str(status)
-            assert not [e for e in script.seen if isinstance(e, Arrival)]
+            assert not [e for e in script.seen if isinstance(e, RequestArrived)]
 
     async def limited() -> None:
         async with asyncio.timeout(20):
@@ -110,7 +111,7 @@
 
 @socket_test
 async def test_a_whole_chunked_body_is_taken() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(lambda event: [Reject(event.request_id)] if isinstance(event, RequestArrived) else [])
     async with running(script) as door:
         request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
         line, _, _ = await door.call(request + b"3\r\nabc\r\n0\r\n\r\n")
@@ -119,7 +120,9 @@
 
 @socket_test
 async def test_a_connection_outlives_a_well_framed_mistake() -> None:
-    script = Script(lambda event: [Refuse(event.request, 250_000)] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
+    )
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(ask(Plan="unheard-of") + ask())
@@ -132,10 +135,10 @@
 async def test_pipelined_answers_keep_their_order_and_each_comes_once() -> None:
     held: list[int] = []
 
-    def last_first(event: object) -> list[Refuse]:
-        if isinstance(event, Arrival):
-            held.append(event.request)
-        return [Refuse(n, n * 1000) for n in reversed(held)] if len(held) == 3 else []
+    def last_first(event: object) -> list[Reject]:
+        if isinstance(event, RequestArrived):
+            held.append(event.request_id)
+        return [Reject(n, n * 1000) for n in reversed(held)] if len(held) == 3 else []
 
     async with running(Script(last_first)) as door:  # type: ignore[arg-type]
         reader, writer = await door.client()
@@ -162,7 +165,7 @@
 
 @socket_test
 async def test_a_client_is_not_slow_while_the_front_door_stood_still() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(lambda event: [Reject(event.request_id)] if isinstance(event, RequestArrived) else [])
     async with running(script) as door:
         side = door.program.clients
         reader, writer = await door.client()
@@ -239,12 +242,12 @@
         side = door.program.clients
         reader, writer = await door.client()
         writer.write(ask(trace="a") + ask(trace="b") + ask(trace="c")[:-4])
-        await script.wait_for(Arrival, 2)
+        await script.wait_for(RequestArrived, 2)
         side.draining = True
-        door.program.door._apply(Refuse(2))  # the newest that is whole: nothing is read behind it
+        door.program.door._apply(Reject(2))  # the newest that is whole: nothing is read behind it
         late = side.now() + SLOW_REQUEST + 0.1
         side.now = lambda: late
         side.sweep()
-        door.program.door._apply(Refuse(1))
+        door.program.door._apply(Reject(1))
         assert [(await read_message(reader))[0].split()[1] for _ in range(2)] == ["429", "429"]
         assert await reader.read() == b""
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -9,16 +9,8 @@
 import pytest
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import (
-    Action,
-    Arrival,
-    AttemptEnded,
-    Event,
-    Fail,
-    RequestEnded,
-    Result,
-    Send,
-)
+from yardlane.decisions.actions import Action, Fail, StartAttempt
+from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
 from yardlane.proxy.upstream_connection import Attempt
 from yardlane.proxy.client_connection import MOST_PIPELINED, Client
 from tests.loopback import (
@@ -53,7 +45,11 @@
 @socket_test
 async def test_a_second_copy_still_connecting_when_the_first_is_answered_is_never_written() -> None:
     def twice(event: Event) -> list[Action]:
-        return [Send(event.request, s) for s in (b"s-1", b"s-2")] if isinstance(event, Arrival) else []
+        return (
+            [StartAttempt(event.request_id, s) for s in (b"s-1", b"s-2")]
+            if isinstance(event, RequestArrived)
+            else []
+        )
 
     script = Script(twice)
     async with (
@@ -70,9 +66,9 @@
         assert (await read_message(client))[0].split()[1] == "200"
         late.go_on.set()
         ends = await script.wait_for(AttemptEnded, 2)
-        assert {e.attempt: (e.result, e.ended) for e in ends} == {
-            0: (Result.OK, True),
-            1: (Result.NOT_SENT, True),
+        assert {e.attempt_index: (e.outcome, e.request_ended) for e in ends} == {
+            0: (Outcome.OK, True),
+            1: (Outcome.NOT_SENT, True),
         }
         await door.call(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert second.accepted.empty()
@@ -89,7 +85,7 @@
         door.program.door._apply(Fail(1))  # the module's time is up
         assert (await read_message(client))[0].split()[1] == "502"
         late.go_on.set()
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_SENT]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
         await nothing_open(door)
         assert backend.accepted.empty()
 
@@ -132,7 +128,7 @@
         leave(to_door)
         await script.wait_for(RequestEnded)
         late.go_on.set()
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_SENT]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
         await nothing_open(door)
         assert backend.accepted.empty()
 
@@ -216,7 +212,7 @@
     async with running(script, settings=settings(profiles=patient)) as door:
         _, to_door = await door.client()
         to_door.write(b"".join(ask(trace=f"t{n}", X_Expires_In="60000m") for n in range(MOST_PIPELINED)))
-        await script.wait_for(Arrival, MOST_PIPELINED)
+        await script.wait_for(RequestArrived, MOST_PIPELINED)
         leave(to_door)
         await script.wait_for(RequestEnded, MOST_PIPELINED)
         await nothing_open(door)
@@ -263,7 +259,7 @@
         begun = unswept(door)
         leave(await pipelined(door))
         await has_left(door)
-        door.program.door._apply(Send(1, b"s-1"))  # the others of the connection end with it
+        door.program.door._apply(StartAttempt(1, b"s-1"))  # the others of the connection end with it
         assert not begun
         await script.wait_for(RequestEnded, MOST_PIPELINED)
         await nothing_open(door)
@@ -293,8 +289,8 @@
 @each_way
 async def test_no_further_attempt_begins_after_the_leaving(leave: Leave) -> None:
     def again(event: Event) -> list[Action]:
-        if isinstance(event, AttemptEnded) and not event.ended:
-            return [Send(event.request, b"s-1")]
+        if isinstance(event, AttemptEnded) and not event.request_ended:
+            return [StartAttempt(event.request_id, b"s-1")]
         return send_all(event)
 
     script = Script(again)
@@ -328,7 +324,7 @@
         reader, _ = await backend.connection()
         assert await began(reader) == b""
         ends = await script.wait_for(AttemptEnded, MOST_PIPELINED)
-        assert {(e.result, e.ended) for e in ends} == {(Result.NOT_SENT, True)}
+        assert {(e.outcome, e.request_ended) for e in ends} == {(Outcome.NOT_SENT, True)}
         await script.wait_for(RequestEnded, MOST_PIPELINED)
         await nothing_open(door)
         while not backend.accepted.empty():
@@ -363,7 +359,7 @@
 
 def all_but(held: int) -> Script:
     def reply(event: Event) -> list[Action]:
-        return [] if isinstance(event, Arrival) and event.request == held else send_all(event)
+        return [] if isinstance(event, RequestArrived) and event.request_id == held else send_all(event)
 
     return Script(reply)
 
@@ -382,7 +378,7 @@
         begun = unswept(door)
         leave(to_door)
         await has_left(door)
-        door.program.door._apply(Send(4, b"s-1"))
+        door.program.door._apply(StartAttempt(4, b"s-1"))
         assert not begun
         await script.wait_for(RequestEnded)
 
@@ -401,7 +397,7 @@
         half_close(to_door)
         await script.wait_for(RequestEnded)  # while the transport still holds the answer
         assert held.transport is not None and held.transport.get_write_buffer_size() > 0
-        door.program.door._apply(Send(2, b"s-1"))
+        door.program.door._apply(StartAttempt(2, b"s-1"))
         assert not begun
         cast(asyncio.Transport, to_door.transport).resume_reading()
         assert (await read_message(client))[2] == b"y" * 60_000  # what was answered before is not taken back
@@ -428,7 +424,7 @@
             with socket.create_connection(("127.0.0.1", door.program.clients.port())) as made:
                 made.sendall(ask())
                 leave(made)  # in the same turn: the loop has read neither
-                assert [e.request for e in await script.wait_for(RequestEnded)] == [2]
+                assert [e.request_id for e in await script.wait_for(RequestEnded)] == [2]
             assert not begun
 
     run()
@@ -437,8 +433,8 @@
 @socket_test
 async def test_a_server_told_to_drain_gets_nothing_that_still_connects() -> None:
     def on_to_the_next(event: Event) -> list[Action]:
-        if isinstance(event, AttemptEnded) and event.result is Result.NOT_CONNECTED:
-            return [Send(event.request, b"s-2")]
+        if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_CONNECTED:
+            return [StartAttempt(event.request_id, b"s-2")]
         return send_all(event)
 
     script = Script(on_to_the_next)
@@ -483,14 +479,18 @@
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
         told.set()
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.OK]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.OK]
 
 
 @pytest.mark.parametrize("is_timed", [True, False])  # else we stood still, and the timer is not due yet
 def test_a_copy_whose_time_is_over_is_never_written(is_timed: bool) -> None:
     # A key holds for so long from the first attempt; this connection takes longer.
     def copy(event: Event) -> list[Action]:
-        return [Send(event.request, b"s-1", begin_within=30_000)] if isinstance(event, Arrival) else []
+        return (
+            [StartAttempt(event.request_id, b"s-1", begin_within_us=30_000)]
+            if isinstance(event, RequestArrived)
+            else []
+        )
 
     async def run() -> None:
         script = Script(copy)
@@ -508,14 +508,14 @@
             await late.asked.wait()
             if is_timed:
                 [ended] = await script.wait_for(AttemptEnded)
-                assert not ended.ended
+                assert not ended.request_ended
             else:
                 [request] = door.program.door.requests.values()
                 assert request.attempts[0].latest is not None
                 request.attempts[0].latest.cancel()
                 clock.offset += 10**9
             late.go_on.set()
-            assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_CONNECTED]
+            assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
             door.program.door._apply(Fail(1))
             await nothing_open(door)
             assert backend.accepted.empty() or not await (await backend.connection())[0].read()
@@ -526,7 +526,11 @@
 @socket_test
 async def test_a_copy_written_in_time_has_all_its_time() -> None:
     def copy(event: Event) -> list[Action]:
-        return [Send(event.request, b"s-1", begin_within=1)] if isinstance(event, Arrival) else []
+        return (
+            [StartAttempt(event.request_id, b"s-1", begin_within_us=1)]
+            if isinstance(event, RequestArrived)
+            else []
+        )
 
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from yardlane.decisions.interface import Action, Arrival, Event, Refuse, Send
+from yardlane.decisions.actions import Action, Reject, StartAttempt
+from yardlane.decisions.events import Event, RequestArrived
 from yardlane.proxy.client_connection import MOST_BEHIND, MOST_PIPELINED, ClientSide, State
 from yardlane.descriptors import OWN, share
 from yardlane.proxy.listener import Listener
@@ -93,7 +94,7 @@
             [(reader, writer)] = await connected(door, 1)
             client = next(iter(door.program.clients.connections))
             writer.write(ask(trace="a1") + rest)
-            await script.wait_for(Arrival)
+            await script.wait_for(RequestArrived)
             hand.on(1.0)
             assert client.waiting  # it may still be answered
             hand.on(0.75)
@@ -124,20 +125,20 @@
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(b"".join(ask(trace=f"t{n}") for n in range(MOST_PIPELINED + 20)))
-        await script.wait_for(Arrival, MOST_PIPELINED)
+        await script.wait_for(RequestArrived, MOST_PIPELINED)
         client = next(iter(door.program.clients.connections))
         while len(client.waiting) < MOST_PIPELINED + 20:
             await asyncio.sleep(0)
         assert len(door.program.door.requests) == MOST_PIPELINED
         for number in list(door.program.door.requests):
-            door.program.door._apply(Refuse(number))
+            door.program.door._apply(Reject(number))
         statuses = [(await read_message(reader))[0].split()[1] for _ in range(MOST_PIPELINED + 20)]
         assert statuses == ["429"] * MOST_PIPELINED + ["503"] * 20
 
 
 @socket_test
 async def test_hundreds_of_requests_at_once_end_their_connection() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(lambda event: [Reject(event.request_id)] if isinstance(event, RequestArrived) else [])
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(b"".join(ask(trace=f"t{n}") for n in range(600)))
@@ -147,7 +148,9 @@
 
 @socket_test
 async def test_an_id_that_is_open_is_not_taken_again() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
@@ -156,14 +159,16 @@
         assert (await door.call(ask(trace="a1")))[0].split()[1] == "409"
         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nmine")
         assert (await read_message(client))[2] == b"mine"
-        assert len(await script.wait_for(Arrival)) == 1
+        assert len(await script.wait_for(RequestArrived)) == 1
         to_door.write(ask(trace="a1"))  # answered: the id is free again
-        await script.wait_for(Arrival, 2)
+        await script.wait_for(RequestArrived, 2)
 
 
 @socket_test
 async def test_trailers_are_no_headers() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         _, to_door = await door.client()
         to_door.write(
@@ -181,8 +186,8 @@
     async with running(script) as door:
         _, to_door = await door.client()
         to_door.write(ask(X_Expires_In="3000000m"))
-        [arrival] = await script.wait_for(Arrival)
-        assert arrival.time_left <= 10_000_000
+        [arrival] = await script.wait_for(RequestArrived)
+        assert arrival.time_left_us <= 10_000_000
 
 
 @socket_test
@@ -195,11 +200,11 @@
         _, to_door = await door.client()  # takes the place of the longest silent
         to_door.write(ask(trace="a0"))
         assert await ended(first[0]) == b""
-        await script.wait_for(Arrival)
+        await script.wait_for(RequestArrived)
         for n in range(1, 4):
             _, to_door = await door.client()
             to_door.write(ask(trace=f"a{n}"))
-            await script.wait_for(Arrival, n + 1)
+            await script.wait_for(RequestArrived, n + 1)
         newest, _ = await door.client()
         assert await ended(newest) == b""
         assert len(side.connections) == 4 and all(c.waiting for c in side.connections)
@@ -207,7 +212,7 @@
 
 @socket_test
 async def test_in_a_crowd_the_idle_leave_first_and_not_before_two_seconds() -> None:
-    script = Script(lambda event: [Refuse(event.request)] if isinstance(event, Arrival) else [])
+    script = Script(lambda event: [Reject(event.request_id)] if isinstance(event, RequestArrived) else [])
     async with running(script) as door:
         side = door.program.clients
         hand = Hand(side)
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from yardlane.decisions.interface import ListKind, ServerList, ServerState
+from yardlane.decisions.events import EndpointListUpdate, EndpointState, UpdateKind
 from yardlane.config import Address
 from yardlane.proxy.discovery_client import (
     MOST_LIST,
@@ -63,10 +63,10 @@
         assert "index=41&" in (await read_message(reader))[0]
         writer.write(changes(43, member("s-1", 9, phase="Terminating"), {"id": "s-2", "phase": "Gone"}))
         assert "index=43&" in (await read_message(reader))[0]
-        told = await script.wait_for(ServerList, 3)
-        assert [t.kind for t in told] == [ListKind.REMEMBERED, ListKind.COMPLETE, ListKind.CHANGES]
-        assert [e.started for e in told[1].entries] == [0, 1_700_000_000_123_000]
-        assert [e.state for e in told[2].entries] == [ServerState.DRAINING, ServerState.GONE]
+        told = await script.wait_for(EndpointListUpdate, 3)
+        assert [t.kind for t in told] == [UpdateKind.CACHED, UpdateKind.SNAPSHOT, UpdateKind.DELTA]
+        assert [e.started_at_us for e in told[1].endpoints] == [0, 1_700_000_000_123_000]
+        assert [e.state for e in told[2].endpoints] == [EndpointState.DRAINING, EndpointState.REMOVED]
 
 
 @socket_test
@@ -94,10 +94,10 @@
         await read_message(reader)
         writer.write(full(3, {"id": 5}, member("s-1", 9), member("s-2", 9, phase="Dancing")))
         assert "index=3&" in (await read_message(reader))[0]  # discovery began anew: its version counts
-        last = (await script.wait_for(ServerList, len(odd) + 2))[-1]
-        assert [(e.server, e.state) for e in last.entries] == [
-            (b"s-1", ServerState.READY),
-            (b"s-2", ServerState.DRAINING),
+        last = (await script.wait_for(EndpointListUpdate, len(odd) + 2))[-1]
+        assert [(e.endpoint_id, e.state) for e in last.endpoints] == [
+            (b"s-1", EndpointState.READY),
+            (b"s-2", EndpointState.DRAINING),
         ]
 
 
@@ -126,10 +126,10 @@
         assert (await read_message(reader))[0].startswith("GET /catalog/members HTTP")
         writer.write(full(42, member("s-1", 9, phase="Terminating")))
         assert "index=42&" in (await read_message(reader))[0]
-        told = [t for t in await script.wait_for(ServerList, 3) if t.kind is ListKind.COMPLETE]
-        assert [(t.version, t.entries[0].state) for t in told] == [
-            (41, ServerState.DRAINING),
-            (42, ServerState.DRAINING),
+        told = [t for t in await script.wait_for(EndpointListUpdate, 3) if t.kind is UpdateKind.SNAPSHOT]
+        assert [(t.version, t.endpoints[0].state) for t in told] == [
+            (41, EndpointState.DRAINING),
+            (42, EndpointState.DRAINING),
         ]
 
 
@@ -199,8 +199,8 @@
     reader = Reader(config())
     for n in range(1000):
         told, _ = reader.read(whole_list(member("s-1", 9, locality=f"z{n}", flavor=f"k{n}")))
-        [entry] = told.entries
-        assert (entry.zone, entry.kind) == (min(2 + n, MOST_NAMES), min(1 + n, MOST_NAMES))
+        [entry] = told.endpoints
+        assert (entry.zone, entry.hardware_kind) == (min(2 + n, MOST_NAMES), min(1 + n, MOST_NAMES))
     assert len(reader.zones) == len(reader.kinds) == MOST_NAMES
 
 
@@ -278,7 +278,7 @@
         )
         self.due, self.pause, self.since = self.watch.patience, self.watch.longest_pause, 0.0
 
-    def found(self, told: ServerList, places: dict[bytes, Address]) -> None:
+    def found(self, told: EndpointListUpdate, places: dict[bytes, Address]) -> None:
         if self.break_next:
             self.break_next = False
             raise RuntimeError("an error of ours")
@@ -497,7 +497,7 @@
                         loop.now += watch.patience / 4
                         await asyncio.sleep(0)
             await ended.wait()
-            assert loop.now <= latest_news(door.program.door.settings.drain_grace)["start"] / 1e6 <= 10
+            assert loop.now <= latest_news(door.program.door.settings.drain_grace_us)["start"] / 1e6 <= 10
             loop.refused, ready = False, bool(known and known["members"])
             loop.up.set()
             assert door.program.door.can_serve() is ready  # with no backend that it could name, it is not
@@ -552,13 +552,13 @@
     reader = Reader(config())
     members = [member("s-1", 9), *(member(f"s-{n}", 9, **odd) for n in range(2, 50))]
     told, places = reader.read(json.loads(json.dumps(whole_list(*members))))
-    assert [e.state for e in told.entries] == [ServerState.READY] + 48 * [ServerState.DRAINING]
+    assert [e.state for e in told.endpoints] == [EndpointState.READY] + 48 * [EndpointState.DRAINING]
     assert not reader.unclear and (b"s-2" in places) is ("host_port" not in odd)
-    assert all(e.weight == 1.0 and e.started == 0 for e in told.entries)
+    assert all(e.weight == 1.0 and e.started_at_us == 0 for e in told.endpoints)
     [line] = caplog.records
     assert len(line.getMessage()) < 300
     gone, _ = reader.read({"revision": 2, "members": [member("s-1", 9, **{**odd, "phase": "Gone"})]})
-    assert [e.state for e in gone.entries] == [ServerState.GONE]
+    assert [e.state for e in gone.endpoints] == [EndpointState.REMOVED]
 
 
 @pytest.mark.parametrize(
@@ -582,19 +582,19 @@
 @pytest.mark.parametrize(
     ("phases", "state"),
     [
-        (("Ready", "Terminating"), ServerState.DRAINING),
-        (("Terminating", "Ready"), ServerState.DRAINING),
-        (("Gone", "Ready"), ServerState.GONE),
-        (("Ready", "Gone"), ServerState.GONE),
+        (("Ready", "Terminating"), EndpointState.DRAINING),
+        (("Terminating", "Ready"), EndpointState.DRAINING),
+        (("Gone", "Ready"), EndpointState.REMOVED),
+        (("Ready", "Gone"), EndpointState.REMOVED),
     ],
 )
 def test_of_two_entries_for_one_server_the_less_ready_counts(
-    phases: tuple[str, str], state: ServerState
+    phases: tuple[str, str], state: EndpointState
 ) -> None:
     reader = Reader(config())
     told, places = reader.read({"revision": 2, "members": [member("s-1", 9, phase=p) for p in phases]})
-    assert [e.state for e in told.entries] == [state]
-    assert bool(places) is (state is not ServerState.GONE)
+    assert [e.state for e in told.endpoints] == [state]
+    assert bool(places) is (state is not EndpointState.REMOVED)
     assert reader.unclear
 
 
@@ -608,8 +608,10 @@
         assert "index=41&" in (await read_message(reader))[0]
         writer.write(changes(42, {"phase": "Terminating"}, member("s-2", 9, phase="Terminating")))
         assert (await read_message(reader))[0].startswith("GET /catalog/members HTTP")
-        told = await script.wait_for(ServerList, 3)
-        assert [(e.server, e.state) for e in told[2].entries] == [(b"s-2", ServerState.DRAINING)]  # at once
+        told = await script.wait_for(EndpointListUpdate, 3)
+        assert [(e.endpoint_id, e.state) for e in told[2].endpoints] == [
+            (b"s-2", EndpointState.DRAINING)
+        ]  # at once
         writer.write(full(42, {"phase": "Ready"}, member("s-1", 9, phase="Terminating")))
         assert "index=42&" in (await read_message(reader))[0]  # what cannot be read for good holds up nothing
         assert door.program.discovery.version == 42
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -3,7 +3,8 @@
 import asyncio
 import socket
 
-from yardlane.decisions.interface import Arrival, Refuse, Send
+from yardlane.decisions.actions import Reject, StartAttempt
+from yardlane.decisions.events import RequestArrived
 from yardlane.__main__ import time_to_answer
 from yardlane.proxy.client_connection import State
 from tests.loopback import (
@@ -45,7 +46,9 @@
 @socket_test
 async def test_what_a_hung_backend_leaves_open_is_answered_by_then() -> None:
     brief = [{**c, "deadline_us": 200_000} for c in settings()["profiles"]]
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with (
         Peer() as backend,
         running(
@@ -142,10 +145,10 @@
     async with running(script) as door:
         reader, writer = await door.client()
         writer.write(ask(trace="a") + ask(trace="b"))
-        await script.wait_for(Arrival, 2)
-        door.program.door._apply(Refuse(2))  # waits behind the first one's
+        await script.wait_for(RequestArrived, 2)
+        door.program.door._apply(Reject(2))  # waits behind the first one's
         door.program.clients.draining = True
-        door.program.door._apply(Refuse(1))
+        door.program.door._apply(Reject(1))
         for _ in range(2):
             assert (await read_message(reader))[0].split()[1] == "429"
         side = door.program.clients
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -13,8 +13,10 @@
 import pytest
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import Action, Arrival, Event, Refuse, Send, ServerList, Wake, Woken
-from yardlane.config import ConfigError, load
+from yardlane.decisions.actions import Action, Reject, SetTimer, StartAttempt
+from yardlane.decisions.events import EndpointListUpdate, Event, RequestArrived, TimerFired
+from yardlane.config import load
+from yardlane.errors import ConfigError
 from tests.loopback import (
     Peer,
     Script,
@@ -35,9 +37,9 @@
 @socket_test
 async def test_a_failing_decision_is_its_own_requests_failure() -> None:
     def fail_on_odd(event: Event) -> list[Action]:
-        if isinstance(event, Arrival) and event.customer == 1:
+        if isinstance(event, RequestArrived) and event.tenant == 1:
             raise RuntimeError("out of luck")
-        return [Refuse(event.request)] if isinstance(event, Arrival) else []
+        return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
     async with running(Script(fail_on_odd)) as door:
         reader, writer = await door.client()
@@ -51,9 +53,14 @@
 @socket_test
 async def test_an_action_that_cannot_be_done_stops_no_other() -> None:
     def odd(event: Event) -> list[Action]:
-        if not isinstance(event, Arrival):
+        if not isinstance(event, RequestArrived):
             return []
-        actions: list[Any] = [Send(10**9, b"s-1"), Refuse(10**9), "no action", Refuse(event.request)]
+        actions: list[Any] = [
+            StartAttempt(10**9, b"s-1"),
+            Reject(10**9),
+            "no action",
+            Reject(event.request_id),
+        ]
         return actions
 
     async with running(Script(odd)) as door:
@@ -116,7 +123,9 @@
 
 @socket_test
 async def test_draining_answers_what_its_backend_does_not() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
         to_door.write(ask())
@@ -236,7 +245,7 @@
 @socket_test
 async def test_the_module_is_woken_no_sooner_than_it_asked() -> None:
     # Woken early it has nothing to do yet, and counts on being woken when it asked to be.
-    script = Script(lambda event: [Wake(5_000, 7)] if isinstance(event, ServerList) else [])
+    script = Script(lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else [])
     async with running(script) as door:
         door.program.door.loop = cast(asyncio.AbstractEventLoop, EarlyTimers(asyncio.get_running_loop()))
         at: dict[type[Event], int] = {}
@@ -247,5 +256,5 @@
             return handle(now, events)
 
         script.handle = timed  # type: ignore[method-assign]
-        await script.wait_for(Woken)
-        assert at[Woken] >= at[ServerList] + 5_000
+        await script.wait_for(TimerFired)
+        assert at[TimerFired] >= at[EndpointListUpdate] + 5_000
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from yardlane.decisions.interface import Count, CountAnswer, Result, ServerList
+from yardlane.decisions.actions import AddToCounter
+from yardlane.decisions.events import CounterResult, EndpointListUpdate, Outcome
 from tests.loopback import (
     Peer,
     Script,
@@ -58,7 +59,9 @@
         await to_new.readuntil(b"\r\n\r\n")
         agent.write(answer(200, as_json(whole_list(member("s-2", 9), revision=3))))
         assert "index=3&" in (await read_message(to_new))[0]
-        assert [e.server for e in (await script.wait_for(ServerList, 3))[-1].entries] == [b"s-2"]
+        assert [e.endpoint_id for e in (await script.wait_for(EndpointListUpdate, 3))[-1].endpoints] == [
+            b"s-2"
+        ]
 
 
 @socket_test
@@ -70,18 +73,18 @@
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
         count = door.program.door._apply
-        count(Count(1, 1.0, 1000))
+        count(AddToCounter(1, 1.0, 1000))
         reader, writer = await old.connection()
         await reader.readuntil(b"\r\n")
         door.program.door.recount(("127.0.0.1", new.port))
-        count(Count(1, 2.0, 1000))
+        count(AddToCounter(1, 2.0, 1000))
         to_new, counter = await new.connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"  # the first is not said again
         writer.write(b"ok 1\r\n")
         assert await reader.read() == b""  # closed once nothing is open there
         counter.write(b"ok 3\r\n")
-        ends = await script.wait_for(CountAnswer, 2)
-        assert [(e.result, e.total) for e in ends] == [(Result.OK, 1.0), (Result.OK, 3.0)]
+        ends = await script.wait_for(CounterResult, 2)
+        assert [(e.outcome, e.total) for e in ends] == [(Outcome.OK, 1.0), (Outcome.OK, 3.0)]
 
 
 @socket_test
@@ -92,12 +95,12 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(Count(1, 1.0, 1000))
+        door.program.door._apply(AddToCounter(1, 1.0, 1000))
         door.program.door.recount(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
-        assert [e.result for e in await script.wait_for(CountAnswer)] == [Result.OK]
+        assert [e.outcome for e in await script.wait_for(CounterResult)] == [Outcome.OK]
 
 
 @socket_test
@@ -108,12 +111,12 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(Count(1, 1.0, 1000))
+        door.program.door._apply(AddToCounter(1, 1.0, 1000))
         reader, _ = await old.connection()
         await reader.readuntil(b"\r\n")
         door.program.door.recount(("127.0.0.1", new.port))
         assert await reader.read() == b""
-        assert [e.result for e in await script.wait_for(CountAnswer)] == [Result.TIMED_OUT]
+        assert [e.outcome for e in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 def test_sighup_reads_the_file_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -12,19 +12,10 @@
 import pytest
 import uvloop
 
-from yardlane.decisions.interface import (
-    Action,
-    Arrival,
-    AttemptEnded,
-    Cancel,
-    Event,
-    LoadReport,
-    RequestEnded,
-    Result,
-    Send,
-)
+from yardlane.decisions.actions import Action, CancelAttempt, StartAttempt
+from yardlane.decisions.events import AttemptEnded, Event, LoadReport, Outcome, RequestArrived, RequestEnded
 from yardlane.proxy.upstream_connection import REST, STALLED, Attempt, Backend, Pool
-from yardlane.proxy.proxy import Door
+from yardlane.proxy.proxy import Proxy
 from tests.loopback import (
     Peer,
     Running,
@@ -47,33 +38,33 @@
 @pytest.mark.parametrize(
     ("written", "result", "status"),
     [
-        (answer(200, b"yes"), Result.OK, "200"),
-        (answer(500), Result.ERROR, "502"),
-        (answer(404), Result.ERROR, "502"),
-        (answer(503, extra="X-Never-Ran: 1\r\n"), Result.TURNED_AWAY, "502"),
-        (answer(504, extra="X-Never-Ran: 1\r\n"), Result.TURNED_AWAY, "502"),
-        (answer(503), Result.ERROR, "502"),
-        (answer(503, extra="X-Never-Ran: 0\r\n"), Result.ERROR, "502"),
-        (answer(500, extra="X-Never-Ran: 1\r\n"), Result.ERROR, "502"),
-        (CLOSE, Result.CONNECTION_LOST, "502"),
-        (answer(200, b"yes")[:-1] + CLOSE, Result.CONNECTION_LOST, "502"),
-        (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Result.CONNECTION_LOST, "502"),
-        (b"nonsense\r\n\r\n", Result.CONNECTION_LOST, "502"),
-        (b"HTTP/1.1 200 X\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", Result.CONNECTION_LOST, "502"),
-        (b"HTTP/1.1 102 X\r\n\r\n" + answer(200, b"yes"), Result.OK, "200"),
-        (b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc", Result.CONNECTION_LOST, "502"),
-        (b"HTTP/1.1 102 X\r\n\r\n" * 100, Result.CONNECTION_LOST, "502"),
-        (answer(200, b"yes") + answer(200, b"yes"), Result.OK, "200"),
-        (answer(200, b"yes") + b"\x00\xffnoise", Result.OK, "200"),
-        (answer(200, b"yes", "Connection: close\r\n") + b"noise", Result.OK, "200"),
+        (answer(200, b"yes"), Outcome.OK, "200"),
+        (answer(500), Outcome.ERROR, "502"),
+        (answer(404), Outcome.ERROR, "502"),
+        (answer(503, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (answer(504, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (answer(503), Outcome.ERROR, "502"),
+        (answer(503, extra="X-Never-Ran: 0\r\n"), Outcome.ERROR, "502"),
+        (answer(500, extra="X-Never-Ran: 1\r\n"), Outcome.ERROR, "502"),
+        (CLOSE, Outcome.CONNECTION_LOST, "502"),
+        (answer(200, b"yes")[:-1] + CLOSE, Outcome.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Outcome.CONNECTION_LOST, "502"),
+        (b"nonsense\r\n\r\n", Outcome.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 200 X\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", Outcome.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 102 X\r\n\r\n" + answer(200, b"yes"), Outcome.OK, "200"),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc", Outcome.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 102 X\r\n\r\n" * 100, Outcome.CONNECTION_LOST, "502"),
+        (answer(200, b"yes") + answer(200, b"yes"), Outcome.OK, "200"),
+        (answer(200, b"yes") + b"\x00\xffnoise", Outcome.OK, "200"),
+        (answer(200, b"yes", "Connection: close\r\n") + b"noise", Outcome.OK, "200"),
         (
             answer(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"),
-            Result.OK,
+            Outcome.OK,
             "200",
         ),
     ],
 )
-def test_outcomes(written: bytes, result: Result, status: str) -> None:
+def test_outcomes(written: bytes, result: Outcome, status: str) -> None:
     async def run() -> None:
         script = Script(send_all)
         async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
@@ -86,8 +77,8 @@
                 writer.close()
             assert (await read_message(client))[0].split()[1] == status
             [ended] = await script.wait_for(AttemptEnded)
-            assert (ended.attempt, ended.server, ended.result) == (0, b"s-1", result)
-            assert ended.ended is (result is Result.OK)
+            assert (ended.attempt_index, ended.endpoint_id, ended.outcome) == (0, b"s-1", result)
+            assert ended.request_ended is (result is Outcome.OK)
             assert backend.accepted.empty()  # nothing is sent again behind the module's back
 
     async def limited() -> None:
@@ -104,7 +95,7 @@
     script = Script(send_all)  # nobody listens any more
     async with running(script, known=whole_list(member("s-1", port))) as door:
         assert (await door.call(ask()))[0].split()[1] == "502"
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_CONNECTED]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
 
 
 @socket_test
@@ -121,7 +112,7 @@
             # The client has time without end: only the connect time-out can end this.
             assert (await door.call(ask(X_Expires_In="3000000m")))[0].split()[1] == "502"
             [ended] = await script.wait_for(AttemptEnded)
-            assert ended.result is Result.NOT_CONNECTED and not door.program.pool.all
+            assert ended.outcome is Outcome.NOT_CONNECTED and not door.program.pool.all
 
 
 @socket_test
@@ -129,7 +120,7 @@
     script = Script(lambda event: send_all(event, b"s-2"))
     async with running(script, known=whole_list(member("s-1", 9))) as door:
         assert (await door.call(ask()))[0].split()[1] == "502"
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_SENT]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
 
 
 @socket_test
@@ -147,13 +138,17 @@
             )
         )
         [ended] = await script.wait_for(AttemptEnded)
-        assert (ended.usage, ended.load) == (140, LoadReport(waiting=3.0, busy=0.25, service_ms=8.5))
+        assert (ended.usage_percent, ended.load) == (140, LoadReport(queued=3.0, utilization=0.25))
 
 
 @socket_test
 async def test_the_attempts_time_out_ends_it_and_closes_its_connection() -> None:
     def short(event: Event) -> list[Action]:
-        return [Send(event.request, b"s-1", 1_000_000)] if isinstance(event, Arrival) else send_all(event)
+        return (
+            [StartAttempt(event.request_id, b"s-1", 1_000_000)]
+            if isinstance(event, RequestArrived)
+            else send_all(event)
+        )
 
     script = Script(short)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
@@ -163,14 +158,16 @@
         await read_message(reader)
         assert (await read_message(client))[0].split()[1] == "502"
         [ended] = await script.wait_for(AttemptEnded)
-        assert ended.result is Result.TIMED_OUT and not ended.ended
+        assert ended.outcome is Outcome.TIMED_OUT and not ended.request_ended
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
 
 
 @socket_test
 async def test_an_attempt_never_outlives_its_clients_time() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
         to_door.write(ask(X_Expires_In="1000m"))
@@ -179,14 +176,18 @@
         # The module stays silent: the door still owes the client one final answer.
         assert (await read_message(client))[0].split()[1] == "500"
         [ended] = await script.wait_for(AttemptEnded)
-        assert ended.result is Result.TIMED_OUT
+        assert ended.outcome is Outcome.TIMED_OUT
         await script.wait_for(RequestEnded)
 
 
 @socket_test
 async def test_the_first_good_answer_is_final_and_the_loser_is_drained() -> None:
     def twice(event: Event) -> list[Action]:
-        return [Send(event.request, b) for b in (b"s-1", b"s-2")] if isinstance(event, Arrival) else []
+        return (
+            [StartAttempt(event.request_id, b) for b in (b"s-1", b"s-2")]
+            if isinstance(event, RequestArrived)
+            else []
+        )
 
     script = Script(twice)
     async with (
@@ -203,7 +204,10 @@
         assert (await read_message(client))[2] == b"second"
         to_first.write(answer(200, b"first"))
         ended = await script.wait_for(AttemptEnded, 2)
-        assert [(e.attempt, e.result, e.ended) for e in ended] == [(1, Result.OK, True), (0, Result.OK, True)]
+        assert [(e.attempt_index, e.outcome, e.request_ended) for e in ended] == [
+            (1, Outcome.OK, True),
+            (0, Outcome.OK, True),
+        ]
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert (await read_message(client))[2] == b"ready\n"  # the loser's body was never written
         assert not door.program.door.requests
@@ -212,7 +216,7 @@
 @socket_test
 async def test_a_cancel_closes_the_attempts_connection() -> None:
     def cancel(event: Event) -> list[Action]:
-        return [Cancel(event.request, 0)] if isinstance(event, RequestEnded) else send_all(event)
+        return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
 
     script = Script(cancel)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
@@ -222,7 +226,7 @@
         await read_message(reader)
         to_door.transport.abort()
         [ended] = await script.wait_for(AttemptEnded)
-        assert (ended.result, ended.ended) == (Result.CANCELLED, True)
+        assert (ended.outcome, ended.request_ended) == (Outcome.CANCELLED, True)
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
 
@@ -258,7 +262,7 @@
 
 @socket_test
 async def test_a_connection_in_its_last_moment_may_have_carried_the_request() -> None:
-    ends: list[Result] = []
+    ends: list[Outcome] = []
     async with Peer() as backend:
         pool = Pool(config(), 8, cast(asyncio.AbstractEventLoop, LateLoop()))
         attempt = Attempt(1, 0, b"s-1", 0, lambda attempt, result, answer: ends.append(result))
@@ -267,12 +271,14 @@
         await backend.connection()
         while not ends:
             await asyncio.sleep(0)
-    assert ends == [Result.CONNECTION_LOST]
+    assert ends == [Outcome.CONNECTION_LOST]
 
 
 @socket_test
 async def test_more_attempts_than_connections_are_not_sent_and_no_backends_fault() -> None:
-    script = Script(lambda event: [Send(event.request, b"s-1")] if isinstance(event, Arrival) else [])
+    script = Script(
+        lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
+    )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         door.program.pool.most = 1
         _, first = await door.client()
@@ -280,7 +286,7 @@
         await backend.connection()
         _, second = await door.client()
         second.write(ask(trace="a2"))
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.NOT_SENT]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
 
 
 @pytest.mark.parametrize("behind", [answer(200, b"stale"), b"noise", answer(200, b"stale")[:20]])
@@ -342,7 +348,7 @@
         await read_message(reader)
         writer.write(answer()[:10])
         assert (await read_message(client))[0].split()[1] == "502"
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [Result.CONNECTION_LOST]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.CONNECTION_LOST]
 
 
 @socket_test
@@ -370,7 +376,7 @@
     async with (
         Peer() as backend,
         running(
-            Script(lambda event: send_all(event, b"s-2" if getattr(event, "request", 0) > 1 else b"s-1")),
+            Script(lambda event: send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")),
             known=whole_list(member("s-1", backend.port)),
         ) as door,
     ):
@@ -403,7 +409,7 @@
             )
         )
         [ended] = await script.wait_for(AttemptEnded)
-        assert (ended.result, ended.load) == (Result.OK, None)
+        assert (ended.outcome, ended.load) == (Outcome.OK, None)
 
 
 @socket_test
@@ -541,47 +547,47 @@
     return got
 
 
-def by_reset(door: Door, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_reset(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
     reset(peer)
 
 
-def by_time(door: Door, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_time(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
     assert connection.attempt is not None
     connection.attempt.time_out()
 
 
-def by_cancel(door: Door, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
-    door._apply(Cancel(1, 0))
+def by_cancel(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+    door._apply(CancelAttempt(1, 0))
 
 
-def by_client(door: Door, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_client(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
     buffers.to_door.transport.abort()
 
 
-def by_answer(door: Door, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_answer(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
     peer.send(answer(200, b"to what?"))
 
 
-Ending = Callable[[Door, Backend, socket.socket, SmallBuffers], None]
+Ending = Callable[[Proxy, Backend, socket.socket, SmallBuffers], None]
 
 
 @pytest.mark.parametrize(
     ("end", "half", "whole"),
     [
-        (by_reset, Result.NOT_CONNECTED, Result.CONNECTION_LOST),
-        (by_time, Result.NOT_CONNECTED, Result.TIMED_OUT),
-        (by_cancel, Result.NOT_SENT, Result.CANCELLED),
-        (by_client, Result.NOT_SENT, Result.OK),  # written whole, it goes on
+        (by_reset, Outcome.NOT_CONNECTED, Outcome.CONNECTION_LOST),
+        (by_time, Outcome.NOT_CONNECTED, Outcome.TIMED_OUT),
+        (by_cancel, Outcome.NOT_SENT, Outcome.CANCELLED),
+        (by_client, Outcome.NOT_SENT, Outcome.OK),  # written whole, it goes on
         (
             by_answer,
-            Result.NOT_CONNECTED,
-            Result.OK,
+            Outcome.NOT_CONNECTED,
+            Outcome.OK,
         ),  # on a new connection only this request can have caused it
     ],
 )
 @pytest.mark.parametrize("is_half", [True, False])
 def test_a_request_whose_last_byte_never_left_never_ran(
-    end: Ending, half: Result, whole: Result, is_half: bool
+    end: Ending, half: Outcome, whole: Outcome, is_half: bool
 ) -> None:
     async def run() -> None:
         script, buffers = Script(send_all), SmallBuffers()
@@ -604,8 +610,8 @@
             head = got.index(b"\r\n\r\n") + 4
             assert is_half is (unsent > 0) and len(got) <= head + 65_536 - unsent  # none came after the end
 
-    async def ended_as(script: Script, result: Result) -> None:
-        assert [e.result for e in await script.wait_for(AttemptEnded)] == [result]
+    async def ended_as(script: Script, result: Outcome) -> None:
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [result]
 
     socket_test(run)()
 
@@ -655,7 +661,10 @@
 
         resting.is_clean = look_then_reset  # type: ignore[method-assign]
         to_door.write(ask(trace="a2"))
-        assert [e.result for e in await script.wait_for(AttemptEnded, 2)] == [Result.OK, Result.NOT_CONNECTED]
+        assert [e.outcome for e in await script.wait_for(AttemptEnded, 2)] == [
+            Outcome.OK,
+            Outcome.NOT_CONNECTED,
+        ]
 
 
 @pytest.mark.parametrize("is_read", [True, False])
@@ -727,5 +736,5 @@
         await take(peer, connection)  # the kernel has it all, and the backend not yet
         peer.send(answer(200, b"late"))
         assert (await read_message(buffers.client))[0].split()[1] == "502"
-        assert (await script.wait_for(AttemptEnded, 2))[1].result is Result.CONNECTION_LOST
+        assert (await script.wait_for(AttemptEnded, 2))[1].outcome is Outcome.CONNECTION_LOST
         assert pool.late
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -11,18 +11,18 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from yardlane.errors import WireError
+from yardlane.errors import CodecError
 from yardlane.simulator import adapter as drill, codec as wire
-from yardlane.decisions.interface import (
-    Arrival,
+from yardlane.decisions.actions import StartAttempt
+from yardlane.decisions.events import (
     AttemptEnded,
-    CountAnswer,
+    CounterResult,
+    EndpointListUpdate,
+    EndpointState,
+    Outcome,
+    RequestArrived,
     RequestEnded,
-    Result,
-    Send,
-    ServerList,
-    ServerState,
-    Woken,
+    TimerFired,
 )
 
 SETTINGS = b"""discovery=pushed
@@ -83,22 +83,24 @@
     )
     events = [event for _, event in got]
     assert [door for door, _ in got] == [3] * 6
-    assert events[0] == Arrival(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
+    assert events[0] == RequestArrived(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
     ended = events[1]
-    assert isinstance(ended, AttemptEnded) and ended.result is Result.TURNED_AWAY
-    assert (ended.usage, ended.true_units, ended.load and ended.load.in_hand) == (40, 6, 7.0)
-    assert events[2] == CountAnswer(99, Result.OK, 4.5, 12)
-    assert events[3:5] == [RequestEnded(78), Woken(6)]
-    assert isinstance(events[5], ServerList) and events[5].entries[0].state is ServerState.DRAINING
+    assert isinstance(ended, AttemptEnded) and ended.outcome is Outcome.REJECTED
+    assert (ended.usage_percent, ended.load and ended.load.in_flight) == (40, 7.0)
+    assert events[2] == CounterResult(99, Outcome.OK, 4.5, 12)
+    assert events[3:5] == [RequestEnded(78), TimerFired(6)]
+    assert (
+        isinstance(events[5], EndpointListUpdate) and events[5].endpoints[0].state is EndpointState.DRAINING
+    )
 
 
 def test_omitted_fields_read_as_nought() -> None:
     [(_, event)] = read(record(1060, struct.pack("<IQfBHfQ", 3, 77, 1.0, 0, 2, 2.0, 55)))
-    assert event == Arrival(77, 55, 2, 0, 0, 0.0, 1, 2)
+    assert event == RequestArrived(77, 55, 2, 0, 0, 0.0, 1, 2)
 
 
 def test_actions_go_out_as_the_wire_has_them() -> None:
-    out = wire.write_action(3, Send(77, b"\x0a\x01\x02\x03\x50\x00", 80))
+    out = wire.write_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
     assert out == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
     assert wire.write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
 
@@ -110,8 +112,8 @@
         init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0))
     )
     [_, (_, event)] = list(wire.read_batch(whole, {})[1])
-    assert (event.request, event.time_left) == (request, left)  # type: ignore[union-attr]
-    with pytest.raises(WireError):
+    assert (event.request_id, event.time_left_us) == (request, left)  # type: ignore[union-attr]
+    with pytest.raises(CodecError):
         drill.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
 
 
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -5,40 +5,44 @@
 
 import pytest
 
+from yardlane.errors import SettingsError
 from yardlane.simulator import adapter as drill
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import Arrival, AttemptEnded, Result
-from tests.gateway_driver import CLASSES, PLANS, Desk, name, settings
+from yardlane.decisions.events import AttemptEnded, Outcome, RequestArrived
+from tests.gateway_driver import CLASSES, PLANS, GatewayDriver, make_endpoint_id, make_settings
 
 
 @pytest.mark.parametrize(
     ("field", "changes"),
     [
-        ("gateways", {"gateways": 0}),
+        ("gateway_count", {"gateway_count": 0}),
         ("rank", {"rank": 3}),
-        ("classes", {"classes": ()}),
-        ("warm_up", {"warm_up": -1}),
-        ("counter_timeout", {"counter_timeout": -5}),
-        ("start_capacity", {"start_capacity": 0.0}),
-        (r"classes\[0\].aim", {"classes": (replace(CLASSES[0], aim=0),)}),
-        (r"plans\[1\].rate", {"plans": (PLANS[0], replace(PLANS[1], rate=-2.0))}),
+        ("request_classes", {"request_classes": ()}),
+        ("warm_up_us", {"warm_up_us": -1}),
+        ("counter_timeout_us", {"counter_timeout_us": -5}),
+        ("initial_capacity_share", {"initial_capacity_share": 0.0}),
+        (
+            r"request_classes\[0\].latency_objective_us",
+            {"request_classes": (replace(CLASSES[0], latency_objective_us=0),)},
+        ),
+        (r"quota_plans\[1\].rate_per_s", {"quota_plans": (PLANS[0], replace(PLANS[1], rate_per_s=-2.0))}),
     ],
 )
 def test_wrong_settings_name_their_field(field: str, changes: dict[str, Any]) -> None:
-    with pytest.raises(ValueError, match=field):
-        settings(**changes)
+    with pytest.raises(SettingsError, match=field):
+        make_settings(**changes)
 
 
-@pytest.mark.parametrize(("field", "plan", "kind"), [("plan", 9, 0), ("request_class", 0, 7)])
+@pytest.mark.parametrize(("field", "plan", "kind"), [("quota_plan", 9, 0), ("request_class", 0, 7)])
 def test_an_unknown_class_or_plan_is_named(field: str, plan: int, kind: int) -> None:
-    gateway = Gateway(settings(), seed=1)
-    with pytest.raises(ValueError, match=field):
-        gateway.handle(0, [Arrival(1, 5, plan, kind, 1_000_000, 1.0, 0, 3)])
+    gateway = Gateway(make_settings(), seed=1)
+    with pytest.raises(SettingsError, match=field):
+        gateway.handle(0, [RequestArrived(1, 5, plan, kind, 1_000_000, 1.0, 0, 3)])
 
 
 def test_an_outcome_of_an_unknown_request_changes_nothing() -> None:
-    desk = Desk()
-    assert desk.give(AttemptEnded(99, 0, name(1), Result.OK, 1000, True)) == []
+    desk = GatewayDriver()
+    assert desk.give(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
     assert desk.gateway.out == 0
 
 
@@ -47,7 +51,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def serve(*_: object) -> None:
-        settings(rank=8)
+        make_settings(rank=8)
 
     monkeypatch.setattr(drill, "serve", serve)
     assert drill.main() == 2
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -78,7 +78,7 @@
     assert PACKAGE / "decisions" / "gateway.py" in POLICY
     for path in (PACKAGE / "decisions").glob("*.py"):
         outside = {name for name in imported(path) if not name.startswith("yardlane.decisions")}
-        assert outside <= DECISION_LIBRARIES | {"yardlane.errors", "yardlane.errors.YardlaneError"}, path
+        assert outside <= DECISION_LIBRARIES | {"yardlane.errors", "yardlane.errors.SettingsError"}, path
 
 
 def test_the_policy_of_the_deploy_file_is_in_the_decisions() -> None:
@@ -96,7 +96,11 @@
     """Only who assembles a program knows the gateway: the proxy and the codec know its interface alone."""
     knows = {path for path in MODULES if "yardlane.decisions.gateway" in imported(path)}
     assert knows <= {PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
-    assert imported(PACKAGE / "decisions" / "interface.py") == {"__future__", "dataclasses", "enum", "typing"}
+    for name in ("events", "actions", "decider"):
+        own = {f"yardlane.decisions.{part}" for part in ("events", "actions")}
+        classes = {f"{module}.{one}" for module in own for one in ("Action", "Event")}
+        allowed = {"__future__", "dataclasses", "enum", "typing"} | own | classes
+        assert imported(PACKAGE / "decisions" / f"{name}.py") <= allowed
 
 
 def test_what_the_build_compiles_stands_whatever_times_the_files_get(tmp_path: Path) -> None:
--- a/yardlane/__main__.py
+++ b/yardlane/__main__.py
@@ -14,12 +14,14 @@
 import uvloop
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import Decider, Settings
+from yardlane.decisions.decider import Decider
+from yardlane.decisions.settings import Settings
 from yardlane.proxy.upstream_connection import Pool
 from yardlane.proxy.client_connection import ClientSide
-from yardlane.config import Config, ConfigError, load
+from yardlane.config import Config, load
+from yardlane.errors import ConfigError
 from yardlane.proxy.discovery_client import Discovery
-from yardlane.proxy.proxy import Door
+from yardlane.proxy.proxy import Proxy
 from yardlane.descriptors import held, share
 
 log = logging.getLogger("yardlane")
@@ -52,7 +54,7 @@
 
 def time_to_answer(settings: Settings) -> int:
     """Microseconds from SIGTERM until all must be answered, so that SIGKILL finds nothing open."""
-    longest = max(rule.deadline for rule in settings.classes)
+    longest = max(rule.deadline_us for rule in settings.request_classes)
     return max(0, min(longest, LONGEST_COUNTED) + BEFORE_KILL - TO_WRITE)
 
 
@@ -63,7 +65,7 @@
         limits = share(held(config.sockets))
         self.loop = loop
         self.pool = Pool(config, limits.backends, loop)
-        self.door = Door(config, decider, self.pool, loop)
+        self.door = Proxy(config, decider, self.pool, loop)
         self.clients = ClientSide(config, self.door, limits.clients, loop)
         self.discovery = Discovery(config, self.door.listed, self.door.unheard)
         self.door.on_refetch = self.discovery.refetch
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -8,17 +8,14 @@
 from typing import Any
 
 from yardlane import settings_reader
-from yardlane.decisions.interface import Settings
+from yardlane.errors import ConfigError, SettingsError
+from yardlane.decisions.settings import Settings
 
 Address = tuple[str, int]
 
 SOCKETS = 1024  # descriptors that we may hold where nothing is told
 
 
-class ConfigError(ValueError):
-    """A configuration that cannot be used; the text says where and why."""
-
-
 @dataclass(frozen=True, slots=True)
 class Config:
     """All that a front door is told at its start. Times are microseconds."""
@@ -71,7 +68,7 @@
         return parse(told)
     except ConfigError:
         raise
-    except (ValueError, TypeError, KeyError, OverflowError) as error:
+    except (SettingsError, ValueError, TypeError, KeyError, OverflowError) as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error}") from None
 
 
@@ -84,7 +81,7 @@
     settings, _ = settings_reader.read_settings(values)
     reader = settings_reader.Reader(values)
     counter = told.get("counter")
-    if settings.counter and not counter:
+    if settings.has_shared_counter and not counter:
         raise ConfigError("counter is missing, though the settings tell of one")
     limits = told.get("limits") or {}
     if not isinstance(limits, dict):
@@ -105,8 +102,8 @@
         sockets=sockets,
         known=told.get("known"),
         settings=settings,
-        classes=_names(reader, "profiles", len(settings.classes)),
-        plans=_names(reader, "packages", len(settings.plans)),
+        classes=_names(reader, "profiles", len(settings.request_classes)),
+        plans=_names(reader, "packages", len(settings.quota_plans)),
         zones=_list(nested.get("zones")),
         kinds=_list(nested.get("kinds")),
         connect_timeout=reader.positive("permissions.connect_timeout_us", "250000"),
--- a/yardlane/decisions/endpoints.py
+++ b/yardlane/decisions/endpoints.py
@@ -6,7 +6,8 @@
 import zlib
 from collections import defaultdict, deque
 
-from yardlane.decisions.interface import ListKind, Plan, ServerEntry, ServerList, ServerState, Settings
+from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
+from yardlane.decisions.settings import QuotaPlan, Settings
 
 # Servers that a gateway uses, its subset. With more than it sends requests in a second, none is known well
 # (what is out there, how slow it is, whether it lives), and each request opens a connection of its own.
@@ -22,10 +23,10 @@
 class Server:
     """One server as this gateway knows it."""
 
-    def __init__(self, entry: ServerEntry, turn: int) -> None:
+    def __init__(self, entry: Endpoint, turn: int) -> None:
         self.entry, self.out = entry, 0  # its line of the list; attempts of this gateway out there
         self.others, self.slow = 0.0, 1.0  # what the others have there, as told; its times over those of all
-        self.bad: defaultdict[Plan | None, float] = defaultdict(float)  # failures, 0 to 1; by plan: full
+        self.bad: defaultdict[QuotaPlan | None, float] = defaultdict(float)  # failures, 0 to 1; by plan: full
         self.last_good = self.told_at = self.last_sent = 0
         self.turn = turn  # gateways that come before this one in the server's own order of them
         self.sent: deque[tuple[int, int]] = deque()  # work sent while cold, by slots of a window: end, work
@@ -45,7 +46,7 @@
         self.sent_sum += work
 
 
-class Try:
+class AttemptRecord:
     """One attempt; it may have run until its outcome proves that it never did."""
 
     def __init__(self, server: Server, at: int) -> None:
@@ -64,42 +65,46 @@
         self.settings, self.born = settings, 0
         self.servers: dict[bytes, Server] = {}
         self.dropped: dict[bytes, Server] = {}  # lately used while cold, and no longer listed
-        self.first_work = max(c.aim for c in settings.classes) * FIRST_WORK_SHARE
+        self.first_work = max(c.latency_objective_us for c in settings.request_classes) * FIRST_WORK_SHARE
         self.ready: list[Server] = []  # in the order in which this gateway turns to them
         self.near = self.ready  # the subset
-        self.sharers = settings.gateways  # gateways that use one server
+        self.sharers = settings.gateway_count  # gateways that use one server
 
-    def hear(self, event: ServerList) -> None:
+    def hear(self, event: EndpointListUpdate) -> None:
         """Take in news of the list."""
-        if event.kind is not ListKind.CHANGES:  # absent from a full list: gone
-            named = {entry.server for entry in event.entries}
+        if event.kind is not UpdateKind.DELTA:  # absent from a full list: gone
+            named = {entry.endpoint_id for entry in event.endpoints}
             for key in [key for key in self.servers if key not in named]:
                 self._drop(key)
-        for entry in event.entries:
-            if entry.state is ServerState.GONE:
-                self._drop(entry.server)
+        for entry in event.endpoints:
+            if entry.state is EndpointState.REMOVED:
+                self._drop(entry.endpoint_id)
                 continue
-            server = self.servers.get(entry.server) or self.dropped.pop(entry.server, None)
-            if server is None or server.entry.started != entry.started:  # a restart begins a fresh record
-                self.servers[entry.server] = Server(entry, self._turn(entry.server))
+            server = self.servers.get(entry.endpoint_id) or self.dropped.pop(entry.endpoint_id, None)
+            if (
+                server is None or server.entry.started_at_us != entry.started_at_us
+            ):  # a restart begins a fresh record
+                self.servers[entry.endpoint_id] = Server(entry, self._turn(entry.endpoint_id))
             else:
                 server.entry = entry
-                self.servers[entry.server] = server
-        ready = [s for s in self.servers.values() if s.entry.state is ServerState.READY]
+                self.servers[entry.endpoint_id] = server
+        ready = [s for s in self.servers.values() if s.entry.state is EndpointState.READY]
         self.ready = sorted(ready, key=lambda s: s.turn)
         self.near = self.ready[:REACH]
-        self.sharers = min(self.settings.gateways, -(-REACH * self.settings.gateways // max(1, len(ready))))
+        self.sharers = min(
+            self.settings.gateway_count, -(-REACH * self.settings.gateway_count // max(1, len(ready)))
+        )
 
     def _drop(self, key: bytes) -> None:
         """Forget a server, but not what it was sent while cold: a list may name it again, as it was."""
         if (server := self.servers.pop(key, None)) and server.sent:
             self.dropped[key] = server
-            since = max(s.last_sent for s in self.dropped.values()) - self.settings.fall_window
+            since = max(s.last_sent for s in self.dropped.values()) - self.settings.overload_window_us
             self.dropped = {key: s for key, s in self.dropped.items() if s.last_sent > since}
 
     def _turn(self, key: bytes) -> int:
         """This gateway's place in a server's order: strides that share no factor with the count visit all."""
-        count = self.settings.gateways
+        count = self.settings.gateway_count
         stride, first = divmod(zlib.crc32(key), count)
         while math.gcd(stride, count) > 1:
             stride += 1
@@ -107,8 +112,10 @@
 
     def warmth(self, server: Server, now: int) -> float:
         """The least share of its capacity that it has by now."""
-        part = max(0, now - server.entry.started) / max(1, self.settings.warm_up)
-        return min(1.0, self.settings.start_capacity + (1.0 - self.settings.start_capacity) * part)
+        part = max(0, now - server.entry.started_at_us) / max(1, self.settings.warm_up_us)
+        return min(
+            1.0, self.settings.initial_capacity_share + (1.0 - self.settings.initial_capacity_share) * part
+        )
 
     def fits_cold(self, server: Server, warmth: float, work: float, now: int) -> bool:
         """Our part of what a cold server may be sent, taken to have one core: even, or by turns.
@@ -119,11 +126,11 @@
         if server.turn >= self.sharers:
             return False
         s, work = self.settings, max(work, self.first_work)
-        part = COLD_MARGIN * s.fall_multiple * warmth / self.sharers
-        newborn = server.entry.started <= self.born and now < self.born + s.fall_window
-        budget = part * s.fall_window * (NEWBORN if newborn else 1.0)
+        part = COLD_MARGIN * s.overload_multiple * warmth / self.sharers
+        newborn = server.entry.started_at_us <= self.born and now < self.born + s.overload_window_us
+        budget = part * s.overload_window_us * (NEWBORN if newborn else 1.0)
         if budget >= work:
-            return work + server.spent(now - s.fall_window) <= budget
+            return work + server.spent(now - s.overload_window_us) <= budget
         return self._in_turn(server, warmth, work, now, newborn)
 
     def _in_turn(self, server: Server, warmth: float, work: float, now: int, newborn: bool) -> bool:
@@ -132,13 +139,15 @@
         All users number the turns alike, by a work that those with nearly the same mean agree on. A turn
         stays open for half a window, so turns are as much fewer.
         """
-        s, rate = self.settings, COLD_MARGIN * self.settings.fall_multiple / 1.5
+        s, rate = self.settings, COLD_MARGIN * self.settings.overload_multiple / 1.5
         work = self.first_work * 2.0 ** round(math.log2(work / self.first_work))
-        turns = rate * (s.start_capacity + warmth) / 2 * max(0, now - server.entry.started) / work
+        turns = (
+            rate * (s.initial_capacity_share + warmth) / 2 * max(0, now - server.entry.started_at_us) / work
+        )
         behind = (int(turns) - server.turn) % self.sharers + turns % 1.0  # one request in each turn
         length = work / (rate * warmth)
         ago = behind * length
-        if ago > s.fall_window / 2 or (newborn and now - ago < self.born):
+        if ago > s.overload_window_us / 2 or (newborn and now - ago < self.born):
             return False
         # A turn's length shrinks as the server warms and moves with the mean: its begin drifts past our use
         # of it. So a use also bars us for half a round.
@@ -146,4 +155,4 @@
 
     def send_cold(self, server: Server, work: float, now: int) -> None:
         """Take a request of that mean work, sent to a cold server, off our part."""
-        server.spend(int(max(work, self.first_work)), now, max(1, self.settings.fall_window // SLOTS))
+        server.spend(int(max(work, self.first_work)), now, max(1, self.settings.overload_window_us // SLOTS))
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -12,31 +12,30 @@
 from collections.abc import Callable
 from typing import Any
 
-from yardlane.decisions.interface import (
+from yardlane.decisions.actions import (
     Action,
-    Arrival,
+    AddToCounter,
+    CancelAttempt,
+    Fail,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from yardlane.decisions.events import (
     AttemptEnded,
-    Cancel,
-    Count,
-    CountAnswer,
+    CounterResult,
+    EndpointListUpdate,
     Event,
-    Fail,
-    FollowList,
-    Group,
-    ListKind,
-    Plan,
-    Refuse,
-    Repeat,
+    Outcome,
+    RequestArrived,
     RequestEnded,
-    Result,
-    Send,
-    ServerList,
-    Settings,
     StreamStarted,
-    Wake,
+    UpdateKind,
 )
-from yardlane.decisions.endpoints import FIRST_WORK_SHARE, Fleet, Server, Try
-from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Customer, Request
+from yardlane.decisions.settings import DeduplicationScope, Idempotency, QuotaPlan, Settings
+from yardlane.decisions.endpoints import FIRST_WORK_SHARE, Fleet, Server, AttemptRecord
+from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Tenant, Request
 
 # Parts that the chance aims at: of rate, small cap, what is left of a burst. Requests come at random: half of
 # a cap of two in use on average is all of it a quarter of the time, and a try beyond costs most of its worth.
@@ -58,7 +57,7 @@
 AGAIN_SHARE, AGAIN_MOST = 0.1, 10.0  # further attempts per first, and saved up: no swelling of an overload
 HOLD_SHARE, HOLD_MOST = 0.6, 0.4  # of the aim's spare time that a request may be held; of its own
 ADVICE = 0.25  # of the usual service time: clients told to stay away for longer come too late for the aim
-NEVER_RAN = (Result.TURNED_AWAY, Result.NOT_CONNECTED, Result.NOT_SENT)
+NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
 
 
 class Gateway:
@@ -70,22 +69,26 @@
         self.numbers, self.wake_at, self.woke, self.now, self.born = 0, 0, -1, -1, -1
         self.out, self.last_sent = 0, -SECOND
         self.window, self.usual_window = WIDEST, 1.0  # most attempts of ours at once: queues stay short
-        self.customers: dict[tuple[int, int], Customer] = {}
+        self.customers: dict[tuple[int, int], Tenant] = {}
         self.requests: dict[int, Request] = {}
         self.calls: dict[int, deque[tuple[Request, float, int]]] = {}
-        self.usual = [c.aim * FIRST_WORK_SHARE for c in settings.classes]
+        self.usual = [c.latency_objective_us * FIRST_WORK_SHARE for c in settings.request_classes]
         self.again, self.strain = AGAIN_MOST, 1.0
         self.work, self.work_weight = max(self.usual), 1.0  # mean service time of all; of the next sample
-        self.value = sum(c.worth / c.aim for c in settings.classes) / len(self.usual) / FIRST_WORK_SHARE
+        self.value = (
+            sum(c.priority_weight / c.latency_objective_us for c in settings.request_classes)
+            / len(self.usual)
+            / FIRST_WORK_SHARE
+        )
         self.agenda: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
-            ServerList: self._server_list,
-            Arrival: self._arrival,
+            EndpointListUpdate: self._server_list,
+            RequestArrived: self._arrival,
             AttemptEnded: self._attempt_ended,
             StreamStarted: self._end,
             RequestEnded: self._end,
-            CountAnswer: self._counted,
+            CounterResult: self._counted,
         }
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
@@ -96,7 +99,7 @@
         self.now, self.actions = now, []
         if self.born < 0:
             self.born = self.fleet.born = now
-            self.actions += [] if self.settings.list_is_pushed else [FollowList()]
+            self.actions += [] if self.settings.endpoint_list_is_pushed else [WatchEndpoints()]
         for event in events:
             self.handlers.get(type(event), lambda _: None)(event)
         while self.agenda and self.agenda[0][0] <= now:
@@ -104,29 +107,33 @@
             action(subject)
         if self.agenda and not now < self.wake_at <= self.agenda[0][0]:
             self.wake_at = self.agenda[0][0]
-            self.actions.append(Wake(self.wake_at - now))
+            self.actions.append(SetTimer(self.wake_at - now))
         return self.actions
 
     def _plan(self, when: int, action: Callable[[Any], None], subject: Any) -> None:
         self.numbers += 1  # keeps the order of equal times
         heapq.heappush(self.agenda, (when, self.numbers, action, subject))
 
-    def _server_list(self, event: ServerList) -> None:
-        if event.kind is ListKind.FAILED:
-            return self._plan(self.now + SECOND, lambda _: self.actions.append(FollowList()), None)
+    def _server_list(self, event: EndpointListUpdate) -> None:
+        if event.kind is UpdateKind.FAILED:
+            return self._plan(self.now + SECOND, lambda _: self.actions.append(WatchEndpoints()), None)
         self.fleet.hear(event)
-        usual = WINDOW * max(1, len(self.fleet.ready)) / self.settings.gateways
+        usual = WINDOW * max(1, len(self.fleet.ready)) / self.settings.gateway_count
         self.window, self.usual_window = self.window * usual / self.usual_window, usual
 
     def _pick(self, request: Request) -> Server | None:
         """The server that should finish first, failures counted as an aim lost."""
-        rule, usual = self.settings.classes[request.kind], self.usual[request.kind]
-        window = self.window * min(FAVOUR, max(1.0 / FAVOUR, rule.worth / usual / self.value))
+        rule, usual = self.settings.request_classes[request.kind], self.usual[request.kind]
+        window = self.window * min(FAVOUR, max(1.0 / FAVOUR, rule.priority_weight / usual / self.value))
         if self.out >= window or (window < 1.0 and self.now - self.last_sent < usual / window):
             return None
         ready, tied = self.fleet.near, next((t.server.entry for t in request.tries if t.may_have_run), None)
-        if tied and rule.repeat is Repeat.KEYED and rule.group is not Group.ALL:  # rule 2
-            zonal = rule.group is Group.ZONE
+        if (
+            tied
+            and rule.idempotency is Idempotency.KEYED
+            and rule.deduplication_scope is not DeduplicationScope.ALL
+        ):  # rule 2
+            zonal = rule.deduplication_scope is DeduplicationScope.ZONE
             ready = [
                 s
                 for s in self.fleet.ready
@@ -140,27 +147,31 @@
             others = server.others * max(0.0, 1.0 - (self.now - server.told_at) / SECOND)
             kept = (1.0 - FADE) ** ((self.now - server.last_sent) / SECOND)
             cost = usual * (1.0 + (server.slow - 1.0) * kept) * (1.0 + server.out + others) / warmth
-            cost += (server.bad[None] + server.bad[request.customer.plan]) * kept * rule.aim
-            cost *= warmth / 2 if warmth < 1.0 and usual < warmth * rule.aim / 2 else 1.0  # turns are rare
-            if self.settings.crossing_price and server.entry.zone != self.settings.zone:
+            cost += (server.bad[None] + server.bad[request.customer.plan]) * kept * rule.latency_objective_us
+            cost *= (
+                warmth / 2 if warmth < 1.0 and usual < warmth * rule.latency_objective_us / 2 else 1.0
+            )  # turns are rare
+            if self.settings.cross_zone_cost and server.entry.zone != self.settings.zone:
                 cost *= CROSSING_LEAN
             cost *= 1.0 + 0.05 * self.random.random()  # so that gateways do not herd
             if cost < least:
                 best, least = server, cost
         return best
 
-    def _arrival(self, event: Arrival) -> None:
-        self.settings.check(event)
-        key = (event.customer, event.plan)  # a stranger's plan must not become this customer's
+    def _arrival(self, event: RequestArrived) -> None:
+        self.settings.require_known(event.request_class, event.quota_plan)
+        key = (event.tenant, event.quota_plan)  # a stranger's plan must not become this customer's
         if not (customer := self.customers.pop(key, None)):
-            customer = Customer(event, self.settings, self.now, self.born)
+            customer = Tenant(event, self.settings, self.now, self.born)
             customer.credit = self.random.random()
         self.customers[key] = customer  # in the order of their last requests
-        request = self.requests[event.request] = Request(event, customer, self.now, self.settings.tick)
-        rule, usual = self.settings.classes[request.kind], self.usual[request.kind]
-        hold = max(0, int(min((rule.aim - usual) * HOLD_SHARE, event.time_left * HOLD_MOST)))
+        request = self.requests[event.request_id] = Request(event, customer, self.now, self.settings.tick_us)
+        rule, usual = self.settings.request_classes[request.kind], self.usual[request.kind]
+        hold = max(
+            0, int(min((rule.latency_objective_us - usual) * HOLD_SHARE, event.time_left_us * HOLD_MOST))
+        )
         self._plan(min(request.last, self.now + hold), self._time_up, request)
-        self.value += LEARN / 10 * (rule.worth / usual - self.value)
+        self.value += LEARN / 10 * (rule.priority_weight / usual - self.value)
         weight, room = self._weigh(request)
         customer.ask(weight, self.now)
         self._forget()
@@ -171,7 +182,7 @@
         else:
             near = NEAR * room < customer.guess(weight) * self.strain and customer.guess(weight) < room
             call = age > (spare / 4 if near else spare)
-        (self._call if call and self.settings.counter and room else self._admit)(request)
+        (self._call if call and self.settings.has_shared_counter and room else self._admit)(request)
 
     def _forget(self) -> None:
         for _ in range(FORGOTTEN):
@@ -189,22 +200,22 @@
         """What a request asks and the room for all in one interval: units, or slots times seconds."""
         plan, took = request.customer.plan, self.usual[request.kind] / SECOND
         interval = request.customer.fading / SECOND
-        if plan.rate:  # a cap passes so much: Little's law
+        if plan.rate_per_s:  # a cap passes so much: Little's law
             return request.units, interval * min(
-                ROOM * plan.rate, plan.open_limit * request.units / took or math.inf
+                ROOM * plan.rate_per_s, plan.concurrency_limit * request.units / took or math.inf
             )
-        return took, (FILL if request.customer.small else 1.0) * plan.open_limit * interval
+        return took, (FILL if request.customer.small else 1.0) * plan.concurrency_limit * interval
 
     def _admit(self, request: Request) -> None:  # the companion's chance, then the bound
         plan = (customer := request.customer).plan
         weight, room = self._weigh(request)
         total = customer.guess(weight) if room else 0.0
         customer.refill(self.now)
-        room = max(0.0, room + LEFT * customer.burst_left(total)) if plan.rate else room
-        if total > 0 and plan.open_limit and customer.told_at >= 0:
+        room = max(0.0, room + LEFT * customer.burst_left(total)) if plan.rate_per_s else room
+        if total > 0 and plan.concurrency_limit and customer.told_at >= 0:
             slots = self.usual[request.kind] / weight  # by Little's law, and as a mean
             customer.split(slots * customer.mine / customer.own_fading, slots * total / customer.fading)
-        chance = max(0.0, 1.0 - room / total) if total > 0 and (plan.rate or customer.small) else 0.0
+        chance = max(0.0, 1.0 - room / total) if total > 0 and (plan.rate_per_s or customer.small) else 0.0
         passes, customer.credit = divmod(customer.credit + 1.0 - chance, 1.0)  # spread evenly
         if passes < 1.0:
             return self._answer(request)
@@ -212,13 +223,13 @@
         request.held = True
         self._release(customer)
 
-    def _release(self, customer: Customer) -> None:
+    def _release(self, customer: Tenant) -> None:
         """Send held requests, in order, while bound, ceiling and servers allow."""
         while customer.held:
             request = customer.held[0]
             if customer.bound and customer.out >= customer.bound:
                 return
-            lack = request.units - customer.refill(self.now) if customer.plan.ceiling_rate else 0.0
+            lack = request.units - customer.refill(self.now) if customer.plan.hard_rate_per_s else 0.0
             server = self._pick(request) if lack <= 0 else None
             if server is None:
                 wait = NO_SERVER_PAUSE + customer.filled_in(lack, self.now)
@@ -234,33 +245,37 @@
     def _send(self, request: Request, server: Server) -> None:
         request.customer.out += 1
         within = self._left_to_repeat(request)
-        request.tries.append(attempt := Try(server, self.now))
+        request.tries.append(attempt := AttemptRecord(server, self.now))
         server.out, server.last_sent = server.out + 1, self.now
         self.out, self.last_sent = self.out + 1, self.now
         usual = self.usual[request.kind]
         if self.fleet.warmth(server, self.now) < 1.0:
             self.fleet.send_cold(server, self.work, self.now)
-        self.actions.append(Send(request.id, server.entry.server, begin_within=within))
+        self.actions.append(StartAttempt(request.id, server.entry.endpoint_id, begin_within_us=within))
         self._plan(self.now + int(PATIENCE * usual), self._overdue, (request, attempt))
 
     def _left_to_repeat(self, request: Request) -> int:
         """Microseconds in which a copy must be sent, as a key holds only so long (rule 2); 0: no bound."""
-        rule = self.settings.classes[request.kind]
-        if rule.repeat is not Repeat.KEYED:
+        rule = self.settings.request_classes[request.kind]
+        if rule.idempotency is not Idempotency.KEYED:
             return 0
         first = next((t for t in request.tries if t.may_have_run), None)
-        return max(1, first.at + rule.window - self.now) if first else 0
+        return max(1, first.at + rule.idempotency_window_us - self.now) if first else 0
 
     def _another(self, request: Request) -> Server | None:
         """Where a further attempt may go: rule 2, and the limits that keep retries few."""
-        rule = self.settings.classes[request.kind]
-        late = self.now + self.usual[request.kind] > min(request.gives_up, request.arrived + rule.aim)
+        rule = self.settings.request_classes[request.kind]
+        late = self.now + self.usual[request.kind] > min(
+            request.gives_up, request.arrived + rule.latency_objective_us
+        )
         risky = [t for t in request.tries if t.may_have_run]
         if request.ended or late or len(request.tries) >= self.settings.max_attempts or self.again < 1.0:
             return None
         if risky and (
-            rule.repeat is Repeat.UNSAFE
-            or (rule.repeat is Repeat.KEYED and self.now - risky[0].at >= rule.window)
+            rule.idempotency is Idempotency.NON_IDEMPOTENT
+            or (
+                rule.idempotency is Idempotency.KEYED and self.now - risky[0].at >= rule.idempotency_window_us
+            )
         ):
             return None
         return self._pick(request)
@@ -271,51 +286,66 @@
             self._send(request, server)
         return server is not None
 
-    def _judge(self, attempt: Try, good: bool, slow: float | None, *plans: Plan | None) -> None:
+    def _judge(
+        self, attempt: AttemptRecord, good: bool, slow: float | None, *plans: QuotaPlan | None
+    ) -> None:
         if attempt.at >= self.woke:  # what was out while we stood still is no sign of a server's health
             server = attempt.server
             for plan in plans:  # a server may be full for one plan alone
                 server.bad[plan] += LEARN_BAD * ((0.0 if good else 1.0) - server.bad[plan])
             server.slow += LEARN * (min(slow, PATIENCE) - server.slow) if slow is not None else 0.0
 
-    def _overdue(self, subject: tuple[Request, Try]) -> None:
+    def _overdue(self, subject: tuple[Request, AttemptRecord]) -> None:
         """Out for much longer than usual: a mark against the server long before the time-out."""
         request, attempt = subject
         if attempt.out:
             self._judge(attempt, attempt.server.last_good > attempt.at, PATIENCE, None)  # silent or slow?
-            if self.settings.parallel_attempts:
+            if self.settings.may_hedge:
                 self._try_again(request)
             elif self.settings.may_cancel and self._another(request):
-                self.actions.append(Cancel(request.id, request.tries.index(attempt)))  # its end sends anew
+                self.actions.append(
+                    CancelAttempt(request.id, request.tries.index(attempt))
+                )  # its end sends anew
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
-        request = self.requests.get(event.request)
-        if request is None or event.attempt >= len(request.tries) or not request.tries[event.attempt].out:
+        request = self.requests.get(event.request_id)
+        if (
+            request is None
+            or event.attempt_index >= len(request.tries)
+            or not request.tries[event.attempt_index].out
+        ):
             return
-        customer, attempt = request.customer, request.tries[event.attempt]
+        customer, attempt = request.customer, request.tries[event.attempt_index]
         server, usual = attempt.server, self.usual[request.kind]
         customer.out -= 1
-        attempt.out, attempt.may_have_run = False, event.result not in NEVER_RAN
+        attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
         server.out, self.out = server.out - 1, self.out - 1
-        if event.result is Result.OK:
+        if event.outcome is Outcome.OK:
             server.last_good = self.now
-            late = event.took > GOOD_SHARE * self.settings.classes[request.kind].aim
+            late = (
+                event.elapsed_us
+                > GOOD_SHARE * self.settings.request_classes[request.kind].latency_objective_us
+            )
             over = self.window / self.usual_window  # settles at the number of good answers for a late one
             step = -min(self.window, over) if late else min(self.window, 1.0 / over)
             self.window = max(LEARN, min(max(2.0, WIDEST * self.usual_window), self.window + LEARN * step))
-            self._judge(attempt, True, event.took / usual, None, customer.plan)
-            took = min(event.took, 5 * usual)
+            self._judge(attempt, True, event.elapsed_us / usual, None, customer.plan)
+            took = min(event.elapsed_us, 5 * usual)
             self.usual[request.kind] = usual + LEARN * (took - usual)
             self.work_weight = max(LEARN, self.work_weight / (1.0 + self.work_weight))  # the first tell most
             self.work += self.work_weight * (took - self.work)
-        elif event.result not in (Result.CANCELLED, Result.NOT_SENT) and (
-            event.result is not Result.TIMED_OUT or event.took >= PATIENCE * usual
+        elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and (
+            event.outcome is not Outcome.TIMED_OUT or event.elapsed_us >= PATIENCE * usual
         ):  # else little time
-            self._judge(attempt, False, None, customer.plan if event.result is Result.TURNED_AWAY else None)
+            self._judge(attempt, False, None, customer.plan if event.outcome is Outcome.REJECTED else None)
         if load := event.load:
-            told = load.in_hand if load.in_hand is not None else (load.waiting or 0.0) + (load.busy or 0.0)
+            told = (
+                load.in_flight
+                if load.in_flight is not None
+                else (load.queued or 0.0) + (load.utilization or 0.0)
+            )
             server.others, server.told_at = max(0.0, told - server.out), self.now
-        if event.ended or request.ended:
+        if event.request_ended or request.ended:
             self._end(request)
         elif not (any(t.out for t in request.tries) or self._try_again(request)):
             self._answer(request)
@@ -323,21 +353,23 @@
 
     def _answer(self, request: Request) -> None:
         """The final answer: a refusal where rule 2 lets us promise, else a failure."""
-        rule = self.settings.classes[request.kind]
-        free = rule.repeat is Repeat.SAFE or (rule.repeat is Repeat.KEYED and rule.group is Group.ALL)
+        rule = self.settings.request_classes[request.kind]
+        free = rule.idempotency is Idempotency.IDEMPOTENT or (
+            rule.idempotency is Idempotency.KEYED and rule.deduplication_scope is DeduplicationScope.ALL
+        )
         promise = free or not any(t.may_have_run for t in request.tries)
-        self.actions.append(Refuse(request.id, self._advice(request)) if promise else Fail(request.id))
+        self.actions.append(Reject(request.id, self._advice(request)) if promise else Fail(request.id))
         self._end(request)
 
     def _advice(self, request: Request) -> int:
         """When to come back: once some of what is out is answered, soon enough to be served in time."""
-        if not self.settings.may_advise:
+        if not self.settings.may_send_retry_after:
             return 0
-        return int(min(ADVICE * self.usual[request.kind], self.settings.longest_advice))
+        return int(min(ADVICE * self.usual[request.kind], self.settings.max_retry_after_us))
 
     def _end(self, event: Request | RequestEnded | StreamStarted) -> None:
         """Answered, or the client left, or its answer flows: nothing more is owed."""
-        request = event if isinstance(event, Request) else self.requests.get(event.request)
+        request = event if isinstance(event, Request) else self.requests.get(event.request_id)
         if request is None:
             return
         request.ended = True
@@ -361,29 +393,29 @@
         self.calls.setdefault(name, deque()).append((request, customer.owed, index))
         fresh = 0 <= customer.told_at > self.now - KNOWN_FOR  # else it speaks for those that do not call
         amount = customer.owed * math.exp(into / customer.fading) * (1.0 if fresh else self.strain)
-        self.actions.append(Count(name, amount, customer.period + 5 * SECOND))
+        self.actions.append(AddToCounter(name, amount, customer.period + 5 * SECOND))
         customer.owed = 0.0
 
-    def _strain(self, event: CountAnswer) -> None:
+    def _strain(self, event: CounterResult) -> None:
         """How many calls the counter bears shows in how soon it answers."""
         step = STRAIN_LOST
-        if event.result is Result.TURNED_AWAY:
+        if event.outcome is Outcome.REJECTED:
             step = STRAIN_LATE
-        elif event.result is Result.OK:
-            in_time = event.took <= LATE_SHARE * self.settings.counter_timeout
+        elif event.outcome is Outcome.OK:
+            in_time = event.elapsed_us <= LATE_SHARE * self.settings.counter_timeout_us
             step = STRAIN_PROMPT if in_time else STRAIN_LATE
         self.strain = min(STRAIN_MOST, max(1.0, self.strain * step))
 
-    def _counted(self, event: CountAnswer) -> None:
-        if not (calls := self.calls.pop(event.name, None)):
+    def _counted(self, event: CounterResult) -> None:
+        if not (calls := self.calls.pop(event.counter_key, None)):
             return
         request, amount, index = calls.popleft()
-        self.calls |= {event.name: calls} if calls else {}
-        heard, customer = event.result is Result.OK, request.customer
+        self.calls |= {event.counter_key: calls} if calls else {}
+        heard, customer = event.outcome is Outcome.OK, request.customer
         self._strain(event)
         if heard:
             customer.hear(event.total, index, self._weigh(request)[1], self.now)
-        elif event.result is not Result.TIMED_OUT:
+        elif event.outcome is not Outcome.TIMED_OUT:
             customer.owed += amount
         if not request.ended:
             self._admit(request)
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -1,5 +1,17 @@
 """The typed errors of this package."""
 
 
-class WireError(ValueError):
-    """Input that does not follow the wire; the text says what and where."""
+class YardlaneError(Exception):
+    """The base of all errors that this package raises on purpose; the text says what is wrong and where."""
+
+
+class SettingsError(YardlaneError):
+    """Settings that cannot be read, or hold a value that cannot be."""
+
+
+class ConfigError(YardlaneError):
+    """A configuration that cannot be used; the text says where and why."""
+
+
+class CodecError(YardlaneError):
+    """Input that does not follow the simulator's wire."""
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from yardlane.decisions.interface import Plan, Repeat
+from yardlane.decisions.settings import Idempotency, QuotaPlan
 from yardlane.config import Config
 from yardlane.proxy.listener import Listener
 
@@ -416,9 +416,9 @@
         if b"host" not in named and parser.get_http_version() == "1.1":
             raise Malformed(400, "no Host")
         method = parser.get_method()
-        rule = side.config.settings.classes[kind]
-        repeat = rule.repeat
-        wanted = b"GET" if repeat is Repeat.SAFE else b"POST"
+        rule = side.config.settings.request_classes[kind]
+        repeat = rule.idempotency
+        wanted = b"GET" if repeat is Idempotency.IDEMPOTENT else b"POST"
         if method != wanted:
             raise Malformed(405, f"the class wants {wanted.decode()}", b"Allow: " + wanted + b"\r\n")
         if method == b"GET" and self.body_size:
@@ -428,7 +428,7 @@
             raise Malformed(400, "bad X-Trace-Id")
         if trace in side.open_traces:  # whose answer would be whose?
             raise Malformed(409, "X-Trace-Id of an open request")
-        if repeat is Repeat.KEYED and not TOKEN.fullmatch(named.get(b"idempotency-key", b"")):
+        if repeat is Idempotency.KEYED and not TOKEN.fullmatch(named.get(b"idempotency-key", b"")):
             raise Malformed(400, "bad Idempotency-Key")
         account = named.get(b"account", b"")
         if not ACCOUNT.fullmatch(account) or int(account, 16) >= 2**33:
@@ -438,14 +438,14 @@
         if not 0 < wait <= LONGEST_WAIT:
             raise Malformed(400, "bad X-Expires-In")
         text = named.get(b"quota-info", b"")
-        quota = read_quota(text, side.config.settings.gateways) if len(text) <= MOST_QUOTA_TEXT else None
+        quota = read_quota(text, side.config.settings.gateway_count) if len(text) <= MOST_QUOTA_TEXT else None
         if quota is None:
             raise Malformed(400, "bad Quota-Info")
         if quota[0] > side.most_units[plan]:
             raise Malformed(400, "more units than the plan can pass")
         request.units, request.gateways, request.first = quota
         request.kind, request.plan, request.customer = kind, plan, int(account, 16)
-        request.trace, request.time_left = trace, max(1, int(min(wait, rule.deadline)) - MARGIN)
+        request.trace, request.time_left = trace, max(1, int(min(wait, rule.deadline_us)) - MARGIN)
         request.is_retry = named.get(b"x-second-try", b"") == b"1"
         request.is_write = method != b"GET"
         request.head = b"".join((method, b" ", self.url, b" HTTP/1.1\r\n", *self.lines))
@@ -577,7 +577,7 @@
         self.now = now or loop.time
         self.classes = {name.encode(): n for n, name in enumerate(config.classes)}
         self.plans = {name.encode(): n for n, name in enumerate(config.plans)}
-        self.most_units = [most_units(plan) for plan in config.settings.plans]
+        self.most_units = [most_units(plan) for plan in config.settings.quota_plans]
         self.connections: dict[Client, None] = {}
         self.open_traces: set[bytes] = set()
         self.draining = False
@@ -645,12 +645,12 @@
         return any(c.is_owed() for c in self.connections)
 
 
-def most_units(plan: Plan) -> float:
+def most_units(plan: QuotaPlan) -> float:
     """More than this a plan never passes at once: its stores do not hold it."""
     return min(
         [
             store
-            for rate, store in ((plan.rate, plan.burst), (plan.ceiling_rate, plan.ceiling_depth))
+            for rate, store in ((plan.rate_per_s, plan.burst), (plan.hard_rate_per_s, plan.hard_rate_depth))
             if rate > 0
         ]
         or [MOST_UNITS]
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from yardlane.decisions.interface import Count, CountAnswer, Result
+from yardlane.decisions.actions import AddToCounter
+from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.config import Address
 
 log = logging.getLogger("yardlane.proxy.counter_client")
@@ -61,7 +62,7 @@
 
     def call(self, call: Call) -> None:
         if len(self.calls) >= MOST_UNANSWERED or (self.transport is None and call.at < self.not_before):
-            return self._answer(call, Result.NOT_CONNECTED)  # never written: nothing added
+            return self._answer(call, Outcome.NOT_CONNECTED)  # never written: nothing added
         if not self.calls:
             self.last_heard = call.at  # owed from now on
         self.calls.append(call)
@@ -80,11 +81,11 @@
         call.written = True
         self.transport.write(call.line)
 
-    def _answer(self, call: Call, result: Result, total: float = 0.0) -> None:
+    def _answer(self, call: Call, result: Outcome, total: float = 0.0) -> None:
         if not call.over:
             call.over = True
             took = int((self.loop.time() - call.at) * 1e6)
-            self.counter.on_answer(CountAnswer(call.name, result, total, took))
+            self.counter.on_answer(CounterResult(call.name, result, total, took))
 
     def retire(self) -> list[Call]:
         """The counter has moved: what is written ends here, the rest is handed back for the new place."""
@@ -132,7 +133,7 @@
         self.not_before = self.loop.time() + (0 if transport and self.heard else RECONNECT_PAUSE)
         calls, self.calls = self.calls, deque()
         for call in calls:
-            self._answer(call, Result.TIMED_OUT if call.written else Result.NOT_CONNECTED)
+            self._answer(call, Outcome.TIMED_OUT if call.written else Outcome.NOT_CONNECTED)
         if transport is not None:
             transport.abort()
 
@@ -145,7 +146,7 @@
                 if call.at + limit > now + 0.0005:
                     self.timer = self.loop.call_later(call.at + limit - now, self._time_out)
                     break
-                self._answer(call, Result.TIMED_OUT if call.written else Result.NOT_CONNECTED)
+                self._answer(call, Outcome.TIMED_OUT if call.written else Outcome.NOT_CONNECTED)
         if self.calls and self.transport is not None and self._is_dead(now):
             self._give_up(f"stuck in a line, {self.rest[:80]!r}" if self.rest else "silent")
 
@@ -170,14 +171,14 @@
                     return self._odd(line)
             elif (total := read_total(words)) is not None:
                 self._heard()
-                self._answer(call, Result.OK, total)
+                self._answer(call, Outcome.OK, total)
             elif words == [b"busy"] or words[:1] == [b"error"]:
                 self._heard()
                 if words != [b"busy"]:
                     log.warning("counter: %s to %s", line, call.line)
-                self._answer(call, Result.TURNED_AWAY)
+                self._answer(call, Outcome.REJECTED)
             else:
-                self._answer(call, Result.TIMED_OUT)  # it may have been added
+                self._answer(call, Outcome.TIMED_OUT)  # it may have been added
                 return self._odd(line)
         if len(self.rest) > MOST_LINE:
             self._odd(self.rest)
@@ -211,18 +212,18 @@
         self,
         address: Address,
         timeout: int,
-        on_answer: Callable[[CountAnswer], None],
+        on_answer: Callable[[CounterResult], None],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.address, self.timeout, self.on_answer, self.loop = address, timeout / 1e6, on_answer, loop
         self.lines = [Line(self) for _ in range(CONNECTIONS)]
         loop.call_later(PING_EVERY / 2, self._ping)
 
-    def count(self, action: Count) -> None:
-        name = b"%x" % action.name
-        life = max(1, math.ceil(action.lifetime / 1000))
+    def count(self, action: AddToCounter) -> None:
+        name = b"%x" % action.counter_key
+        life = max(1, math.ceil(action.lifetime_us / 1000))
         line = b"tally %s %s %d\r\n" % (name, f"{action.amount:.9g}".encode(), life)
-        self._deal(Call(action.name, line, self.loop.time()))
+        self._deal(Call(action.counter_key, line, self.loop.time()))
 
     def _deal(self, call: Call) -> None:
         self.lines[zlib.crc32(b"%x" % call.name) % CONNECTIONS].call(call)
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -11,8 +11,9 @@
 
 import httptools
 
-from yardlane.decisions.interface import ListKind, ServerEntry, ServerList, ServerState
+from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
 from yardlane.config import Address, Config, address
+from yardlane.errors import ConfigError
 
 log = logging.getLogger("yardlane.proxy.discovery_client")
 
@@ -38,13 +39,13 @@
 MOST_NUMBER = 2**53  # up to here JSON's numbers are exact; a later time is none
 MOST_LOGGED = 200  # characters of what is told that go to the log
 MOST_NAMES = 64  # of zones, and of kinds
-STATES = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 HOST = re.compile(r"[!-\-/-~]{1,63}(\.[!-\-/-~]{1,63})*")  # each label printable, and as long as it may be
-READINESS = (ServerState.GONE, ServerState.DRAINING, ServerState.READY)
+READINESS = (EndpointState.REMOVED, EndpointState.DRAINING, EndpointState.READY)
 
 T = TypeVar("T")
 
-Found = Callable[[ServerList, dict[bytes, Address]], None]
+Found = Callable[[EndpointListUpdate, dict[bytes, Address]], None]
 
 
 def patience(grace: int) -> float:
@@ -96,14 +97,16 @@
         self.unclear = False
         self.odd: list[str] = []  # what the last list had that cannot be read
 
-    def read(self, told: object, kind: ListKind | None = None) -> tuple[ServerList, dict[bytes, Address]]:
+    def read(
+        self, told: object, kind: UpdateKind | None = None
+    ) -> tuple[EndpointListUpdate, dict[bytes, Address]]:
         """The list and the addresses it tells; ValueError where it is none."""
         if not isinstance(told, dict) or not isinstance(told.get("members"), list):
             raise ValueError("no list of members")
         if kind is None:
-            kind = ListKind.COMPLETE if told.get("complete") is True else ListKind.CHANGES
+            kind = UpdateKind.SNAPSHOT if told.get("complete") is True else UpdateKind.DELTA
         version, self.unclear, self.odd = _version(told), False, []
-        entries: dict[bytes, ServerEntry] = {}
+        entries: dict[bytes, Endpoint] = {}
         places: dict[bytes, Address] = {}
         for member in told["members"]:
             try:
@@ -122,17 +125,19 @@
             entries[server] = entry
             if place is not None:
                 places[server] = place
-            if entry.state is ServerState.GONE:
+            if entry.state is EndpointState.REMOVED:
                 places.pop(server, None)
         if self.odd:  # one line: there may be many
             log.warning("list %d: odd at %d places, first: %.200s", version, len(self.odd), self.odd[0])
-        told_of = (e for e in entries.values() if e.state is not ServerState.GONE or kind is ListKind.CHANGES)
-        return ServerList(kind, version, tuple(told_of)), places
+        told_of = (
+            e for e in entries.values() if e.state is not EndpointState.REMOVED or kind is UpdateKind.DELTA
+        )
+        return EndpointListUpdate(kind, version, tuple(told_of)), places
 
-    def _entry(self, server: bytes, member: dict[str, Any]) -> tuple[ServerEntry, Address | None]:
+    def _entry(self, server: bytes, member: dict[str, Any]) -> tuple[Endpoint, Address | None]:
         odd = len(self.odd)
-        state = self._field(member, "phase", _state, ServerState.DRAINING)
-        gone = state is ServerState.GONE
+        state = self._field(member, "phase", _state, EndpointState.DRAINING)
+        gone = state is EndpointState.REMOVED
         place = None if gone else self._field(member, "host_port", _place, None)
         started = self._field(member, "up_since_ms", _whole, 0)
         weight = self._field(member, "size", _weight, 1.0)
@@ -140,8 +145,8 @@
         cell = self._field(member, "cell", _whole, 0)
         kind = self._field(member, "flavor", lambda name: _number(self.kinds, name), 0)
         if len(self.odd) > odd and not gone:  # safe: nothing new goes there
-            state = ServerState.DRAINING
-        return ServerEntry(server, state, max(0, started) * 1000, weight, zone, cell, kind), place
+            state = EndpointState.DRAINING
+        return Endpoint(server, state, max(0, started) * 1000, weight, zone, cell, kind), place
 
     def _field(self, member: dict[str, Any], key: str, read: Callable[[object], T], otherwise: T) -> T:
         try:
@@ -163,14 +168,17 @@
     return name.encode()
 
 
-def _state(phase: object) -> ServerState:
+def _state(phase: object) -> EndpointState:
     if not (isinstance(phase, str) and phase in STATES):
         raise ValueError("no phase that is known")
     return STATES[phase]
 
 
 def _place(text: object) -> Address:
-    host, port = address(text if isinstance(text, str) else "", "host_port")
+    try:
+        host, port = address(text if isinstance(text, str) else "", "host_port")
+    except ConfigError as error:
+        raise ValueError(str(error)) from None
     if not HOST.fullmatch(host):
         raise ValueError("no name of a host")  # which would be an error only as we connect there
     return host, port
@@ -284,16 +292,16 @@
         self.task: asyncio.Task[None] | None = None
         self.known = config.known
         self.wait = WAIT  # ms for the next watch
-        self.patience = patience(config.settings.drain_grace)
-        self.longest_pause = longest_pause(config.settings.drain_grace)
+        self.patience = patience(config.settings.drain_grace_us)
+        self.longest_pause = longest_pause(config.settings.drain_grace_us)
 
     def remember(self) -> None:
         """Pass on the list that the configuration brought."""
         try:
-            self.found(*self.reader.read(self.known, ListKind.REMEMBERED))
+            self.found(*self.reader.read(self.known, UpdateKind.CACHED))
         except ValueError as error:
             log.warning("known list passed over: %s", error)
-            self.found(ServerList(ListKind.REMEMBERED, 0, ()), {})
+            self.found(EndpointListUpdate(UpdateKind.CACHED, 0, ()), {})
 
     def refetch(self) -> None:
         """Make the next call one for the whole list."""
@@ -351,13 +359,13 @@
         async with asyncio.timeout(self.patience + wait / 1000):  # in all, however often a part of it comes
             text = await self.call.get(path)
         told, places = self.reader.read(_parsed(text))
-        if told.kind is ListKind.CHANGES and held < 0:
+        if told.kind is UpdateKind.DELTA and held < 0:
             raise ValueError("changes to a list that is not held")
         if told.version < held:
             raise ValueError(f"version {told.version} after {held}")  # old, or discovery began anew
-        unclear = told.kind is ListKind.CHANGES and self.reader.unclear
+        unclear = told.kind is UpdateKind.DELTA and self.reader.unclear
         self.version = -1 if unclear else told.version  # the whole list may tell; where it does not, so be it
-        news = bool(told.entries) or told.kind is ListKind.COMPLETE
+        news = bool(told.endpoints) or told.kind is UpdateKind.SNAPSHOT
         if news:
             self.found(told, places)
         if (unclear or not news or told.version == held) and loop.time() < asked + PAUSE:
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -9,29 +9,31 @@
 from functools import partial
 from typing import Any
 
-from yardlane.decisions.interface import (
+from yardlane.decisions.actions import (
     Action,
-    Arrival,
+    AddToCounter,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogMessage,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from yardlane.decisions.decider import Decider
+from yardlane.decisions.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
-    Count,
-    CountAnswer,
-    Decider,
+    CounterResult,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    Fail,
-    FetchList,
-    FollowList,
-    ListKind,
-    Note,
-    Refuse,
+    Outcome,
+    RequestArrived,
     RequestEnded,
-    Result,
-    Send,
-    ServerList,
-    ServerState,
-    Wake,
-    Woken,
+    TimerFired,
+    UpdateKind,
 )
 from yardlane.proxy.upstream_connection import Answer, Attempt, Pool
 from yardlane.proxy.client_connection import ClientRequest, retry_after
@@ -77,7 +79,7 @@
         self.guard: asyncio.TimerHandle | None = None
 
 
-class Door:
+class Proxy:
     """Transport for one `Decider`."""
 
     def __init__(self, config: Config, decider: Decider, pool: Pool, loop: asyncio.AbstractEventLoop) -> None:
@@ -86,7 +88,7 @@
         self.clock = Clock()
         self.counter: Counter | None = None
         if config.counter is not None:
-            self.counter = Counter(config.counter, self.settings.counter_timeout, self.post, loop)
+            self.counter = Counter(config.counter, self.settings.counter_timeout_us, self.post, loop)
         self.requests: dict[int, Open] = {}
         self.unanswered = 0
         self.closed: list[int] = []  # requests whose end the module hears of in the next turn
@@ -97,16 +99,16 @@
         self.drain_by = 0  # when all must be answered; 0 while in service
         self.on_refetch: Callable[[], None] = lambda: None
         self.actions: dict[type, Callable[[Any], None]] = {
-            Send: self._send,
-            Cancel: self._cancel,
-            Refuse: self._refuse,
+            StartAttempt: self._send,
+            CancelAttempt: self._cancel,
+            Reject: self._refuse,
             Fail: self._fail,
-            Count: self._count,
-            Wake: self._wake,
-            CloseIdle: self._close_idle,
-            FetchList: lambda _: self.on_refetch(),
-            FollowList: lambda _: None,  # the watch always runs
-            Note: lambda note: log.info("%s", note.text),
+            AddToCounter: self._count,
+            SetTimer: self._wake,
+            CloseIdleConnections: self._close_idle,
+            FetchEndpoints: lambda _: self.on_refetch(),
+            WatchEndpoints: lambda _: None,  # the watch always runs
+            LogMessage: lambda note: log.info("%s", note.text),
         }
 
     # Events in
@@ -138,11 +140,11 @@
 
     def _rescue(self, events: Batch) -> list[Action]:
         """One event failed: its request fails, what was decided before it stands, the rest goes on."""
-        if events.read and (number := getattr(events[events.read - 1], "request", None)) is not None:
+        if events.read and (number := getattr(events[events.read - 1], "request_id", None)) is not None:
             self._leave(number, lambda client: client.reply(500, b"failed\n"))
         for event in events[events.read :]:
             self.post(event)
-        self._after(RESCUE_PAUSE, self.post, Woken(0))  # what was due may have been left undone
+        self._after(RESCUE_PAUSE, self.post, TimerFired(0))  # what was due may have been left undone
         return list(self.decider.actions)
 
     def take(self, client: ClientRequest) -> None:
@@ -155,9 +157,9 @@
         client.number = number = self.last_number
         request = self.requests[number] = Open(client, now + left)
         self.unanswered += 1
-        request.guard = self._after(left + self.settings.answer_grace, self._overdue, number)
+        request.guard = self._after(left + self.settings.answer_grace_us, self._overdue, number)
         self.post(
-            Arrival(
+            RequestArrived(
                 number,
                 client.customer,
                 client.plan,
@@ -182,25 +184,27 @@
     def can_serve(self) -> bool:
         return self.list_known
 
-    def listed(self, told: ServerList, places: dict[bytes, Address]) -> None:
+    def listed(self, told: EndpointListUpdate, places: dict[bytes, Address]) -> None:
         """News of the list."""
-        if told.kind is not ListKind.REMEMBERED:
+        if told.kind is not UpdateKind.CACHED:
             self.list_known = True
         old = self.places
-        whole = told.kind is not ListKind.CHANGES
+        whole = told.kind is not UpdateKind.DELTA
         self.places = dict(places) if whole else {**old, **places}
-        for entry in told.entries:
-            if entry.state is ServerState.GONE:
-                self.places.pop(entry.server, None)
-            elif entry.server not in places and entry.server in old:  # no address that can be read: it drains
-                self.places[entry.server] = old[entry.server]  # and what is open there goes on
+        for entry in told.endpoints:
+            if entry.state is EndpointState.REMOVED:
+                self.places.pop(entry.endpoint_id, None)
+            elif (
+                entry.endpoint_id not in places and entry.endpoint_id in old
+            ):  # no address that can be read: it drains
+                self.places[entry.endpoint_id] = old[entry.endpoint_id]  # and what is open there goes on
         self.post(told)  # before what ends by it, so that nothing turns to another that drains as well
         for server, place in old.items():
             if self.places.get(server) != place:  # moved or gone
                 self.pool.retire(server)
-        for entry in told.entries:
-            if entry.state is not ServerState.READY:
-                self.pool.withdraw(entry.server)
+        for entry in told.endpoints:
+            if entry.state is not EndpointState.READY:
+                self.pool.withdraw(entry.endpoint_id)
 
     def unheard(self) -> None:
         """Discovery is silent: what is remembered must do. Until then it may name what has long gone."""
@@ -213,7 +217,7 @@
 
     def _overdue(self, number: int) -> None:
         """Its time is over. If we stood still the module was not yet told so: it has the first word."""
-        self.post(Woken(0))
+        self.post(TimerFired(0))
         self.loop.call_soon(self._unanswered, number)  # behind the turn
 
     def _unanswered(self, number: int) -> None:
@@ -240,7 +244,7 @@
             request.guard.cancel()
         for attempt in request.attempts:
             if not attempt.is_written():  # its connection still comes up, or takes no more for now
-                attempt.finish(Result.NOT_SENT)
+                attempt.finish(Outcome.NOT_SENT)
         self.unanswered -= 1
 
     def drain(self, by: int) -> None:
@@ -265,22 +269,22 @@
         else:
             apply(action)
 
-    def _send(self, action: Send) -> None:
-        request = self.requests.get(action.request)
+    def _send(self, action: StartAttempt) -> None:
+        request = self.requests.get(action.request_id)
         if request is None:
-            return log.error("an attempt for request %d, which is not open", action.request)
+            return log.error("an attempt for request %d, which is not open", action.request_id)
         now = self.clock.now()
-        attempt = Attempt(action.request, len(request.attempts), action.server, now, self._ended)
+        attempt = Attempt(action.request_id, len(request.attempts), action.endpoint_id, now, self._ended)
         request.attempts.append(attempt)
         request.out += 1
         if not request.final:
             request.client.where.look()
-        place = self.places.get(action.server)
+        place = self.places.get(action.endpoint_id)
         left = request.gives_up - now
-        if action.timeout > 0:
-            left = min(left, action.timeout)
+        if action.timeout_us > 0:
+            left = min(left, action.timeout_us)
         if request.final or place is None or left <= 0 or attempt.number >= self.settings.max_attempts:
-            return attempt.finish(Result.NOT_SENT)
+            return attempt.finish(Outcome.NOT_SENT)
         client = request.client
         attempt.address, attempt.on_begin = place, client.where.look
         length = b"Content-Length: %d\r\n" % len(client.body) if client.is_write else b""
@@ -288,9 +292,9 @@
             (client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body)
         )
         attempt.timer = self._after(left, attempt.time_out)
-        if action.begin_within:
-            attempt.on_begin = partial(self._begin, attempt, client, now + action.begin_within)
-            attempt.latest = self._after(action.begin_within, attempt.begins_too_late)
+        if action.begin_within_us:
+            attempt.on_begin = partial(self._begin, attempt, client, now + action.begin_within_us)
+            attempt.latest = self._after(action.begin_within_us, attempt.begins_too_late)
         self.pool.send(attempt)
 
     def _begin(self, attempt: Attempt, client: ClientRequest, latest: int) -> None:
@@ -300,12 +304,12 @@
         else:
             client.where.look()
 
-    def _ended(self, attempt: Attempt, result: Result, answer: Answer | None) -> None:
+    def _ended(self, attempt: Attempt, result: Outcome, answer: Answer | None) -> None:
         """An attempt's one end. The first good answer goes to the client and is final."""
         number = attempt.request
         request = self.requests[number]
         request.out -= 1
-        if result is Result.OK and answer is not None and not request.final:
+        if result is Outcome.OK and answer is not None and not request.final:
             kind = answer.content_type
             request.client.reply(200, answer.body, b"Content-Type: " + kind + b"\r\n" if kind else b"")
             self._final(request)
@@ -320,29 +324,32 @@
                 self.clock.now() - attempt.sent,
                 request.final,
                 answer.usage if answer else None,
-                None,
                 answer.load if answer else None,
             )
         )
 
-    def _cancel(self, action: Cancel) -> None:
-        request = self.requests.get(action.request)
-        if request is not None and 0 <= action.attempt < len(request.attempts):
-            request.attempts[action.attempt].cancel()
+    def _cancel(self, action: CancelAttempt) -> None:
+        request = self.requests.get(action.request_id)
+        if request is not None and 0 <= action.attempt_index < len(request.attempts):
+            request.attempts[action.attempt_index].cancel()
 
-    def _refuse(self, action: Refuse) -> None:
-        request = self.requests.get(action.request)
+    def _refuse(self, action: Reject) -> None:
+        request = self.requests.get(action.request_id)
         if request is not None and not request.final:
-            delay = min(action.retry_after, self.settings.longest_advice) if self.settings.may_advise else 0
+            delay = (
+                min(action.retry_after_us, self.settings.max_retry_after_us)
+                if self.settings.may_send_retry_after
+                else 0
+            )
             status = 503 if request.attempts else 429
             request.client.reply(status, b"refused: try again\n", retry_after(delay))
-            self._decided(action.request, request)
+            self._decided(action.request_id, request)
 
     def _fail(self, action: Fail) -> None:
-        request = self.requests.get(action.request)
+        request = self.requests.get(action.request_id)
         if request is not None and not request.final:
             request.client.reply(502, b"failed\n")
-            self._decided(action.request, request)
+            self._decided(action.request_id, request)
 
     def _decided(self, number: int, request: Open) -> None:
         """Its end is the module's own doing."""
@@ -350,15 +357,15 @@
         if not request.out:
             self.requests.pop(number, None)
 
-    def _count(self, action: Count) -> None:
+    def _count(self, action: AddToCounter) -> None:
         if self.counter is None:
-            return self.post(CountAnswer(action.name, Result.NOT_CONNECTED, 0.0, 0))
+            return self.post(CounterResult(action.counter_key, Outcome.NOT_CONNECTED, 0.0, 0))
         self.counter.count(action)
 
-    def _wake(self, action: Wake) -> None:
-        self._woken(self.clock.now() + action.delay, Woken(action.token))
+    def _wake(self, action: SetTimer) -> None:
+        self._woken(self.clock.now() + action.delay_us, TimerFired(action.token))
 
-    def _woken(self, due: int, event: Woken) -> None:
+    def _woken(self, due: int, event: TimerFired) -> None:
         """The loop's timers may be a millisecond early, and one who is woken early does not ask again."""
         left = due - self.clock.now()
         if left > 0:
@@ -366,5 +373,5 @@
         else:
             self.post(event)
 
-    def _close_idle(self, action: CloseIdle) -> None:
-        self.pool.close_idle(action.server)
+    def _close_idle(self, action: CloseIdleConnections) -> None:
+        self.pool.close_idle(action.endpoint_id)
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -15,8 +15,8 @@
 
 import httptools
 
-from yardlane.decisions.interface import LoadReport, Result
-from yardlane.settings_reader import COLUMNS
+from yardlane.decisions.events import LoadReport, Outcome
+from yardlane.settings_reader import LOAD_REPORT_FIELDS
 from yardlane.config import Address, Config
 
 log = logging.getLogger("yardlane.proxy.upstream_connection")
@@ -34,16 +34,22 @@
 REST_MORE, REST_AGAIN = 2.0, 0.99
 STALLED = 0.25  # s for the rest of an answer that has begun: backends write theirs whole
 NONE_OUT = bytes(4)  # no byte that the kernel took is still to be acknowledged (TIOCOUTQ, tcp(7))
+# The names of the figures that the decisions use, as in the settings and as plain words.
+LOAD_FIGURES = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
 # The most of each figure that a backend can mean; beyond it is noise.
-MOST_LOAD = {"in_hand": 10_000.0, "waiting": 10_000.0, "busy": 1.5, "service_ms": 60_000.0}
-TOLD_LOAD = {  # the names of load figures, as in the settings and as plain words
-    **COLUMNS,
-    "inflight": "in_hand",
-    "queue": "waiting",
-    "util": "busy",
-    "latency_ms": "service_ms",
-    "qps": "served_per_s",
-    "eps": "errors_per_s",
+MOST_LOAD = {
+    "concurrent": 10_000.0,
+    "inflight": 10_000.0,
+    "depth": 10_000.0,
+    "queue": 10_000.0,
+    "load_share": 1.5,
+    "util": 1.5,
+    "mean_ms": 60_000.0,
+    "latency_ms": 60_000.0,
+    "tps": 1e6,
+    "qps": 1e6,
+    "err_ps": 1e6,
+    "eps": 1e6,
 }
 
 
@@ -72,27 +78,31 @@
 
 
 def read_load(text: bytes) -> LoadReport | None:
-    """A load report; figures that are unknown or no numbers are passed over."""
+    """A load report; figures that are unknown or no numbers are passed over. None where it has no other."""
     found: dict[str, float] = {}
     for part in text.decode("latin-1").removeprefix("TEXT").split(","):
         name, _, value = part.partition("=")
-        field = TOLD_LOAD.get(name.strip())
+        name = name.strip()
         try:
             number = float(value)
         except ValueError:
             continue
-        if field and 0 <= number <= MOST_LOAD.get(field, 1e6):
-            found[field] = number
-    return LoadReport(**found) if found else None
+        if 0 <= number <= MOST_LOAD.get(name, -1.0):
+            found[name] = number
+    if not found:
+        return None
+    return LoadReport(
+        **{LOAD_FIGURES[name]: number for name, number in found.items() if name in LOAD_FIGURES}
+    )
 
 
-def outcome(answer: Answer) -> Result:
+def outcome(answer: Answer) -> Outcome:
     """The protocol's table of outcomes, for whole answers."""
     if answer.status == 200:
-        return Result.OK
+        return Outcome.OK
     if answer.status in (503, 504) and answer.never_ran:
-        return Result.TURNED_AWAY
-    return Result.ERROR  # it may have run
+        return Outcome.REJECTED
+    return Outcome.ERROR  # it may have run
 
 
 class Attempt:
@@ -119,7 +129,7 @@
         number: int,
         server: bytes,
         sent: int,
-        on_end: Callable[[Attempt, Result, Answer | None], None],
+        on_end: Callable[[Attempt, Outcome, Answer | None], None],
     ) -> None:
         self.request, self.number, self.server, self.sent, self.on_end = request, number, server, sent, on_end
         self.address: Address = ("", 0)
@@ -130,7 +140,7 @@
         self.latest: asyncio.TimerHandle | None = None  # where it must be written by some time
         self.done = False
 
-    def finish(self, result: Result, answer: Answer | None = None) -> None:
+    def finish(self, result: Outcome, answer: Answer | None = None) -> None:
         """Its one end; what comes later is dropped."""
         if self.done:
             return
@@ -151,13 +161,13 @@
     def begins_too_late(self) -> None:
         """The time is over by which it was to be written whole."""
         if not self.is_written():
-            self.finish(Result.NOT_CONNECTED)
+            self.finish(Outcome.NOT_CONNECTED)
 
     def cancel(self) -> None:
-        self.finish(Result.CANCELLED if self.is_written() else Result.NOT_SENT)
+        self.finish(Outcome.CANCELLED if self.is_written() else Outcome.NOT_SENT)
 
     def time_out(self) -> None:
-        self.finish(Result.TIMED_OUT if self.is_written() else Result.NOT_CONNECTED)
+        self.finish(Outcome.TIMED_OUT if self.is_written() else Outcome.NOT_CONNECTED)
 
 
 class Backend(asyncio.Protocol):
@@ -262,7 +272,7 @@
     def _late(self) -> None:
         if self.transport is None:  # once it is up, the request is written, and its own time counts
             log.warning("no connection to %s:%d: timed out", *self.address)
-            self._end(Result.NOT_CONNECTED)
+            self._end(Outcome.NOT_CONNECTED)
 
     def is_clean(self) -> bool:
         """Nothing has come since the last answer: what came would be taken for the next one."""
@@ -279,16 +289,16 @@
     def _stall(self) -> None:
         if self.attempt is not None:
             log.warning("an answer from %s:%d stopped half way", *self.address)
-            self._end(Result.CONNECTION_LOST)
+            self._end(Outcome.CONNECTION_LOST)
             self.drop()
 
     def _break(self) -> None:
         """The connection's end. Its buffer's size no longer tells what was left: an error empties it."""
-        self._end(Result.CONNECTION_LOST if self.wire is WRITTEN else Result.NOT_CONNECTED)
+        self._end(Outcome.CONNECTION_LOST if self.wire is WRITTEN else Outcome.NOT_CONNECTED)
 
-    def _end(self, result: Result, answer: Answer | None = None) -> None:
+    def _end(self, result: Outcome, answer: Answer | None = None) -> None:
         attempt = self.attempt
-        if result is not Result.OK and answer is None:
+        if result is not Outcome.OK and answer is None:
             self.lost = True
             self.pool.forget(self)
         if attempt is not None:
@@ -337,7 +347,7 @@
             log.warning("odd answer from %s:%d: %s", *self.address, error.__context__ or error)
             self.reusable = False
             if not self.whole:  # behind a whole answer it takes nothing from that one
-                self._end(Result.CONNECTION_LOST)  # it may have run
+                self._end(Outcome.CONNECTION_LOST)  # it may have run
                 return self.drop()
         if self.whole:
             answer = self.answer
@@ -408,7 +418,7 @@
             return connection.carry(attempt)
         if len(self.all) >= self.most and not self._make_room():
             log.warning("all %d connections to backends are busy", self.most)
-            return attempt.finish(Result.NOT_SENT)  # our want of descriptors says nothing of the backend
+            return attempt.finish(Outcome.NOT_SENT)  # our want of descriptors says nothing of the backend
         connection = Backend(self, attempt.server, attempt.address)
         self.all.add(connection)
         connection.carry(attempt)
@@ -492,7 +502,7 @@
         """
         for connection in [c for c in self.all if c.server == server and c.wire is UNSENT]:
             if connection.attempt is not None:
-                connection.attempt.finish(Result.NOT_CONNECTED)
+                connection.attempt.finish(Outcome.NOT_CONNECTED)
 
     def _sweep(self) -> None:
         self.loop.call_later(1.0, self._sweep)
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -5,19 +5,13 @@
 import math
 from typing import TypeVar
 
-from yardlane.decisions.interface import Group, Plan, Repeat, RequestClass, Settings
-from yardlane.errors import WireError
+from yardlane.decisions.settings import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings
+from yardlane.errors import SettingsError
 
 T = TypeVar("T")
 
-COLUMNS = {
-    "concurrent": "in_hand",
-    "depth": "waiting",
-    "load_share": "busy",
-    "mean_ms": "service_ms",
-    "tps": "served_per_s",
-    "err_ps": "errors_per_s",
-}
+LOAD_REPORT_FIELDS = {"concurrent": "in_flight", "depth": "queued", "load_share": "utilization"}
+"""The columns of a load report that are read: their names in the settings, and their `LoadReport` fields."""
 
 
 class Reader:
@@ -29,7 +23,7 @@
     def text(self, path: str, default: str | None = None) -> str:
         value = self.values.get(path, default)
         if value is None:
-            raise WireError(f"setting {path} is missing")
+            raise SettingsError(f"setting {path} is missing")
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
@@ -37,15 +31,15 @@
         try:
             number = float(text)
         except ValueError:
-            raise WireError(f"setting {path} is no number: {text!r}") from None
+            raise SettingsError(f"setting {path} is no number: {text!r}") from None
         if not math.isfinite(number):  # it would spoil every sum and comparison that it enters
-            raise WireError(f"setting {path} is not finite: {text!r}")
+            raise SettingsError(f"setting {path} is not finite: {text!r}")
         return number
 
     def positive(self, path: str, default: str | None = None) -> int:
         number = self.whole(path, default)
         if number <= 0:
-            raise WireError(f"setting {path} is {number}: wanted more than 0")
+            raise SettingsError(f"setting {path} is {number}: wanted more than 0")
         return number
 
     def whole(self, path: str, default: str | None = None) -> int:
@@ -54,18 +48,28 @@
     def flag(self, path: str, default: str | None = None) -> bool:
         text = self.text(path, default)
         if text not in ("true", "false"):
-            raise WireError(f"setting {path} is neither true nor false: {text!r}")
+            raise SettingsError(f"setting {path} is neither true nor false: {text!r}")
         return text == "true"
 
     def one_of(self, path: str, table: dict[str, T], default: str | None = None) -> T:
         text = self.text(path, default)
         if text not in table:
-            raise WireError(f"setting {path} has an unknown value: {text!r}")
+            raise SettingsError(f"setting {path} has an unknown value: {text!r}")
         return table[text]
 
 
-REPEATS = {"free": Repeat.SAFE, "guarded": Repeat.KEYED, "single_shot": Repeat.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL, "": Group.CELL}
+IDEMPOTENCY = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.KEYED,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+DISCOVERY_MODES = {"pushed": True, "on_request": False}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+    "": DeduplicationScope.CELL,
+}
 
 
 def parse_settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
@@ -73,76 +77,76 @@
     try:
         lines = text.decode("utf-8").split("\n")
     except UnicodeDecodeError as error:
-        raise WireError(f"settings are not UTF-8 at byte {error.start}") from None
+        raise SettingsError(f"settings are not UTF-8 at byte {error.start}") from None
     values: dict[str, str] = {}
     for number, line in enumerate(lines, 1):
         if line.strip():
             path, sign, value = line.strip().partition("=")
             if not sign:
-                raise WireError(f"settings line {number} has no '=': {line.strip()!r}")
+                raise SettingsError(f"settings line {number} has no '=': {line.strip()!r}")
             values[path] = value
     return read_settings(values)
 
 
 def read_settings(values: dict[str, str]) -> tuple[Settings, tuple[str, ...]]:
     """The same from single values by their paths."""
-    r = Reader(values)
-    pushed = r.one_of("discovery", {"pushed": True, "on_request": False})
-    columns = tuple(c for c in r.text("report.columns", "").split(",") if c)
-    return Settings(
-        gateways=r.whole("peers_total"),
-        rank=r.whole("rank"),
-        zone=r.whole("locality"),
-        classes=tuple(_class(r, f"profiles.{n}.") for n in range(r.whole("profiles.count"))),
-        plans=tuple(_plan(r, f"packages.{n}.") for n in range(r.whole("packages.count", "0"))),
-        tick=r.whole("round_us"),
-        answer_grace=r.whole("safety.grace_to_answer_us"),
-        drain_grace=r.whole("safety.drain_grace_us"),
-        start_capacity=r.number("safety.start_capacity"),
-        warm_up=r.whole("safety.warm_up_us"),
-        fall_multiple=r.number("safety.tip_multiple"),
-        fall_window=r.whole("safety.fall_us"),
-        max_attempts=r.positive("permissions.max_attempts"),
-        parallel_attempts=r.flag("permissions.parallel_tries"),
-        may_cancel=r.flag("permissions.cancel"),
-        may_probe=r.flag("permissions.probes"),
-        may_advise=r.flag("permissions.retry_after"),
-        longest_advice=r.whole("permissions.max_retry_after_us", "0"),
-        list_is_pushed=pushed,
-        counter=r.flag("family_info.shared_counter", "false"),
-        counter_timeout=r.whole("family_info.count_wait_us", "0"),
-        counter_price=r.number("family_info.count_fee", "0"),
-        meter_period=r.whole("family_info.meter_us", "0"),
-        units_settle=r.flag("family_info.settles", "false"),
-        crossing_price=r.number("costs.cross_zone", "0"),
-        waste_price=r.number("costs.waste", "0"),
-    ), columns
-
-
-def _class(r: Reader, at: str) -> RequestClass:
-    repeat = r.one_of(at + "repeat", REPEATS)
-    keyed = repeat is Repeat.KEYED
+    reader = Reader(values)
+    endpoint_list_is_pushed = reader.one_of("discovery", DISCOVERY_MODES)
+    columns = tuple(column for column in reader.text("report.columns", "").split(",") if column)
+    request_classes = tuple(
+        _read_request_class(reader, f"profiles.{n}.") for n in range(reader.whole("profiles.count"))
+    )
+    quota_plans = tuple(
+        _read_quota_plan(reader, f"packages.{n}.") for n in range(reader.whole("packages.count", "0"))
+    )
+    settings = Settings(
+        gateway_count=reader.whole("peers_total"),
+        rank=reader.whole("rank"),
+        zone=reader.whole("locality"),
+        request_classes=request_classes,
+        quota_plans=quota_plans,
+        tick_us=reader.whole("round_us"),
+        answer_grace_us=reader.whole("safety.grace_to_answer_us"),
+        drain_grace_us=reader.whole("safety.drain_grace_us"),
+        initial_capacity_share=reader.number("safety.start_capacity"),
+        warm_up_us=reader.whole("safety.warm_up_us"),
+        overload_multiple=reader.number("safety.tip_multiple"),
+        overload_window_us=reader.whole("safety.fall_us"),
+        max_attempts=reader.positive("permissions.max_attempts"),
+        may_hedge=reader.flag("permissions.parallel_tries"),
+        may_cancel=reader.flag("permissions.cancel"),
+        may_send_retry_after=reader.flag("permissions.retry_after"),
+        max_retry_after_us=reader.whole("permissions.max_retry_after_us", "0"),
+        endpoint_list_is_pushed=endpoint_list_is_pushed,
+        has_shared_counter=reader.flag("family_info.shared_counter", "false"),
+        counter_timeout_us=reader.whole("family_info.count_wait_us", "0"),
+        cross_zone_cost=reader.number("costs.cross_zone", "0"),
+    )
+    return settings, columns
+
+
+def _read_request_class(reader: Reader, prefix: str) -> RequestClass:
+    idempotency = reader.one_of(prefix + "repeat", IDEMPOTENCY)
+    keyed = idempotency is Idempotency.KEYED
+    scope = DeduplicationScope.CELL
+    if keyed:
+        scope = reader.one_of(prefix + "group", DEDUPLICATION_SCOPES)
     return RequestClass(
-        aim=r.whole(at + "slo_us"),
-        deadline=r.whole(at + "deadline_us"),
-        repeat=repeat,
-        group=r.one_of(at + "group", GROUPS, None if keyed else "") if keyed else Group.CELL,
-        window=r.whole(at + "window_us", None if keyed else "0"),
-        worth=r.number(at + "worth"),
-        late_worth=r.number(at + "late_value", "0"),
-        streams=r.flag(at + "stream", "false"),
+        latency_objective_us=reader.whole(prefix + "slo_us"),
+        deadline_us=reader.whole(prefix + "deadline_us"),
+        idempotency=idempotency,
+        deduplication_scope=scope,
+        idempotency_window_us=reader.whole(prefix + "window_us", None if keyed else "0"),
+        priority_weight=reader.number(prefix + "worth"),
     )
 
 
-def _plan(r: Reader, at: str) -> Plan:
-    return Plan(
-        rate=r.number(at + "refill"),
-        burst=r.number(at + "burst"),
-        open_limit=r.whole(at + "concurrency"),
-        ceiling_rate=r.number(at + "hard_rate"),
-        ceiling_depth=r.number(at + "never_over_depth"),
-        ceiling_slack=r.number(at + "cap_slack"),
-        price=r.number(at + "value_factor"),
-        beyond_cost=r.number(at + "beyond_costs"),
-        beyond_worth=r.number(at + "extra_worth"),
+def _read_quota_plan(reader: Reader, prefix: str) -> QuotaPlan:
+    return QuotaPlan(
+        rate_per_s=reader.number(prefix + "refill"),
+        burst=reader.number(prefix + "burst"),
+        concurrency_limit=reader.whole(prefix + "concurrency"),
+        hard_rate_per_s=reader.number(prefix + "hard_rate"),
+        hard_rate_depth=reader.number(prefix + "never_over_depth"),
+        hard_rate_slack=reader.number(prefix + "cap_slack"),
     )
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -7,8 +7,8 @@
 
 from yardlane.simulator import codec as wire
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.interface import Event
-from yardlane.errors import WireError
+from yardlane.decisions.events import Event
+from yardlane.errors import CodecError, YardlaneError
 
 
 class Host:
@@ -33,7 +33,7 @@
             elif door in self.gateways:
                 waiting.setdefault(door, []).append(event)
             else:
-                raise WireError(f"{type(event).__name__} for unknown instance {door}")
+                raise CodecError(f"{type(event).__name__} for unknown instance {door}")
         out: list[bytes] = []
         for door, events in waiting.items():
             try:
@@ -50,12 +50,12 @@
     host = Host()
     while header := source.read(wire.BATCH_HEADER.size):
         if len(header) < wire.BATCH_HEADER.size:
-            raise WireError(f"frame header cut off after {len(header)} bytes")
+            raise CodecError(f"frame header cut off after {len(header)} bytes")
         rest = wire.frame_size(header) - len(header)
         body = source.read(rest)
         if len(body) < rest:
             whole = rest + len(header)
-            raise WireError(f"frame of {whole} bytes cut off after {len(header) + len(body)}")
+            raise CodecError(f"frame of {whole} bytes cut off after {len(header) + len(body)}")
         sink.write(host.reply(header + body))
         sink.flush()
 
@@ -64,7 +64,7 @@
     """Run until the end of input; malformed input ends with one plain line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except ValueError as error:  # of the wire or of the settings
+    except YardlaneError as error:  # of the wire or of the settings
         print(f"yardlane: {error}", file=sys.stderr)
         return 2
     return 0
