--- a/yardlane/simulator/codec.py
+++ b/yardlane/simulator/codec.py
@@ -4,41 +4,43 @@
 
 import struct
 from collections.abc import Callable, Iterator
-from typing import NamedTuple, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
-from yardlane.decisions.interface import (
+from yardlane.decisions.actions import (
     Action,
-    Arrival,
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogMessage,
+    Reject,
+    SendGossip,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from yardlane.decisions.events import (
     AttemptEnded,
-    Cancel,
-    CloseIdle,
-    Count,
-    CountAnswer,
+    CounterResult,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    Fail,
-    FetchList,
-    FollowList,
-    ListKind,
+    Gossip,
+    HealthCheckEnded,
     LoadReport,
-    Note,
-    PeerMessage,
-    Probe,
-    ProbeEnded,
-    Refuse,
+    Outcome,
+    RequestArrived,
     RequestEnded,
-    Result,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
-    Settings,
     StreamStarted,
-    Tell,
-    Wake,
-    Woken,
+    TimerFired,
+    UpdateKind,
 )
-from yardlane.errors import WireError
-from yardlane.settings_reader import COLUMNS, parse_settings
+from yardlane.decisions.settings import Settings
+from yardlane.errors import CodecError
+from yardlane.settings_reader import LOAD_REPORT_FIELDS, parse_settings
 
 T = TypeVar("T")
 
@@ -69,7 +71,7 @@
         if end - at >= self.size:
             return self.packed.unpack_from(frame, at)
         if end - at not in self.cuts:
-            raise WireError(f"record cut inside a field at byte {end}")
+            raise CodecError(f"record cut inside a field at byte {end}")
         return self.packed.unpack(bytes(frame[at:end]).ljust(self.size, b"\0"))
 
 
@@ -92,17 +94,17 @@
 RING = Layout("I I")
 
 RESULTS = {
-    100: Result.OK,
-    301: Result.ERROR,
-    302: Result.TURNED_AWAY,
-    303: Result.TIMED_OUT,
-    304: Result.NOT_CONNECTED,
-    305: Result.CONNECTION_LOST,
-    306: Result.CANCELLED,
-    307: Result.NOT_SENT,
+    100: Outcome.OK,
+    301: Outcome.ERROR,
+    302: Outcome.REJECTED,
+    303: Outcome.TIMED_OUT,
+    304: Outcome.NOT_CONNECTED,
+    305: Outcome.CONNECTION_LOST,
+    306: Outcome.CANCELLED,
+    307: Outcome.NOT_SENT,
 }
-STATES = {0: ServerState.GONE, 1: ServerState.READY, 2: ServerState.DRAINING}
-LIST_KINDS = dict(enumerate((ListKind.CHANGES, ListKind.COMPLETE, ListKind.REMEMBERED, ListKind.FAILED)))
+STATES = {0: EndpointState.REMOVED, 1: EndpointState.READY, 2: EndpointState.DRAINING}
+LIST_KINDS = dict(enumerate((UpdateKind.DELTA, UpdateKind.SNAPSHOT, UpdateKind.CACHED, UpdateKind.FAILED)))
 
 Columns = tuple[str, ...]
 Decoded = Event | Init | Halt
@@ -112,12 +114,12 @@
     try:
         return table[code]
     except KeyError:
-        raise WireError(f"unknown {what} {code} in the record at byte {at}") from None
+        raise CodecError(f"unknown {what} {code} in the record at byte {at}") from None
 
 
 def _tail(frame: memoryview, at: int, end: int, size: int, what: str) -> memoryview:
     if at + size > end:
-        raise WireError(f"{what} of {size} bytes passes the end of its record at byte {end}")
+        raise CodecError(f"{what} of {size} bytes passes the end of its record at byte {end}")
     return frame[at : at + size]
 
 
@@ -125,28 +127,31 @@
     if n == 0:
         return None
     values = struct.unpack(f"<{n}f", _tail(frame, at, end, 4 * n, "load report"))
-    return LoadReport(**{COLUMNS[c]: v for c, v in zip(columns, values, strict=False) if c in COLUMNS})
+    reported = dict(zip(columns, values, strict=False))
+    return LoadReport(
+        **{field: reported[name] for name, field in LOAD_REPORT_FIELDS.items() if name in reported}
+    )
 
 
 def _members(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, kind, version, rows = MEMBERS.read(frame, at, end)
     body = _tail(frame, at + MEMBERS.size, end, rows * LIST_ENTRY.size, "server list") if rows else b""
     entries = tuple(
-        ServerEntry(server, _known(STATES, mode, "server state", at), born, heft, zone, cell, shape)
+        Endpoint(server, _known(STATES, mode, "server state", at), born, heft, zone, cell, shape)
         for heft, born, zone, shape, mode, cell, server in LIST_ENTRY.iter_unpack(body)
     )
-    return ServerList(_known(LIST_KINDS, kind, "list kind", at), version, entries)
+    return EndpointListUpdate(_known(LIST_KINDS, kind, "list kind", at), version, entries)
 
 
 def _request(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, request, first, cls, plan, ways, customer, left, units, attrs = REQUEST.read(frame, at, end)
-    return Arrival(
+    return RequestArrived(
         request, customer, plan, cls, left, units, int(first), int(ways), bool(attrs & 2), bool(attrs & 4)
     )
 
 
 def _completed(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
-    _, request, took, leg, state, ended, server, usage, settled, n = COMPLETED.read(frame, at, end)
+    _, request, took, leg, state, ended, server, usage, _, n = COMPLETED.read(frame, at, end)
     return AttemptEnded(
         request,
         leg,
@@ -155,14 +160,13 @@
         took,
         bool(ended),
         usage - 1 if usage else None,
-        settled or None,
         _load(frame, at + COMPLETED.size, end, n, columns) if n else None,
     )
 
 
 def _count_result(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, took, name, state, value = COUNT_RESULT.read(frame, at, end)
-    return CountAnswer(name, _known(RESULTS, state, "outcome", at), value, took)
+    return CounterResult(name, _known(RESULTS, state, "outcome", at), value, took)
 
 
 def _dropped(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
@@ -172,7 +176,7 @@
 def _neighbour(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, sender, size = NEIGHBOUR.read(frame, at, end)
     content = bytes(_tail(frame, at + NEIGHBOUR.size, end, size, "message")) if size else b""
-    return PeerMessage(sender, content)
+    return Gossip(sender, content)
 
 
 def _ack_first(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
@@ -183,7 +187,7 @@
 def _health(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
     _, took, server, state, n = HEALTH.read(frame, at, end)
     load = _load(frame, at + HEALTH.size, end, n, columns) if n else None
-    return ProbeEnded(server, _known(RESULTS, state, "outcome", at), took, load)
+    return HealthCheckEnded(server, _known(RESULTS, state, "outcome", at), took, load)
 
 
 def _init(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
@@ -197,7 +201,7 @@
 
 
 def _ring(frame: memoryview, at: int, end: int, columns: Columns) -> Decoded:
-    return Woken(RING.read(frame, at, end)[1])
+    return TimerFired(RING.read(frame, at, end)[1])
 
 
 READERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
@@ -219,17 +223,17 @@
     """The size of the whole frame that begins with this header."""
     size = int(BATCH_HEADER.unpack(header)[1])
     if size < BATCH_HEADER.size:
-        raise WireError(f"frame size {size} is smaller than its header")
+        raise CodecError(f"frame size {size} is smaller than its header")
     return size
 
 
 def read_batch(data: bytes, columns_of: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, Decoded]]]:
     """The clock and the events, each with its instance; unknown codes are skipped."""
     if len(data) < BATCH_HEADER.size:
-        raise WireError(f"frame header cut off after {len(data)} bytes")
+        raise CodecError(f"frame header cut off after {len(data)} bytes")
     records, size, clock = BATCH_HEADER.unpack_from(data)
     if size != len(data):
-        raise WireError(f"frame of {size} bytes cut off after {len(data)} bytes")
+        raise CodecError(f"frame of {size} bytes cut off after {len(data)} bytes")
     return clock, _records(memoryview(data), records, columns_of)
 
 
@@ -239,19 +243,19 @@
     at, size = BATCH_HEADER.size, len(frame)
     for number in range(records):
         if at + RECORD_HEADER.size > size:
-            raise WireError(f"record {number} of {records} is missing at byte {at}")
+            raise CodecError(f"record {number} of {records} is missing at byte {at}")
         code, length = RECORD_HEADER.unpack_from(frame, at)
         at += RECORD_HEADER.size
         end = at + length
         if end > size:
-            raise WireError(f"record {number} (code {code}) passes the end of the frame at byte {at}")
+            raise CodecError(f"record {number} (code {code}) passes the end of the frame at byte {at}")
         reader = READERS.get(code)
         if reader is not None:
             door = U32.unpack_from(frame, at)[0] if length >= U32.size else 0
             yield door, reader(frame, at, end, columns_of.get(door, ()))
         at = end
     if at != size:
-        raise WireError(f"{size - at} bytes left over after the last record at byte {at}")
+        raise CodecError(f"{size - at} bytes left over after the last record at byte {at}")
 
 
 def _packer(code: int, fields: str) -> Callable[..., bytes]:
@@ -286,23 +290,20 @@
     return _text(1070, door, b"", _clip(text))
 
 
-WRITERS: dict[type, Callable[[int, Action], bytes]] = {
-    Send: lambda d, a: ATTEMPT(d, a.request, a.timeout, a.server),  # type: ignore[union-attr]
-    Cancel: lambda d, a: REVOKE(d, a.request, a.attempt),  # type: ignore[union-attr]
-    Count: lambda d, a: TALLY(d, a.name, a.amount, a.lifetime),  # type: ignore[union-attr]
-    CloseIdle: lambda d, a: CLOSE(d, a.server),  # type: ignore[union-attr]
-    FetchList: lambda d, a: READ_LIST(d),
-    Probe: lambda d, a: TEST(d, a.server),  # type: ignore[union-attr]
-    Wake: lambda d, a: DEFER(d, a.delay, a.token),  # type: ignore[union-attr]
-    Fail: lambda d, a: REPORT_FAILURE(d, a.request),  # type: ignore[union-attr]
-    FollowList: lambda d, a: TAIL(d, a.on),  # type: ignore[union-attr]
-    Refuse: lambda d, a: REFUSE(d, a.request, a.retry_after),  # type: ignore[union-attr]
-    Note: lambda d, a: _text(1060, d, b"", _clip(a.text)),  # type: ignore[union-attr]
-    Tell: lambda d, a: _text(
-        1090,
-        d,
-        U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway),  # type: ignore[union-attr]
-        a.content,  # type: ignore[union-attr]
+WRITERS: dict[type, Callable[[int, Any], bytes]] = {
+    StartAttempt: lambda d, a: ATTEMPT(d, a.request_id, a.timeout_us, a.endpoint_id),
+    CancelAttempt: lambda d, a: REVOKE(d, a.request_id, a.attempt_index),
+    AddToCounter: lambda d, a: TALLY(d, a.counter_key, a.amount, a.lifetime_us),
+    CloseIdleConnections: lambda d, a: CLOSE(d, a.endpoint_id),
+    FetchEndpoints: lambda d, a: READ_LIST(d),
+    CheckHealth: lambda d, a: TEST(d, a.endpoint_id),
+    SetTimer: lambda d, a: DEFER(d, a.delay_us, a.token),
+    Fail: lambda d, a: REPORT_FAILURE(d, a.request_id),
+    WatchEndpoints: lambda d, a: TAIL(d, a.enabled),
+    Reject: lambda d, a: REFUSE(d, a.request_id, a.retry_after_us),
+    LogMessage: lambda d, a: _text(1060, d, b"", _clip(a.text)),
+    SendGossip: lambda d, a: _text(
+        1090, d, U32.pack(0xFFFFFFFF if a.gateway is None else a.gateway), a.content
     ),
 }
 
