--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway. Settings, events and actions are in `interface.py`; read it first.
+"""The decisions of one gateway. What goes in and out is in `settings.py`, `events.py` and `actions.py`.
 
 The ordinary path is the demand split of Padala et al. (port allocator); see docs/design.md.
 """
