--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,8 +15,8 @@
 from yardlane.decisions.actions import Action, Fail, StartAttempt
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
-from yardlane.__main__ import Program
 from yardlane.config import Config, parse
+from yardlane.server import Server
 
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -192,7 +192,7 @@
 class Running:
     """A front door that runs in this test's loop."""
 
-    def __init__(self, program: Program) -> None:
+    def __init__(self, program: Server) -> None:
         self.program = program
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -233,7 +233,7 @@
     """The whole program, without its signals; discovery may be nobody."""
     made = config(**changes)
     loop = asyncio.get_running_loop()
-    program = Program(made, loop, decider or Gateway(made.settings, made.seed))
+    program = Server(made, loop, decider or Gateway(made.settings, made.seed))
     program.start()
     run = Running(program)
     try:
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -5,7 +5,7 @@
 
 from yardlane.decisions.actions import Reject, StartAttempt
 from yardlane.decisions.events import RequestArrived
-from yardlane.__main__ import time_to_answer
+from yardlane.server import shutdown_timeout_us
 from yardlane.proxy.client_connection import State
 from tests.loopback import (
     Peer,
@@ -35,7 +35,7 @@
         classes = [{**look, "name": f"c{n}", "deadline_us": d} for n, d in enumerate(deadlines)] + [
             {**file, "deadline_us": 100_000}
         ]
-        return time_to_answer(config(settings=settings(profiles=classes)).settings)
+        return shutdown_timeout_us(config(settings=settings(profiles=classes)).settings)
 
     # SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most; 0.3 s are left to write.
     assert all_answered(900_000) == 900_000 + 400_000
@@ -59,13 +59,13 @@
         to_door.write(ask()[:40])
         while not door.program.clients.owes():
             await asyncio.sleep(0)
-        door.program.stop()
+        door.program.shut_down()
         door.program.door._end_all()
         await closed_to_new(door)
         to_door.write(ask()[40:])  # the whole request comes after all has been answered once
         await backend.connection()  # and hangs there
         assert (await read_message(client))[0].split()[1] == "500"
-        await door.program.over.wait()
+        await door.program.stopped.wait()
 
 
 @socket_test
@@ -76,16 +76,16 @@
         to_door.write(ask()[:-4])
         while not door.program.clients.owes():
             await asyncio.sleep(0)
-        door.program.stop()
+        door.program.shut_down()
         await closed_to_new(door)
-        assert not door.program.over.is_set()  # nothing is open at the door, but half a request is here
+        assert not door.program.stopped.is_set()  # nothing is open at the door, but half a request is here
         to_door.write(ask()[-4:])
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         line, headers, _ = await read_message(client)
         assert (line.split()[1], headers["connection"]) == ("200", "close")
-        await door.program.over.wait()
+        await door.program.stopped.wait()
 
 
 @socket_test
@@ -93,14 +93,14 @@
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         client, to_door = await door.client()
-        door.program.stop()
+        door.program.shut_down()
         await closed_to_new(door)
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
-        await door.program.over.wait()
+        await door.program.stopped.wait()
 
 
 @socket_test
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -106,7 +106,7 @@
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        door.program.stop()
+        door.program.shut_down()
         late, to_late = await door.client()  # a new connection after the signal
         to_late.write(ask(trace="a2"))
         reader2, writer2 = await backend.connection()
@@ -118,7 +118,7 @@
         writer.write(answer())
         assert (await read_message(client))[1]["connection"] == "close"
         assert await idle.read() == b""  # closed once nothing more can come
-        await door.program.over.wait()
+        await door.program.stopped.wait()
 
 
 @socket_test
@@ -130,9 +130,9 @@
         client, to_door = await door.client()
         to_door.write(ask())
         await backend.connection()
-        door.program.stop()
+        door.program.shut_down()
         assert (await read_message(client))[0].split()[1] == "500"
-        await door.program.over.wait()
+        await door.program.stopped.wait()
 
 
 async def start(path: Path, told: object, descriptors: int = 0) -> asyncio.subprocess.Process:
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -2,7 +2,11 @@
 
 
 class YardlaneError(Exception):
-    """The base of all errors that this package raises on purpose; the text says what is wrong and where."""
+    """The base of all errors that this package raises itself; the text says what is wrong and where."""
+
+    def one_line(self) -> str:
+        """The text without line breaks, which a value that it quotes may bring in."""
+        return " ".join(str(self).split())
 
 
 class SettingsError(YardlaneError):
