--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,11 +8,12 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
+FORM = "TEST | COMMAND AND SEED | SEEN | ISSUE"
 TESTS = """
 import pytest
 def test_good(): pass
 @pytest.mark.parametrize("n", (1, 2))
-def test_odd(n): assert n != 1
+def test_failing(n): assert n != 1
 @pytest.mark.skip
 def test_skipped(): assert False
 @pytest.fixture
@@ -26,12 +27,13 @@
     raise OSError
 def test_untidy(untidy): assert False
 """
-ODD = "tests/test_some.py::test_odd[1]"
-UNREADY, UNTIDY = "tests/test_some.py::test_unready", "tests/test_some.py::test_untidy"
-REST = "not unready and not untidy"
+FAILING = "tests/test_some.py::test_failing[1]"
+UNREADY = "tests/test_some.py::test_unready"
+UNTIDY = "tests/test_some.py::test_untidy"
+ORDINARY = "not unready and not untidy"
 
 
-def run_ci(path: Path, listed: str | None, only: str = REST, tests: str = TESTS) -> tuple[int, str]:
+def run_ci(path: Path, listed: str | None, only: str = ORDINARY, tests: str = TESTS) -> tuple[int, str]:
     """Exit code and output of `.ci/run` in a project of these tests, where pip, ruff and mypy do nothing."""
     for file in (".ci/run", "tests/conftest.py"):
         (path / file).parent.mkdir(exist_ok=True)
@@ -62,33 +64,36 @@
 
 
 def test_a_listed_test_that_fails_is_passed_over_and_named(tmp_path: Path) -> None:
-    code, output = run_ci(tmp_path, f"\n{ODD} | the clock | #7\n\n")
+    code, output = run_ci(tmp_path, f"\n{FAILING} | pytest, seed 5 | the clock | #7\n\n")
     assert code == 0, output
     assert closing(output).startswith("2 passed, 1 skipped, 2 deselected, 2 xfailed in "), output
-    assert f"known red: {ODD} | the clock | #7" in output
+    assert f"known red: {FAILING} | pytest, seed 5 | the clock | #7" in output
 
 
-@pytest.mark.parametrize("listed", [None, "", "tests/test_some.py::test_expected | cause | #1\n"])
+@pytest.mark.parametrize("listed", [None, "", "tests/test_some.py::test_expected | pytest | seen | #1\n"])
 def test_what_is_not_listed_counts(tmp_path: Path, listed: str | None) -> None:
     code, output = run_ci(tmp_path, listed)
-    assert code == 1 and f"FAILED {ODD}" in output, output
+    assert code == 1 and f"FAILED {FAILING}" in output, output
 
 
-@pytest.mark.parametrize("name", ["test_good", "test_odd[2]", "test_skipped", "test_expected"])
+@pytest.mark.parametrize("name", ["test_good", "test_failing[2]", "test_skipped", "test_expected"])
 def test_a_listed_test_that_does_not_fail_is_a_failure(tmp_path: Path, name: str) -> None:
-    code, output = run_ci(tmp_path, f"{ODD} | cause | #1\ntests/test_some.py::{name} | cause | #1\n")
+    code, output = run_ci(
+        tmp_path, f"{FAILING} | pytest | seen | #1\ntests/test_some.py::{name} | pytest | seen | #1\n"
+    )
     assert code == 1 and f"tests/test_some.py::{name} - KNOWN-RED.txt lists it" in output, output
     assert "1 failed, " in closing(output) or ", 1 error" in closing(output), output
 
 
 @pytest.mark.parametrize("name", [UNREADY, UNTIDY])
 def test_an_error_around_a_listed_test_is_one(tmp_path: Path, name: str) -> None:
-    code, output = run_ci(tmp_path, f"{name} | cause | #1\n", name.rpartition("_")[2])
+    code, output = run_ci(tmp_path, f"{name} | pytest | seen | #1\n", name.rpartition("_")[2])
     assert code == 1 and f"ERROR {name}" in output, output
 
 
 @pytest.mark.parametrize(
-    "listed, tests, ends", [(None, "", 5), (f"{ODD} | cause | #1", "import nothing_of_the_kind\n", 2)]
+    "listed, tests, ends",
+    [(None, "", 5), (f"{FAILING} | pytest | seen | #1", "import nothing_of_the_kind\n", 2)],
 )
 def test_a_run_without_the_tests_fails(tmp_path: Path, listed: str | None, tests: str, ends: int) -> None:
     code, output = run_ci(tmp_path, listed, tests=tests)
@@ -96,22 +101,25 @@
 
 
 @pytest.mark.parametrize(
-    "listed, told",
+    "listed, reason",
     [
         (
-            "tests/test_some.py::test_odd | a cause | #1",
-            "no such test in this run: tests/test_some.py::test_odd",
+            "tests/test_some.py::test_failing | pytest | seen | #1",
+            "no such test in this run: tests/test_some.py::test_failing",
         ),
-        ("tests/test_some.py::test_unready | a cause | #1", "no such test in this run"),  # not selected
-        (f"{ODD} | a cause", "wanted TEST | CAUSE | ISSUE"),
-        (f"{ODD} | a cause | ", "wanted TEST | CAUSE | ISSUE"),
-        (f"{ODD} |  | #1", "wanted TEST | CAUSE | ISSUE"),
-        (f"{ODD} | a | #1\n{ODD} | b | #2", "listed twice"),
-        ("\n".join(f"a.py::test_{n} | a cause | #1" for n in range(4)), "4 tests, at most 3"),
+        ("tests/test_some.py::test_unready | pytest | seen | #1", "no such test in this run"),  # not selected
+        (f"{FAILING} | seen", f"wanted {FORM}"),
+        (f"{FAILING} | seen | #1", f"wanted {FORM}"),
+        (f"{FAILING} | pytest | seen | ", f"wanted {FORM}"),
+        (f"{FAILING} | pytest |  | #1", f"wanted {FORM}"),
+        (f"{FAILING} |  | seen | #1", f"wanted {FORM}"),
+        (f"{FAILING} | pytest | seen | #1 | more", f"wanted {FORM}"),
+        (f"{FAILING} | pytest | a | #1\n{FAILING} | pytest | b | #2", "listed twice"),
+        ("\n".join(f"a.py::test_{n} | pytest | seen | #1" for n in range(4)), "4 tests, at most 3"),
     ],
 )
-def test_an_odd_list_is_told_in_one_line(tmp_path: Path, listed: str, told: str) -> None:
+def test_a_malformed_list_ends_with_one_line(tmp_path: Path, listed: str, reason: str) -> None:
     code, output = run_ci(tmp_path, listed)
     assert code != 0 and "Traceback" not in output, output
-    assert closing(output).startswith("ERROR: KNOWN-RED.txt: ") and told in closing(output), output
+    assert closing(output).startswith("ERROR: KNOWN-RED.txt: ") and reason in closing(output), output
     assert " passed" not in output
