--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -189,8 +189,8 @@
     return f"{'POST' if kind == 'file' else 'GET'} /api?q=1 HTTP/1.1\r\nHost: svc\r\n{lines}\r\n".encode()
 
 
-class Running:
-    """A front door that runs in this test's loop."""
+class RunningProxy:
+    """The whole program, running in this test's loop."""
 
     def __init__(self, program: Program) -> None:
         self.program = program
@@ -207,35 +207,40 @@
         return await read_message(reader)
 
 
-class LateConnections:
-    """The pool's loop, with connections to one backend that begin to come up when the test says so."""
+class DelayedConnections:
+    """The pool's loop; connections to one backend are made, and known to be, only when the test says so."""
 
-    def __init__(self, run: Running, port: int) -> None:
-        self.loop, self.port = run.program.pool.loop, port
-        self.asked, self.go_on, self.told = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        self.told.set()
-        run.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
+    def __init__(self, proxy: RunningProxy, port: int) -> None:
+        self.loop = proxy.program.pool.loop
+        self.port = port
+        self.requested = asyncio.Event()
+        self.may_connect = asyncio.Event()
+        self.may_return = asyncio.Event()  # set, unless a test withholds what is known of a connection made
+        self.may_return.set()
+        proxy.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
-    async def create_connection(self, made: Callable[[], asyncio.Protocol], host: str, port: int) -> Any:
+    async def create_connection(
+        self, make_protocol: Callable[[], asyncio.Protocol], host: str, port: int
+    ) -> Any:
         if port == self.port:
-            self.asked.set()
-            await self.go_on.wait()
-        up = await self.loop.create_connection(made, host, port)
-        await self.told.wait()
-        return up
+            self.requested.set()
+            await self.may_connect.wait()
+        connection = await self.loop.create_connection(make_protocol, host, port)
+        await self.may_return.wait()
+        return connection
 
 
 @asynccontextmanager
-async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[Running]:
+async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningProxy]:
     """The whole program, without its signals; discovery may be nobody."""
     made = config(**changes)
     loop = asyncio.get_running_loop()
     program = Program(made, loop, decider or Gateway(made.settings, made.seed))
     program.start()
-    run = Running(program)
+    run = RunningProxy(program)
     try:
         yield run
     finally:
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -15,9 +15,9 @@
 from yardlane.proxy.client_connection import MOST_PIPELINED, Client
 from tests.loopback import (
     LIMIT,
-    LateConnections,
+    DelayedConnections,
     Peer,
-    Running,
+    RunningProxy,
     Script,
     answer,
     as_json,
@@ -35,7 +35,7 @@
 Leave = Callable[[asyncio.StreamWriter], None]
 
 
-async def nothing_open(door: Running) -> None:
+async def nothing_open(door: RunningProxy) -> None:
     """All that the request held is given back: its place in the books, its attempts, its descriptors."""
     while door.program.door.requests or door.program.pool.all:
         await asyncio.sleep(0)
@@ -57,14 +57,14 @@
         Peer() as second,
         running(script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as door,
     ):
-        late = LateConnections(door, second.port)
+        delayed = DelayedConnections(door, second.port)
         client, to_door = await door.client()
         to_door.write(ask())
         reader, writer = await first.connection()
         await read_message(reader)
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
-        late.go_on.set()
+        delayed.may_connect.set()
         ends = await script.wait_for(AttemptEnded, 2)
         assert {e.attempt_index: (e.outcome, e.request_ended) for e in ends} == {
             0: (Outcome.OK, True),
@@ -78,13 +78,13 @@
 async def test_an_attempt_still_connecting_at_the_final_answer_is_never_written() -> None:
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        late = LateConnections(door, backend.port)
+        delayed = DelayedConnections(door, backend.port)
         client, to_door = await door.client()
         to_door.write(ask())
-        await late.asked.wait()
+        await delayed.requested.wait()
         door.program.door._apply(Fail(1))  # the module's time is up
         assert (await read_message(client))[0].split()[1] == "502"
-        late.go_on.set()
+        delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
         await nothing_open(door)
         assert backend.accepted.empty()
@@ -121,13 +121,13 @@
 async def test_a_client_that_leaves_while_its_request_connects(leave: Leave) -> None:
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        late = LateConnections(door, backend.port)
+        delayed = DelayedConnections(door, backend.port)
         _, to_door = await door.client()
         to_door.write(ask())
-        await late.asked.wait()
+        await delayed.requested.wait()
         leave(to_door)
         await script.wait_for(RequestEnded)
-        late.go_on.set()
+        delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
         await nothing_open(door)
         assert backend.accepted.empty()
@@ -222,7 +222,7 @@
 # nothing of a connection that it does not read.
 
 
-def unswept(door: Running) -> list[Attempt]:
+def unswept(door: RunningProxy) -> list[Attempt]:
     """The front door without its sweep; the attempts that it begins or connects for from now on."""
     door.program.clients.sweep = lambda: None  # type: ignore[method-assign]
     begun: list[Attempt] = []
@@ -236,7 +236,7 @@
     return begun
 
 
-async def pipelined(door: Running) -> asyncio.StreamWriter:
+async def pipelined(door: RunningProxy) -> asyncio.StreamWriter:
     """A client with so much open that its connection is read no further."""
     _, to_door = await door.client()
     to_door.write(b"".join(ask(trace=f"t{n}") for n in range(MOST_PIPELINED)))
@@ -245,7 +245,7 @@
     return to_door
 
 
-async def has_left(door: Running) -> None:
+async def has_left(door: RunningProxy) -> None:
     [client] = door.program.clients.connections
     assert client.transport is not None and not client.transport.is_reading()
     while not client.has_left():
@@ -315,12 +315,12 @@
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         unswept(door)
-        late = LateConnections(door, backend.port)
+        delayed = DelayedConnections(door, backend.port)
         to_door = await pipelined(door)
-        await late.asked.wait()
+        await delayed.requested.wait()
         leave(to_door)
         await has_left(door)
-        late.go_on.set()
+        delayed.may_connect.set()
         reader, _ = await backend.connection()
         assert await began(reader) == b""
         ends = await script.wait_for(AttemptEnded, MOST_PIPELINED)
@@ -339,7 +339,7 @@
 
 
 async def slow_reader(
-    door: Running, requests: int
+    door: RunningProxy, requests: int
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, Client]:
     """A client that reads no answers for now, over buffers of the kernel that hold far less than one."""
     made = socket.socket()
@@ -446,16 +446,16 @@
             door.program.pool.connect_timeout = LIMIT
             to_agent, agent = await discovery.connection()
             await read_message(to_agent)
-            late = LateConnections(door, one.port)
+            delayed = DelayedConnections(door, one.port)
             client, to_door = await door.client()
             to_door.write(ask())
-            await late.asked.wait()
+            await delayed.requested.wait()
             agent.write(answer(200, as_json(whole_list({**first, "phase": "Terminating"}, second))))
             reader, writer = await two.connection()
             await read_message(reader)
             writer.write(answer())
             assert (await read_message(client))[0].split()[1] == "200"
-            late.go_on.set()
+            delayed.may_connect.set()
             await door.call(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
             assert one.accepted.empty()
 
@@ -466,15 +466,15 @@
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         pool, told = door.program.pool, asyncio.Event()
         pool.connect_timeout = 0.05
-        late = LateConnections(door, backend.port)
-        late.go_on.set()
-        late.told = told  # the connection is up and used; whoever opened it hears of that later
+        delayed = DelayedConnections(door, backend.port)
+        delayed.may_connect.set()
+        delayed.may_return = told  # the connection is up and used; whoever opened it hears of that later
         client, to_door = await door.client()
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        over = late.loop.time() + 2 * pool.connect_timeout
-        while late.loop.time() < over:
+        over = delayed.loop.time() + 2 * pool.connect_timeout
+        while delayed.loop.time() < over:
             await asyncio.sleep(0)
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
@@ -502,10 +502,10 @@
             ) as door,
         ):
             door.program.pool.connect_timeout = LIMIT
-            late, clock = LateConnections(door, backend.port), door.program.door.clock
+            delayed, clock = DelayedConnections(door, backend.port), door.program.door.clock
             _, to_door = await door.client()
             to_door.write(ask("file", X_Expires_In="60000m"))
-            await late.asked.wait()
+            await delayed.requested.wait()
             if is_timed:
                 [ended] = await script.wait_for(AttemptEnded)
                 assert not ended.request_ended
@@ -514,7 +514,7 @@
                 assert request.attempts[0].latest is not None
                 request.attempts[0].latest.cancel()
                 clock.offset += 10**9
-            late.go_on.set()
+            delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
             door.program.door._apply(Fail(1))
             await nothing_open(door)
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -14,7 +14,7 @@
 from yardlane.proxy.listener import Listener
 from tests.loopback import (
     Peer,
-    Running,
+    RunningProxy,
     Script,
     Streams,
     ask,
@@ -38,7 +38,7 @@
         self.side.sweep()
 
 
-async def connected(door: Running, count: int) -> list[Streams]:
+async def connected(door: RunningProxy, count: int) -> list[Streams]:
     made = [await door.client() for _ in range(count)]
     while len(door.program.clients.connections) < count or not all(
         c.transport for c in door.program.clients.connections
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 from yardlane.proxy.client_connection import State
 from tests.loopback import (
     Peer,
-    Running,
+    RunningProxy,
     Script,
     answer,
     ask,
@@ -24,7 +24,7 @@
 )
 
 
-async def closed_to_new(door: Running) -> None:
+async def closed_to_new(door: RunningProxy) -> None:
     while door.program.clients.listener.socket is not None:
         await asyncio.sleep(0.001)
 
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -18,7 +18,7 @@
 from yardlane.proxy.proxy import Proxy
 from tests.loopback import (
     Peer,
-    Running,
+    RunningProxy,
     Script,
     answer,
     ask,
@@ -498,7 +498,7 @@
         return await self.loop.create_connection(made, sock=up)
 
     async def half_written(
-        self, door: Running, peer: socket.socket | None = None
+        self, door: RunningProxy, peer: socket.socket | None = None
     ) -> tuple[Backend, socket.socket]:
         """A client's request of 64 KiB: its connection to a backend, which stands, and the backend's end."""
         door.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
@@ -513,7 +513,7 @@
             accept.cancel()
         return done.pop().result()[0]
 
-    async def standing(self, door: Running, peer: socket.socket) -> tuple[Backend, socket.socket]:
+    async def standing(self, door: RunningProxy, peer: socket.socket) -> tuple[Backend, socket.socket]:
         while not (found := [c for c in door.program.pool.all if left(c)]):
             await asyncio.sleep(0)
         return found[0], peer
