--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""A rate that many gateways keep together, each of which sees few of the customer's requests."""
+"""A rate that many gateways keep together, each of which sees few of the tenant's requests."""
 
 import heapq
 import random
@@ -25,7 +25,7 @@
 
 
 class Day:
-    """One customer's day over all gateways; `store` is its burst as one that saw all would know it."""
+    """One tenant's day over all gateways; `store` is its burst as one that saw all would know it."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst, self.store, self.store_at = rate, burst, burst, 0
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -23,9 +23,9 @@
 )
 
 
-def customer_of(desk: GatewayDriver, key: int, plan: int) -> Tenant:
+def tenant_of(desk: GatewayDriver, key: int, plan: int) -> Tenant:
     desk.ask(tenant=key, quota_plan=plan)
-    return desk.gateway.customers[key, plan]
+    return desk.gateway.tenants[key, plan]
 
 
 def bound_after(total_of_others: float) -> int:
@@ -35,14 +35,14 @@
     for _ in range(20):
         desk.serve(tenant=4, quota_plan=CAPPED)
         desk.run(200 * MS)
-    return desk.gateway.customers[4, CAPPED].bound
+    return desk.gateway.tenants[4, CAPPED].bound
 
 
 def test_the_bound_starts_at_an_even_part_of_the_cap() -> None:
     desk = GatewayDriver()
     desk.counter_answers = False
     sent = sum(bool(of_type(StartAttempt, desk.ask(tenant=4, quota_plan=CAPPED)[1])) for _ in range(5))
-    assert sent == 2 == desk.gateway.customers[4, CAPPED].bound
+    assert sent == 2 == desk.gateway.tenants[4, CAPPED].bound
 
 
 @pytest.mark.parametrize(
@@ -57,9 +57,9 @@
     ],
 )
 def test_the_demand_split(here: float, total: float, bound: int) -> None:
-    customer = customer_of(GatewayDriver(), 4, CAPPED)
-    customer.split(here, total)
-    assert customer.bound == bound
+    tenant = tenant_of(GatewayDriver(), 4, CAPPED)
+    tenant.split(here, total)
+    assert tenant.bound == bound
 
 
 def test_the_bound_follows_the_counted_total() -> None:
@@ -90,24 +90,24 @@
 def test_the_companion_refuses_what_is_asked_past_the_room() -> None:
     """Rate 10, burst 20: an interval of two seconds with room for twenty units of all gateways."""
     desk = GatewayDriver()
-    customer = customer_of(desk, 5, RATED)
-    assert customer.fading == 2 * SECOND
-    customer.total, customer.told_at, customer.mine, customer.credit = 39.9, desk.now, 1e9, 0.0
-    customer.mine_then = customer.mine
+    tenant = tenant_of(desk, 5, RATED)
+    assert tenant.fading == 2 * SECOND
+    tenant.total, tenant.told_at, tenant.mine, tenant.credit = 39.9, desk.now, 1e9, 0.0
+    tenant.mine_then = tenant.mine
     sent = sum(bool(of_type(StartAttempt, desk.ask(tenant=5, quota_plan=RATED)[1])) for _ in range(4))
     assert sent == 2
 
 
 def test_a_told_total_fades_and_a_new_name_starts_from_the_last() -> None:
     desk = GatewayDriver()
-    customer = customer_of(desk, 5, RATED)
-    index = (desk.now - customer.phase) // customer.period
-    start = index * customer.period + customer.phase
-    customer.told_at, customer.total = start, 12.0
-    customer.hear(1.0, index, 20.0, start)
-    assert customer.total == pytest.approx(13.0)
-    customer.hear(math.exp(4.0), index, 20.0, start + 4 * int(customer.fading))
-    assert customer.total == pytest.approx(1.0 + 12.0 * math.exp(-4.0))
+    tenant = tenant_of(desk, 5, RATED)
+    index = (desk.now - tenant.phase) // tenant.period
+    start = index * tenant.period + tenant.phase
+    tenant.told_at, tenant.total = start, 12.0
+    tenant.hear(1.0, index, 20.0, start)
+    assert tenant.total == pytest.approx(13.0)
+    tenant.hear(math.exp(4.0), index, 20.0, start + 4 * int(tenant.fading))
+    assert tenant.total == pytest.approx(1.0 + 12.0 * math.exp(-4.0))
 
 
 def flood(desk: GatewayDriver, seconds: int, each: int = 40) -> int:
@@ -149,7 +149,7 @@
         assert flood(desk, 1) <= 14
 
 
-def test_a_known_customer_needs_few_calls() -> None:
+def test_a_known_tenant_needs_few_calls() -> None:
     desk = GatewayDriver()
     flood(desk, 10)
     desk.log.clear()
@@ -157,8 +157,8 @@
     assert len(of_type(AddToCounter, [a for _, a in desk.log])) <= 50  # of 400 requests
 
 
-def test_an_untold_customer_is_judged_from_what_came_here() -> None:
-    """Lost: with the counter swamped, each of 200 gateways let a heavy customer in, again and again."""
+def test_an_untold_tenant_is_judged_from_what_came_here() -> None:
+    """Lost: with the counter swamped, each of 200 gateways let a heavy tenant in, again and again."""
     desk = GatewayDriver(servers=100, gateway_count=200)
     desk.counter_answers = False
     sent = 0
@@ -186,7 +186,7 @@
         desk.serve(tenant=n, quota_plan=RATED, gateway_count=250)
         desk.gateway.strain = 4.0
     told = sum(desk.counts.values())
-    into = [(desk.now - c.phase) % c.period / c.fading for c in desk.gateway.customers.values()]
+    into = [(desk.now - c.phase) % c.period / c.fading for c in desk.gateway.tenants.values()]
     mean = sum(math.exp(i) for i in into) / len(into)
     assert 0.7 * 1000 < told / mean < 1.4 * 1000
 
@@ -194,9 +194,9 @@
 def test_what_was_surely_not_added_is_told_later() -> None:
     desk = GatewayDriver()
     desk.counter_answers, desk.refusal = False, Outcome.REJECTED
-    assert customer_of(desk, 5, RATED).owed == 1.0
+    assert tenant_of(desk, 5, RATED).owed == 1.0
     desk.refusal = Outcome.TIMED_OUT
-    assert customer_of(desk, 6, RATED).owed == 0.0
+    assert tenant_of(desk, 6, RATED).owed == 0.0
 
 
 def test_250_gateways_keep_a_cap_of_three() -> None:
@@ -225,38 +225,38 @@
     assert 0.8 <= sum(steady) / len(steady) <= 3.0
 
 
-def test_idle_customers_are_forgotten_only_when_full() -> None:
+def test_idle_tenants_are_forgotten_only_when_full() -> None:
     desk = GatewayDriver()
     desk.run(5 * SECOND)
     assert desk.serve(tenant=6, quota_plan=CEILED)
     desk.serve(tenant=5, quota_plan=RATED)
     desk.run(21 * SECOND)
-    desk.gateway.customers[6, CEILED].store = -3.0  # by now refilled to less than its part
-    desk.gateway.customers[6, CEILED].store_at = desk.now
+    desk.gateway.tenants[6, CEILED].store = -3.0  # by now refilled to less than its part
+    desk.gateway.tenants[6, CEILED].store_at = desk.now
     desk.serve(tenant=7, quota_plan=RATED)
-    assert set(desk.gateway.customers) == {(6, CEILED), (5, RATED), (7, RATED)}
+    assert set(desk.gateway.tenants) == {(6, CEILED), (5, RATED), (7, RATED)}
     desk.run(19 * SECOND)
     desk.serve(tenant=7, quota_plan=RATED)
-    assert set(desk.gateway.customers) == {(7, RATED)}
+    assert set(desk.gateway.tenants) == {(7, RATED)}
 
 
-def test_customers_that_come_once_do_not_fill_the_memory() -> None:
+def test_tenants_that_come_once_do_not_fill_the_memory() -> None:
     desk = GatewayDriver(gateway_count=2)
     desk.serve(tenant=1, quota_plan=RATED, gateway_count=2)
     for n in range(2, 1500):
         desk.serve(tenant=n, quota_plan=(RATED, CEILED)[n % 2], gateway_count=2)
         desk.serve(tenant=1, quota_plan=RATED, gateway_count=2)  # one that always comes holds up nobody's end
         desk.run(100 * MS)
-    assert len(desk.gateway.customers) <= 210  # those of the last 20 s and the regular one
+    assert len(desk.gateway.tenants) <= 210  # those of the last 20 s and the regular one
     desk.run(10 * SECOND)
     assert not desk.gateway.requests and not desk.gateway.calls and len(desk.gateway.agenda) < 10
 
 
-def test_a_strangers_plan_is_not_taken_for_the_customers() -> None:
+def test_a_strangers_plan_is_not_taken_for_the_tenants() -> None:
     desk = GatewayDriver()
     desk.serve(tenant=9, quota_plan=CEILED, units=1.0)
     desk.serve(tenant=9, quota_plan=RATED)
-    assert [c.plan for c in desk.gateway.customers.values()] == [
+    assert [c.plan for c in desk.gateway.tenants.values()] == [
         desk.settings.quota_plans[CEILED],
         desk.settings.quota_plans[RATED],
     ]
@@ -265,7 +265,7 @@
 def test_the_room_holds_what_is_left_of_the_burst_and_no_more() -> None:
     desk = GatewayDriver(gateway_count=1, quota_plans=(make_quota_plan(rate_per_s=10.0, burst=40.0),))
     passed = sum(desk.serve(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
-    assert passed >= 15  # a calm customer's burst passes: the window alone has room for 15
+    assert passed >= 15  # a calm tenant's burst passes: the window alone has room for 15
     for _ in range(200):
         desk.run(20 * MS)
         desk.serve(tenant=3, quota_plan=0, gateway_count=1)
@@ -446,7 +446,7 @@
     desk.ask(tenant=9, quota_plan=RATED, gateway_count=2)
     # 401 units and the weight of the interval's end, not those times the strain of each failed call.
     assert of_type(AddToCounter, [a for _, a in desk.log])[-1].amount < 401 * math.exp(8) * 1.01
-    assert desk.gateway.customers[9, RATED].owed == 0.0
+    assert desk.gateway.tenants[9, RATED].owed == 0.0
 
 
 def test_a_small_cap_is_kept_by_what_is_out_now_not_by_the_last_seconds() -> None:
--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -1,4 +1,4 @@
-"""One customer's ceiling over several gateways that share a slow counter, are ended and come back."""
+"""One tenant's ceiling over several gateways that share a slow counter, are ended and come back."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Day:
-    """A customer's requests to all gateways, and the true store beside them."""
+    """A tenant's requests to all gateways, and the true store beside them."""
 
     def __init__(self, seed: int, gateways: int) -> None:
         self.random, self.gateways, self.now = Random(seed), gateways, START
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -239,8 +239,8 @@
         sent += len(of_type(StartAttempt, desk.run(each))) + len(
             of_type(StartAttempt, desk.ask(tenant=4, quota_plan=0, gateway_count=10)[1])
         )
-        for number in [n for n, r in desk.gateway.requests.items() if any(t.out for t in r.tries)]:
-            desk.end(number, desk.gateway.requests[number].tries[-1].server.entry.endpoint_id)
+        for number in [n for n, r in desk.gateway.requests.items() if any(t.out for t in r.attempts)]:
+            desk.end(number, desk.gateway.requests[number].attempts[-1].server.entry.endpoint_id)
     return sent
 
 
@@ -249,11 +249,11 @@
     desk = GatewayDriver(gateway_count=10, quota_plans=CEILING)
     asked_for(desk, 4, 200 * MS)
     assert asked_for(desk, 10, 200 * MS) > 40  # alone it asks 5 units a second of a quota of 6
-    customer = desk.gateway.customers[4, 0]
-    assert customer.part(desk.now) > 0.3  # three even parts
+    tenant = desk.gateway.tenants[4, 0]
+    assert tenant.part(desk.now) > 0.3  # three even parts
     desk.counter_answers = False
     desk.run(20 * SECOND)
-    assert customer.part(desk.now) < 0.11
+    assert tenant.part(desk.now) < 0.11
 
 
 def test_a_ceiling_holds_over_ten_gateways_whose_demand_moves() -> None:
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -149,14 +149,14 @@
         assert (await read_message(reader))[1]["x-trace-id"] == "first"
         _, to_door = await door.client()
         to_door.write(ask(trace="held"))
-        while not any(c.held for c in gateway.customers.values()):
+        while not any(c.queue for c in gateway.tenants.values()):
             await asyncio.sleep(0)
         leave(to_door)
         while len(door.program.door.requests) > 1:
             await asyncio.sleep(0)
         third, to_third = await door.client()
         to_third.write(ask(trace="third"))
-        while not any(c.held for c in gateway.customers.values()):
+        while not any(c.queue for c in gateway.tenants.values()):
             await asyncio.sleep(0)
         writer.write(answer())  # the slot is free: it is the third one's
         assert (await read_message(first))[0].split()[1] == "200"
@@ -173,8 +173,8 @@
         assert (await read_message(third))[0].split()[1] == "200"
         while door.program.door.requests:
             await asyncio.sleep(0)
-        [customer] = gateway.customers.values()
-        assert (customer.out, customer.held, gateway.out, gateway.requests) == (0, [], 0, {})
+        [tenant] = gateway.tenants.values()
+        assert (tenant.in_flight, tenant.queue, gateway.out, gateway.requests) == (0, [], 0, {})
 
 
 @each_way
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -82,7 +82,7 @@
         client, to_door = await door.client()
         to_door.write(ask(trace="held", X_Expires_In="100m"))
         gateway = cast(Gateway, door.program.door.decider)
-        while not any(c.held for c in gateway.customers.values()):
+        while not any(c.queue for c in gateway.tenants.values()):
             await asyncio.sleep(0)
         time.sleep(0.2)
         assert (await read_message(client))[0].split()[1] == "429"
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -35,12 +35,13 @@
 )
 from yardlane.decisions.settings import DeduplicationScope, Idempotency, QuotaPlan, Settings
 from yardlane.decisions.endpoints import FIRST_WORK_SHARE, Fleet, Server, AttemptRecord
-from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Tenant, Request
+from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Tenant
+from yardlane.decisions.request import Request
 
 # Parts that the chance aims at: of rate, small cap, what is left of a burst. Requests come at random: half of
 # a cap of two in use on average is all of it a quarter of the time, and a try beyond costs most of its worth.
 ROOM, FILL, LEFT = 0.90, 0.5, 0.5
-KNOWN_FOR, FORGOTTEN = 20_000_000, 4  # a total so old says little; customers forgotten at most for an arrival
+KNOWN_FOR, FORGOTTEN = 20_000_000, 4  # a total so old says little; tenants forgotten at most for an arrival
 # Further calls are spared after one that was late or turned away, as all gateways together ask too much, and
 # less so after one that was lost; one in time allows more. Level with three in ten late or two in five lost.
 STRAIN_MOST, STRAIN_LATE, STRAIN_LOST, STRAIN_PROMPT = 20.0, 1.3, 1.15, 0.9
@@ -69,7 +70,7 @@
         self.numbers, self.wake_at, self.woke, self.now, self.born = 0, 0, -1, -1, -1
         self.out, self.last_sent = 0, -SECOND
         self.window, self.usual_window = WIDEST, 1.0  # most attempts of ours at once: queues stay short
-        self.customers: dict[tuple[int, int], Tenant] = {}
+        self.tenants: dict[tuple[int, int], Tenant] = {}
         self.requests: dict[int, Request] = {}
         self.calls: dict[int, deque[tuple[Request, float, int]]] = {}
         self.usual = [c.latency_objective_us * FIRST_WORK_SHARE for c in settings.request_classes]
@@ -123,11 +124,14 @@
 
     def _pick(self, request: Request) -> Server | None:
         """The server that should finish first, failures counted as an aim lost."""
-        rule, usual = self.settings.request_classes[request.kind], self.usual[request.kind]
+        rule, usual = self.settings.request_classes[request.request_class], self.usual[request.request_class]
         window = self.window * min(FAVOUR, max(1.0 / FAVOUR, rule.priority_weight / usual / self.value))
         if self.out >= window or (window < 1.0 and self.now - self.last_sent < usual / window):
             return None
-        ready, tied = self.fleet.near, next((t.server.entry for t in request.tries if t.may_have_run), None)
+        ready, tied = (
+            self.fleet.near,
+            next((t.server.entry for t in request.attempts if t.may_have_run), None),
+        )
         if (
             tied
             and rule.idempotency is Idempotency.KEYED
@@ -139,7 +143,7 @@
                 for s in self.fleet.ready
                 if (s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)
             ]
-        tried, best, least = [t.server for t in request.tries], None, math.inf
+        tried, best, least = [t.server for t in request.attempts], None, math.inf
         for server in (s for s in ready if s not in tried):
             warmth = self.fleet.warmth(server, self.now)
             if warmth < 1.0 and not self.fleet.fits_cold(server, warmth, self.work, self.now):
@@ -147,7 +151,7 @@
             others = server.others * max(0.0, 1.0 - (self.now - server.told_at) / SECOND)
             kept = (1.0 - FADE) ** ((self.now - server.last_sent) / SECOND)
             cost = usual * (1.0 + (server.slow - 1.0) * kept) * (1.0 + server.out + others) / warmth
-            cost += (server.bad[None] + server.bad[request.customer.plan]) * kept * rule.latency_objective_us
+            cost += (server.bad[None] + server.bad[request.tenant.plan]) * kept * rule.latency_objective_us
             cost *= (
                 warmth / 2 if warmth < 1.0 and usual < warmth * rule.latency_objective_us / 2 else 1.0
             )  # turns are rare
@@ -160,95 +164,95 @@
 
     def _arrival(self, event: RequestArrived) -> None:
         self.settings.require_known(event.request_class, event.quota_plan)
-        key = (event.tenant, event.quota_plan)  # a stranger's plan must not become this customer's
-        if not (customer := self.customers.pop(key, None)):
-            customer = Tenant(event, self.settings, self.now, self.born)
-            customer.credit = self.random.random()
-        self.customers[key] = customer  # in the order of their last requests
-        request = self.requests[event.request_id] = Request(event, customer, self.now, self.settings.tick_us)
-        rule, usual = self.settings.request_classes[request.kind], self.usual[request.kind]
+        key = (event.tenant, event.quota_plan)  # a stranger's plan must not become this tenant's
+        if not (tenant := self.tenants.pop(key, None)):
+            tenant = Tenant(event, self.settings, self.now, self.born)
+            tenant.credit = self.random.random()
+        self.tenants[key] = tenant  # in the order of their last requests
+        request = self.requests[event.request_id] = Request(event, tenant, self.now, self.settings.tick_us)
+        rule, usual = self.settings.request_classes[request.request_class], self.usual[request.request_class]
         hold = max(
             0, int(min((rule.latency_objective_us - usual) * HOLD_SHARE, event.time_left_us * HOLD_MOST))
         )
-        self._plan(min(request.last, self.now + hold), self._time_up, request)
+        self._plan(min(request.answer_by_us, self.now + hold), self._time_up, request)
         self.value += LEARN / 10 * (rule.priority_weight / usual - self.value)
         weight, room = self._weigh(request)
-        customer.ask(weight, self.now)
+        tenant.ask(weight, self.now)
         self._forget()
-        age = self.now - customer.told_at if customer.told_at >= 0 else KNOWN_FOR
-        spare = customer.fading * min(1.0, customer.ways / TELLERS) * self.strain
+        age = self.now - tenant.told_at if tenant.told_at >= 0 else KNOWN_FOR
+        spare = tenant.fading * min(1.0, tenant.ways / TELLERS) * self.strain
         if age >= KNOWN_FOR:
             call = self.random.random() * self.strain < 1.0
         else:
-            near = NEAR * room < customer.guess(weight) * self.strain and customer.guess(weight) < room
+            near = NEAR * room < tenant.guess(weight) * self.strain and tenant.guess(weight) < room
             call = age > (spare / 4 if near else spare)
         (self._call if call and self.settings.has_shared_counter and room else self._admit)(request)
 
     def _forget(self) -> None:
         for _ in range(FORGOTTEN):
-            oldest = self.customers[key := next(iter(self.customers))]
+            oldest = self.tenants[key := next(iter(self.tenants))]
             if (
                 self.now - oldest.asked_at <= KNOWN_FOR
-                or oldest.out
-                or oldest.held
+                or oldest.in_flight
+                or oldest.queue
                 or not oldest.is_full(self.now)
             ):  # a ceiling is not given back early
                 return
-            del self.customers[key]
+            del self.tenants[key]
 
     def _weigh(self, request: Request) -> tuple[float, float]:
         """What a request asks and the room for all in one interval: units, or slots times seconds."""
-        plan, took = request.customer.plan, self.usual[request.kind] / SECOND
-        interval = request.customer.fading / SECOND
+        plan, took = request.tenant.plan, self.usual[request.request_class] / SECOND
+        interval = request.tenant.fading / SECOND
         if plan.rate_per_s:  # a cap passes so much: Little's law
             return request.units, interval * min(
                 ROOM * plan.rate_per_s, plan.concurrency_limit * request.units / took or math.inf
             )
-        return took, (FILL if request.customer.small else 1.0) * plan.concurrency_limit * interval
+        return took, (FILL if request.tenant.small else 1.0) * plan.concurrency_limit * interval
 
     def _admit(self, request: Request) -> None:  # the companion's chance, then the bound
-        plan = (customer := request.customer).plan
+        plan = (tenant := request.tenant).plan
         weight, room = self._weigh(request)
-        total = customer.guess(weight) if room else 0.0
-        customer.refill(self.now)
-        room = max(0.0, room + LEFT * customer.burst_left(total)) if plan.rate_per_s else room
-        if total > 0 and plan.concurrency_limit and customer.told_at >= 0:
-            slots = self.usual[request.kind] / weight  # by Little's law, and as a mean
-            customer.split(slots * customer.mine / customer.own_fading, slots * total / customer.fading)
-        chance = max(0.0, 1.0 - room / total) if total > 0 and (plan.rate_per_s or customer.small) else 0.0
-        passes, customer.credit = divmod(customer.credit + 1.0 - chance, 1.0)  # spread evenly
+        total = tenant.guess(weight) if room else 0.0
+        tenant.refill(self.now)
+        room = max(0.0, room + LEFT * tenant.burst_left(total)) if plan.rate_per_s else room
+        if total > 0 and plan.concurrency_limit and tenant.told_at >= 0:
+            slots = self.usual[request.request_class] / weight  # by Little's law, and as a mean
+            tenant.split(slots * tenant.mine / tenant.own_fading, slots * total / tenant.fading)
+        chance = max(0.0, 1.0 - room / total) if total > 0 and (plan.rate_per_s or tenant.small) else 0.0
+        passes, tenant.credit = divmod(tenant.credit + 1.0 - chance, 1.0)  # spread evenly
         if passes < 1.0:
             return self._answer(request)
-        customer.held.append(request)
-        request.held = True
-        self._release(customer)
+        tenant.queue.append(request)
+        request.queued = True
+        self._release(tenant)
 
-    def _release(self, customer: Tenant) -> None:
+    def _release(self, tenant: Tenant) -> None:
         """Send held requests, in order, while bound, ceiling and servers allow."""
-        while customer.held:
-            request = customer.held[0]
-            if customer.bound and customer.out >= customer.bound:
+        while tenant.queue:
+            request = tenant.queue[0]
+            if tenant.bound and tenant.in_flight >= tenant.bound:
                 return
-            lack = request.units - customer.refill(self.now) if customer.plan.hard_rate_per_s else 0.0
+            lack = request.units - tenant.refill(self.now) if tenant.plan.hard_rate_per_s else 0.0
             server = self._pick(request) if lack <= 0 else None
             if server is None:
-                wait = NO_SERVER_PAUSE + customer.filled_in(lack, self.now)
-                if customer.looks_at <= self.now:
-                    customer.looks_at = self.now + wait
-                    self._plan(customer.looks_at, self._release, customer)
+                wait = NO_SERVER_PAUSE + tenant.filled_in(lack, self.now)
+                if tenant.looks_at <= self.now:
+                    tenant.looks_at = self.now + wait
+                    self._plan(tenant.looks_at, self._release, tenant)
                 return
-            customer.held.pop(0).held = False
-            customer.take(request.units, self._weigh(request)[0])
+            tenant.queue.pop(0).queued = False
+            tenant.take(request.units, self._weigh(request)[0])
             self.again = min(AGAIN_MOST, self.again + AGAIN_SHARE)
             self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> None:
-        request.customer.out += 1
+        request.tenant.in_flight += 1
         within = self._left_to_repeat(request)
-        request.tries.append(attempt := AttemptRecord(server, self.now))
+        request.attempts.append(attempt := AttemptRecord(server, self.now))
         server.out, server.last_sent = server.out + 1, self.now
         self.out, self.last_sent = self.out + 1, self.now
-        usual = self.usual[request.kind]
+        usual = self.usual[request.request_class]
         if self.fleet.warmth(server, self.now) < 1.0:
             self.fleet.send_cold(server, self.work, self.now)
         self.actions.append(StartAttempt(request.id, server.entry.endpoint_id, begin_within_us=within))
@@ -256,20 +260,20 @@
 
     def _left_to_repeat(self, request: Request) -> int:
         """Microseconds in which a copy must be sent, as a key holds only so long (rule 2); 0: no bound."""
-        rule = self.settings.request_classes[request.kind]
+        rule = self.settings.request_classes[request.request_class]
         if rule.idempotency is not Idempotency.KEYED:
             return 0
-        first = next((t for t in request.tries if t.may_have_run), None)
+        first = next((t for t in request.attempts if t.may_have_run), None)
         return max(1, first.at + rule.idempotency_window_us - self.now) if first else 0
 
     def _another(self, request: Request) -> Server | None:
         """Where a further attempt may go: rule 2, and the limits that keep retries few."""
-        rule = self.settings.request_classes[request.kind]
-        late = self.now + self.usual[request.kind] > min(
-            request.gives_up, request.arrived + rule.latency_objective_us
+        rule = self.settings.request_classes[request.request_class]
+        late = self.now + self.usual[request.request_class] > min(
+            request.gives_up_at_us, request.arrived_at_us + rule.latency_objective_us
         )
-        risky = [t for t in request.tries if t.may_have_run]
-        if request.ended or late or len(request.tries) >= self.settings.max_attempts or self.again < 1.0:
+        risky = [t for t in request.attempts if t.may_have_run]
+        if request.ended or late or len(request.attempts) >= self.settings.max_attempts or self.again < 1.0:
             return None
         if risky and (
             rule.idempotency is Idempotency.NON_IDEMPOTENT
@@ -304,40 +308,40 @@
                 self._try_again(request)
             elif self.settings.may_cancel and self._another(request):
                 self.actions.append(
-                    CancelAttempt(request.id, request.tries.index(attempt))
+                    CancelAttempt(request.id, request.attempts.index(attempt))
                 )  # its end sends anew
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
         if (
             request is None
-            or event.attempt_index >= len(request.tries)
-            or not request.tries[event.attempt_index].out
+            or event.attempt_index >= len(request.attempts)
+            or not request.attempts[event.attempt_index].out
         ):
             return
-        customer, attempt = request.customer, request.tries[event.attempt_index]
-        server, usual = attempt.server, self.usual[request.kind]
-        customer.out -= 1
+        tenant, attempt = request.tenant, request.attempts[event.attempt_index]
+        server, usual = attempt.server, self.usual[request.request_class]
+        tenant.in_flight -= 1
         attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
         server.out, self.out = server.out - 1, self.out - 1
         if event.outcome is Outcome.OK:
             server.last_good = self.now
             late = (
                 event.elapsed_us
-                > GOOD_SHARE * self.settings.request_classes[request.kind].latency_objective_us
+                > GOOD_SHARE * self.settings.request_classes[request.request_class].latency_objective_us
             )
             over = self.window / self.usual_window  # settles at the number of good answers for a late one
             step = -min(self.window, over) if late else min(self.window, 1.0 / over)
             self.window = max(LEARN, min(max(2.0, WIDEST * self.usual_window), self.window + LEARN * step))
-            self._judge(attempt, True, event.elapsed_us / usual, None, customer.plan)
+            self._judge(attempt, True, event.elapsed_us / usual, None, tenant.plan)
             took = min(event.elapsed_us, 5 * usual)
-            self.usual[request.kind] = usual + LEARN * (took - usual)
+            self.usual[request.request_class] = usual + LEARN * (took - usual)
             self.work_weight = max(LEARN, self.work_weight / (1.0 + self.work_weight))  # the first tell most
             self.work += self.work_weight * (took - self.work)
         elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and (
             event.outcome is not Outcome.TIMED_OUT or event.elapsed_us >= PATIENCE * usual
         ):  # else little time
-            self._judge(attempt, False, None, customer.plan if event.outcome is Outcome.REJECTED else None)
+            self._judge(attempt, False, None, tenant.plan if event.outcome is Outcome.REJECTED else None)
         if load := event.load:
             told = (
                 load.in_flight
@@ -347,17 +351,17 @@
             server.others, server.told_at = max(0.0, told - server.out), self.now
         if event.request_ended or request.ended:
             self._end(request)
-        elif not (any(t.out for t in request.tries) or self._try_again(request)):
+        elif not (any(t.out for t in request.attempts) or self._try_again(request)):
             self._answer(request)
-        self._release(customer)
+        self._release(tenant)
 
     def _answer(self, request: Request) -> None:
         """The final answer: a refusal where rule 2 lets us promise, else a failure."""
-        rule = self.settings.request_classes[request.kind]
+        rule = self.settings.request_classes[request.request_class]
         free = rule.idempotency is Idempotency.IDEMPOTENT or (
             rule.idempotency is Idempotency.KEYED and rule.deduplication_scope is DeduplicationScope.ALL
         )
-        promise = free or not any(t.may_have_run for t in request.tries)
+        promise = free or not any(t.may_have_run for t in request.attempts)
         self.actions.append(Reject(request.id, self._advice(request)) if promise else Fail(request.id))
         self._end(request)
 
@@ -365,7 +369,7 @@
         """When to come back: once some of what is out is answered, soon enough to be served in time."""
         if not self.settings.may_send_retry_after:
             return 0
-        return int(min(ADVICE * self.usual[request.kind], self.settings.max_retry_after_us))
+        return int(min(ADVICE * self.usual[request.request_class], self.settings.max_retry_after_us))
 
     def _end(self, event: Request | RequestEnded | StreamStarted) -> None:
         """Answered, or the client left, or its answer flows: nothing more is owed."""
@@ -373,28 +377,28 @@
         if request is None:
             return
         request.ended = True
-        if request.held:
-            request.customer.held.remove(request)
-            request.held = False
-        if not any(t.out for t in request.tries):
+        if request.queued:
+            request.tenant.queue.remove(request)
+            request.queued = False
+        if not any(t.out for t in request.attempts):
             self.requests.pop(request.id, None)
 
     def _time_up(self, request: Request) -> None:
-        if not request.ended and (request.held or self.now >= request.last):
+        if not request.ended and (request.queued or self.now >= request.answer_by_us):
             self._answer(request)
         elif not request.ended:
-            self._plan(request.last, self._time_up, request)
+            self._plan(request.answer_by_us, self._time_up, request)
 
     def _call(self, request: Request) -> None:
-        """Add what is owed to the customer's count; the answer is the total, and the request waits for it."""
-        customer = request.customer
-        index, into = divmod(self.now - customer.phase, customer.period)
-        name = (customer.key << 24) | (index % 2**24)
-        self.calls.setdefault(name, deque()).append((request, customer.owed, index))
-        fresh = 0 <= customer.told_at > self.now - KNOWN_FOR  # else it speaks for those that do not call
-        amount = customer.owed * math.exp(into / customer.fading) * (1.0 if fresh else self.strain)
-        self.actions.append(AddToCounter(name, amount, customer.period + 5 * SECOND))
-        customer.owed = 0.0
+        """Add what is owed to the tenant's count; the answer is the total, and the request waits for it."""
+        tenant = request.tenant
+        index, into = divmod(self.now - tenant.phase, tenant.period)
+        name = (tenant.key << 24) | (index % 2**24)
+        self.calls.setdefault(name, deque()).append((request, tenant.owed, index))
+        fresh = 0 <= tenant.told_at > self.now - KNOWN_FOR  # else it speaks for those that do not call
+        amount = tenant.owed * math.exp(into / tenant.fading) * (1.0 if fresh else self.strain)
+        self.actions.append(AddToCounter(name, amount, tenant.period + 5 * SECOND))
+        tenant.owed = 0.0
 
     def _strain(self, event: CounterResult) -> None:
         """How many calls the counter bears shows in how soon it answers."""
@@ -411,11 +415,11 @@
             return
         request, amount, index = calls.popleft()
         self.calls |= {event.counter_key: calls} if calls else {}
-        heard, customer = event.outcome is Outcome.OK, request.customer
+        heard, tenant = event.outcome is Outcome.OK, request.tenant
         self._strain(event)
         if heard:
-            customer.hear(event.total, index, self._weigh(request)[1], self.now)
+            tenant.hear(event.total, index, self._weigh(request)[1], self.now)
         elif event.outcome is not Outcome.TIMED_OUT:
-            customer.owed += amount
+            tenant.owed += amount
         if not request.ended:
             self._admit(request)
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -1,4 +1,4 @@
-"""A customer's requests at one gateway, and this gateway's share of what its plan lets all of them use."""
+"""A tenant's requests at one gateway, and this gateway's share of what its plan lets all of them use."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from yardlane.decisions.events import RequestArrived
 from yardlane.decisions.settings import Settings
-from yardlane.decisions.endpoints import AttemptRecord
+from yardlane.decisions.request import Request
 
 FADING_SHARE, FADING_TIMEOUTS = 0.4, 50  # fading interval: of the time a burst lasts; else counter time-outs
 # Time-outs where a cap is smaller than its set: about as long as a request takes. And where a rate's set is
@@ -14,7 +14,7 @@
 FADING_SMALL = 10
 TELLERS = 25  # gateways that tell in one interval
 PERIOD = 8  # fading intervals that one name holds; a new name starts from what was last known
-OWN_ROOM = 1.4  # even parts that an untold customer gets
+OWN_ROOM = 1.4  # even parts that an untold tenant gets
 FEW, NEAR = 3.0, 0.5  # requests too few to tell a change; of its room: from here a total is asked for sooner
 # Part of a ceiling's rate that goes where the demand is, while the total is fresh; the rest, and the depth,
 # stays in even parts, which hold with no word from the others.
@@ -22,20 +22,8 @@
 SECOND = 1_000_000
 
 
-class Request:
-    """A request taken, kept until it is answered and no attempt of it is out."""
-
-    def __init__(self, event: RequestArrived, customer: Tenant, now: int, tick: int) -> None:
-        self.id, self.kind = event.request_id, event.request_class
-        self.units, self.customer = event.units, customer
-        self.arrived, self.gives_up = now, now + event.time_left_us
-        self.last = max(now, self.gives_up - 2 * tick)  # when it must be answered
-        self.tries: list[AttemptRecord] = []
-        self.ended = self.held = False
-
-
 class Tenant:
-    """A customer's share here: bound and queue, what is known of its total, and its part of the ceiling."""
+    """A tenant's share here: bound and queue, what is known of its total, and its part of the ceiling."""
 
     def __init__(self, event: RequestArrived, settings: Settings, now: int, born: int) -> None:
         self.key, self.ways = (
@@ -43,8 +31,8 @@
             max(1, event.gateway_count),
         )
         self.plan = plan = settings.quota_plans[event.quota_plan]
-        self.held: list[Request] = []
-        self.out, self.store_at, self.asked_at = 0, now, now
+        self.queue: list[Request] = []
+        self.in_flight, self.store_at, self.asked_at = 0, now, now
         self.bound, self.left = (
             max(1, plan.concurrency_limit // self.ways) if plan.concurrency_limit else 0,
             plan.burst,
