--- /dev/null
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -0,0 +1,125 @@
+"""Discovery's JSON to endpoints and addresses, also where parts of it are malformed."""
+
+import json
+from typing import Any
+
+import pytest
+
+from tests.loopback import config, member, whole_list
+from yardlane.decisions.events import EndpointState
+from yardlane.errors import MalformedEndpointList
+from yardlane.proxy.endpoint_decoder import MAX_NAMES, EndpointDecoder, parse_json
+
+
+def make_decoder() -> EndpointDecoder:
+    made = config()
+    return EndpointDecoder(made.zones, made.kinds)
+
+
+def test_names_that_are_ever_new_do_not_fill_the_memory() -> None:
+    """Each list names a zone and a hardware kind that no list had before. Were each of them given an index
+    of its own, the tables would grow for as long as the process runs; so the late ones share one."""
+    decoder = make_decoder()
+    for n in range(1000):
+        update = decoder.decode(whole_list(member("s-1", 9, locality=f"z{n}", flavor=f"k{n}"))).update
+        [endpoint] = update.endpoints
+        assert (endpoint.zone, endpoint.hardware_kind) == (min(2 + n, MAX_NAMES), min(1 + n, MAX_NAMES))
+    assert len(decoder.zone_indices) == len(decoder.hardware_kind_indices) == MAX_NAMES
+
+
+MALFORMED: list[dict[str, Any]] = [
+    {"size": float("nan")},
+    {"size": float("inf")},
+    {"size": 0},
+    {"size": -1},
+    {"size": "1"},
+    {"size": True},
+    {"up_since_ms": 1e400},
+    {"up_since_ms": "0"},
+    {"up_since_ms": 10**4000},
+    {"cell": [1]},
+    {"cell": 1e300},
+    {"locality": [[]]},
+    {"flavor": {}},
+    {"phase": []},
+    {"phase": "Dancing"},
+    {"phase": None},
+    {"host_port": "x"},
+    {"host_port": None},
+    {"host_port": ["127.0.0.1:9"]},
+    {"host_port": "a..b:9"},
+    {"host_port": "\0:9"},
+    {"host_port": "127.0.0.1:" + "9" * 5000},
+    {"host_port": "\ud800:9"},
+]
+
+
+@pytest.mark.parametrize("malformed", MALFORMED, ids=lambda malformed: str(malformed)[:30])
+def test_an_endpoint_with_a_malformed_value_drains(
+    malformed: dict[str, Any], caplog: pytest.LogCaptureFixture
+) -> None:
+    """One value of an entry is malformed, in many entries. The list is not rejected: those endpoints drain,
+    the others serve, and the log gets one short line. An endpoint that is removed stays removed."""
+    decoder = make_decoder()
+    members = [member("s-1", 9), *(member(f"s-{n}", 9, **malformed) for n in range(2, 50))]
+    decoded = decoder.decode(json.loads(json.dumps(whole_list(*members))))
+    endpoints = decoded.update.endpoints
+    assert [e.state for e in endpoints] == [EndpointState.READY] + 48 * [EndpointState.DRAINING]
+    assert not decoded.is_ambiguous and (b"s-2" in decoded.addresses) is ("host_port" not in malformed)
+    assert all(e.weight == 1.0 and e.started_at_us == 0 for e in endpoints)
+    [line] = caplog.records
+    assert len(line.getMessage()) < 300
+    removed = member("s-1", 9, **{**malformed, "phase": "Gone"})
+    update = decoder.decode({"revision": 2, "members": [removed]}).update
+    assert [e.state for e in update.endpoints] == [EndpointState.REMOVED]
+
+
+@pytest.mark.parametrize("endpoint_id", [None, "", 5, ["s-1"], "\ud800"])
+def test_an_entry_without_an_id_makes_the_list_ambiguous(endpoint_id: object) -> None:
+    """An entry names no endpoint that we could know: nobody can tell which one it was about."""
+    nameless = {**member("s-2", 9), "id": endpoint_id}
+    decoded = make_decoder().decode(whole_list(member("s-1", 9), nameless))
+    assert [e.endpoint_id for e in decoded.update.endpoints] == [b"s-1"]
+    assert decoded.is_ambiguous
+
+
+@pytest.mark.parametrize(
+    ("phases", "state"),
+    [
+        (("Ready", "Terminating"), EndpointState.DRAINING),
+        (("Terminating", "Ready"), EndpointState.DRAINING),
+        (("Gone", "Ready"), EndpointState.REMOVED),
+        (("Ready", "Gone"), EndpointState.REMOVED),
+    ],
+)
+def test_of_two_entries_for_one_endpoint_the_less_ready_counts(
+    phases: tuple[str, str], state: EndpointState
+) -> None:
+    """A list contradicts itself. Sending to an endpoint that drains does harm, leaving out one that is ready
+    does little: so the less ready entry counts, whichever comes first."""
+    members = [member("s-1", 9, phase=phase) for phase in phases]
+    decoded = make_decoder().decode({"revision": 2, "members": members})
+    assert [e.state for e in decoded.update.endpoints] == [state]
+    assert bool(decoded.addresses) is (state is not EndpointState.REMOVED)
+    assert decoded.is_ambiguous
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"{",
+        b"[" * 100_000,
+        b'"\xff"',
+        b"9" * 5000,
+        b"[]",
+        b'{"revision": 1}',
+        b'{"revision": 1, "members": {}}',
+        b'{"revision": true, "members": []}',
+        b'{"revision": -1, "members": []}',
+        b'{"revision": 1e400, "members": []}',
+    ],
+    ids=lambda body: repr(body[:24]),
+)
+def test_what_is_no_list_raises_the_typed_error(body: bytes) -> None:
+    with pytest.raises(MalformedEndpointList):
+        make_decoder().decode(parse_json(bytearray(body)))
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -385,8 +385,8 @@
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
-        told, places = door.program.discovery.reader.read(whole_list(member("s-2", backend.port)))
-        door.program.door.listed(told, places)  # while the old one still has a request
+        decoded = door.program.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
+        door.program.door.listed(decoded.update, decoded.addresses)  # while the old one still has a request
         writer.write(answer(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -13,6 +13,7 @@
 
 Address = tuple[str, int]
 
+MAX_PORT = 65_535
 SOCKETS = 1024  # descriptors that we may hold where nothing is told
 
 
@@ -36,12 +37,23 @@
     keepalive: int
 
 
-def address(text: object, what: str) -> Address:
-    """`host:port` in its two parts."""
-    host, colon, port = str(text).rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
+def parse_address(text: object, what: str) -> Address:
+    """`host:port` in its two parts. ConfigError where it is none, which calls it by the name `what`."""
+    host, _, port_text = str(text).rpartition(":")
+    port = _parse_port(port_text)
+    if not host or port is None:
         raise ConfigError(f"{what} is {text!r}: wanted host:port")
-    return host, int(port)
+    return host, port
+
+
+def _parse_port(text: str) -> int | None:
+    if not (text.isascii() and text.isdigit()):
+        return None
+    try:
+        port = int(text)
+    except ValueError:  # more digits than int() takes
+        return None
+    return port if 0 < port <= MAX_PORT else None
 
 
 def load(environ: Mapping[str, str], again: bool = False) -> Config:
@@ -95,9 +107,9 @@
         raise ConfigError(f"seed is {told.get('seed')!r}: wanted hex digits") from None
     return Config(
         name=str(told.get("name") or f"gateway {settings.rank}"),
-        listen=address(told.get("listen"), "listen"),
-        discovery=address(told.get("discovery"), "discovery"),
-        counter=address(counter, "counter") if counter else None,
+        listen=parse_address(told.get("listen"), "listen"),
+        discovery=parse_address(told.get("discovery"), "discovery"),
+        counter=parse_address(counter, "counter") if counter else None,
         seed=seed,
         sockets=sockets,
         known=told.get("known"),
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -19,3 +19,15 @@
 
 class CodecError(YardlaneError):
     """Input that does not follow the simulator's wire."""
+
+
+class DiscoveryError(YardlaneError):
+    """A poll of discovery that brought no endpoint list, though the connection held."""
+
+
+class MalformedEndpointList(DiscoveryError):
+    """A response that cannot be read as an endpoint list, or does not follow the one before."""
+
+
+class MalformedEndpoint(YardlaneError):
+    """One entry of an endpoint list, or a value in it, that cannot be read."""
--- /dev/null
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -0,0 +1,249 @@
+"""Discovery's JSON to `EndpointListUpdate`: the one place that knows the names of its members.
+
+    id             the endpoint's id
+    host_port      its address, `host:port`
+    phase          its state: Ready, Terminating or Gone
+    locality       the name of its zone
+    flavor         the name of its hardware kind
+    cell           the number of its cell
+    size           its weight, 1 where it is missing
+    up_since_ms    when it started, in ms since 1970; 0 or missing for long ago
+
+Names of zones and hardware kinds become the settings' indices; a name that these lack gets the next one.
+
+A malformed value fails its endpoint, not the list: the endpoint counts as draining, unless it is removed, so
+that nothing new is sent to a place that we may have misread. Were the list rejected instead, one bad entry
+would keep all other changes from us.
+"""
+
+from __future__ import annotations
+
+import json
+import logging
+import re
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from typing import Any, TypeGuard, TypeVar
+
+from yardlane.config import Address, parse_address
+from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
+from yardlane.errors import ConfigError, MalformedEndpoint, MalformedEndpointList
+
+log = logging.getLogger("yardlane.proxy.endpoint_decoder")
+
+STATE_OF_PHASE = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.REMOVED,
+}
+READINESS = {
+    EndpointState.REMOVED: 0,
+    EndpointState.DRAINING: 1,
+    EndpointState.READY: 2,
+}
+# Labels of printable ASCII, none empty or over 63 characters: any other makes `create_connection` raise.
+HOST = re.compile(r"[!-\-/-~]{1,63}(\.[!-\-/-~]{1,63})*")
+# Up to here every whole number has an exact double, so JSON's numbers are what was meant.
+MAX_EXACT_INTEGER = 2**53
+# Of zones, and of hardware kinds. Names that are ever new would otherwise fill the memory in a day.
+MAX_NAMES = 64
+MAX_LOGGED_VALUE_CHARS = 60
+US_PER_MS = 1_000
+
+T = TypeVar("T")
+Addresses = dict[bytes, Address]
+
+
+@dataclass(frozen=True, slots=True)
+class DecodedList:
+    """An update and the addresses of its endpoints.
+
+    `is_ambiguous` says that it has entries without an id, or two different ones with the same: whom the first
+    concerned, or which of the second holds, only a whole list can tell.
+    """
+
+    update: EndpointListUpdate
+    addresses: Addresses
+    is_ambiguous: bool
+
+
+class EndpointDecoder:
+    """Decodes the lists of one discovery; remembers the indices that it gave to names."""
+
+    def __init__(self, zones: Iterable[str], hardware_kinds: Iterable[str]) -> None:
+        self.zone_indices = {name: index for index, name in enumerate(zones)}
+        self.hardware_kind_indices = {name: index for index, name in enumerate(hardware_kinds)}
+
+    def decode(self, message: object, kind: UpdateKind | None = None) -> DecodedList:
+        """The update in a parsed message; `kind` overrides what the message says of itself.
+
+        MalformedEndpointList where it is no list at all.
+        """
+        if not isinstance(message, dict) or not isinstance(message.get("members"), list):
+            raise MalformedEndpointList("no list of members")
+        if kind is None:
+            kind = UpdateKind.SNAPSHOT if message.get("complete") is True else UpdateKind.DELTA
+        version = _decode_version(message.get("revision"))
+        entries = _Entries(self.zone_indices, self.hardware_kind_indices)
+        for member in message["members"]:
+            entries.add(member)
+        if entries.problems:  # one line: there may be many
+            log.warning(
+                "endpoint list %d: %d malformed values, first: %.200s",
+                version,
+                len(entries.problems),
+                entries.problems[0],
+            )
+        endpoints = list(entries.endpoints.values())
+        if kind is not UpdateKind.DELTA:
+            endpoints = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+        update = EndpointListUpdate(kind, version, tuple(endpoints))
+        return DecodedList(update, entries.addresses, entries.is_ambiguous)
+
+
+class _Entries:
+    """What has been decoded of one list so far, and what was malformed in it."""
+
+    def __init__(self, zone_indices: dict[str, int], hardware_kind_indices: dict[str, int]) -> None:
+        self.zone_indices = zone_indices
+        self.hardware_kind_indices = hardware_kind_indices
+        self.endpoints: dict[bytes, Endpoint] = {}
+        self.addresses: Addresses = {}
+        self.is_ambiguous = False
+        self.problems: list[str] = []
+
+    def add(self, member: object) -> None:
+        """Decode one member. Of two different entries for one endpoint, the less ready counts."""
+        if not isinstance(member, dict):
+            self._report_ambiguous("no id")
+            return
+        try:
+            endpoint_id = _decode_id(member.get("id"))
+        except MalformedEndpoint as error:
+            self._report_ambiguous(str(error))
+            return
+        endpoint, address = self._decode_endpoint(endpoint_id, member)
+        earlier = self.endpoints.get(endpoint_id)
+        if earlier is not None and earlier != endpoint:
+            self._report_ambiguous(f"two entries for {_shown(member['id'])}")
+            if READINESS[earlier.state] < READINESS[endpoint.state]:
+                return
+        self.endpoints[endpoint_id] = endpoint
+        if endpoint.state is EndpointState.REMOVED:
+            self.addresses.pop(endpoint_id, None)
+        elif address is not None:
+            self.addresses[endpoint_id] = address
+
+    def _report_ambiguous(self, problem: str) -> None:
+        self.is_ambiguous = True
+        self.problems.append(problem)
+
+    def _decode_endpoint(self, endpoint_id: bytes, member: dict[str, Any]) -> tuple[Endpoint, Address | None]:
+        problems_before = len(self.problems)
+        state = self._field(member, "phase", _decode_state, EndpointState.DRAINING)
+        is_removed = state is EndpointState.REMOVED
+        address = None if is_removed else self._field(member, "host_port", _decode_address, None)
+        started_at_ms = self._field(member, "up_since_ms", _decode_integer, 0)
+        weight = self._field(member, "size", _decode_weight, 1.0)
+        zone = self._field(member, "locality", self._decode_zone, 0)
+        cell = self._field(member, "cell", _decode_integer, 0)
+        hardware_kind = self._field(member, "flavor", self._decode_hardware_kind, 0)
+        if len(self.problems) > problems_before and not is_removed:
+            state = EndpointState.DRAINING
+        started_at_us = max(0, started_at_ms) * US_PER_MS
+        return Endpoint(endpoint_id, state, started_at_us, weight, zone, cell, hardware_kind), address
+
+    def _field(self, member: dict[str, Any], name: str, decode: Callable[[object], T], default: T) -> T:
+        value = member.get(name)
+        try:
+            return decode(value)
+        except MalformedEndpoint as error:
+            self.problems.append(f"{name} is {_shown(value)}: {error}")
+            return default
+
+    def _decode_zone(self, name: object) -> int:
+        return _index_of(self.zone_indices, name)
+
+    def _decode_hardware_kind(self, name: object) -> int:
+        return _index_of(self.hardware_kind_indices, name)
+
+
+def parse_json(body: bytearray) -> object:
+    """The body as JSON; MalformedEndpointList where it is none."""
+    try:
+        return json.loads(body)
+    except ValueError as error:
+        raise MalformedEndpointList(f"not JSON: {error}") from None
+    except RecursionError:
+        raise MalformedEndpointList("JSON is nested too deep") from None
+
+
+def _shown(value: object) -> str:
+    """A value for the log, cut short; only the type of a list or object, whose text may be endless."""
+    if not isinstance(value, str | int | float):
+        return type(value).__name__
+    return repr(value)[:MAX_LOGGED_VALUE_CHARS]
+
+
+def _decode_version(revision: object) -> int:
+    if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
+        raise MalformedEndpointList(f"revision is {_shown(revision)}")
+    return revision
+
+
+def _decode_id(value: object) -> bytes:
+    if not (isinstance(value, str) and value):
+        raise MalformedEndpoint("no id")
+    try:
+        return value.encode()
+    except UnicodeEncodeError:  # half of a surrogate pair
+        raise MalformedEndpoint("id is no Unicode text") from None
+
+
+def _decode_state(phase: object) -> EndpointState:
+    if not (isinstance(phase, str) and phase in STATE_OF_PHASE):
+        raise MalformedEndpoint("unknown phase")
+    return STATE_OF_PHASE[phase]
+
+
+def _decode_address(text: object) -> Address:
+    try:
+        host, port = parse_address(text if isinstance(text, str) else "", "host_port")
+    except ConfigError as error:
+        raise MalformedEndpoint(str(error)) from None
+    if not HOST.fullmatch(host):
+        raise MalformedEndpoint("not a host name")
+    return host, port
+
+
+def _decode_integer(value: object) -> int:
+    if value is None:
+        return 0
+    if not _is_number(value) or not abs(value) <= MAX_EXACT_INTEGER:
+        raise MalformedEndpoint("wanted a number")
+    return int(value)
+
+
+def _decode_weight(value: object) -> float:
+    if value is None:
+        return 1.0
+    if not _is_number(value) or not 0 < value <= MAX_EXACT_INTEGER:
+        raise MalformedEndpoint("wanted a number over 0")
+    return float(value)
+
+
+def _is_number(value: object) -> TypeGuard[int | float]:
+    """Whether it was a number in JSON; a bool is an int to Python."""
+    return isinstance(value, int | float) and not isinstance(value, bool)
+
+
+def _index_of(indices: dict[str, int], name: object) -> int:
+    """The index of a name. Once there are `MAX_NAMES`, all new ones share the next."""
+    if name is not None and not isinstance(name, str | int | float):
+        raise MalformedEndpoint("wanted a name")
+    index = indices.get(str(name))
+    if index is None:
+        index = len(indices)
+        if index < MAX_NAMES:
+            indices[str(name)] = index
+    return index
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -15,7 +15,7 @@
 from yardlane.descriptors import held, share
 from yardlane.errors import ConfigError
 from yardlane.proxy.client_connection import ClientSide
-from yardlane.proxy.discovery_client import Discovery
+from yardlane.proxy.discovery_client import DiscoveryClient
 from yardlane.proxy.proxy import Proxy
 from yardlane.proxy.upstream_connection import Pool
 
@@ -50,14 +50,14 @@
         self.pool = Pool(config, limits.backends, loop)
         self.door = Proxy(config, decider, self.pool, loop)
         self.clients = ClientSide(config, self.door, limits.clients, loop)
-        self.discovery = Discovery(config, self.door.listed, self.door.unheard)
+        self.discovery = DiscoveryClient(config, self.door.listed, self.door.unheard)
         self.door.on_refetch = self.discovery.refetch
         self.stopped = asyncio.Event()
         self.shutdown_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Listen for clients and watch the endpoint list. OSError where the address cannot be listened on."""
-        self.discovery.remember()
+        self.discovery.load_cached()
         self.clients.listen()
         self.discovery.start()
 
