--- /dev/null
+++ b/tests/decisions/quota_scenarios.py
@@ -0,0 +1,21 @@
+"""What the tests of a tenant's quota share."""
+
+from tests.gateway_driver import RATED, SECOND, GatewayDriver
+from yardlane.decisions.tenant import Tenant
+
+
+def find_tenant(driver: GatewayDriver, number: int, plan: int) -> Tenant:
+    """A tenant right after a request of it has arrived."""
+    driver.ask(tenant=number, quota_plan=plan)
+    return driver.gateway.tenants[number, plan]
+
+
+def flood(driver: GatewayDriver, seconds: int, requests_per_s: int = 40) -> int:
+    """Send a tenant with a rate of 10 far more than that; the number forwarded in the last second."""
+    forwarded = 0
+    for _ in range(seconds):
+        forwarded = 0
+        for _ in range(requests_per_s):
+            forwarded += driver.serve(tenant=5, quota_plan=RATED)
+            driver.run(SECOND // requests_per_s)
+    return forwarded
--- /dev/null
+++ b/tests/decisions/test_counter_polling.py
@@ -0,0 +1,123 @@
+"""When the shared counter is polled, what is reported to it, and the backoff."""
+
+import math
+from collections.abc import Callable
+
+import pytest
+
+from tests.decisions.quota_scenarios import find_tenant, flood
+from tests.gateway_driver import MS, RATED, SECOND, GatewayDriver, make_settings, of_type
+from yardlane.decisions.actions import AddToCounter
+from yardlane.decisions.counter_polling import CountingPeriods
+from yardlane.decisions.events import Outcome
+
+
+def count_polls(driver: GatewayDriver, log_start: int = 0) -> int:
+    """The polls of the driver's log from this entry on."""
+    return len(of_type(AddToCounter, [action for _, action in driver.log[log_start:]]))
+
+
+def test_the_periods_of_a_count_follow_each_other_and_have_keys_of_their_own() -> None:
+    periods = CountingPeriods(tenant=9, tenant_key=37, decay_us=2.0 * SECOND)
+    assert periods.period_us == 16 * SECOND
+    index = periods.index_at(77 * SECOND)
+    assert periods.start_us(index) <= 77 * SECOND < periods.start_us(index + 1)
+    assert periods.start_us(index + 1) - periods.start_us(index) == periods.period_us
+    assert periods.index_at(periods.start_us(index)) == index
+    assert periods.counter_key(index) != periods.counter_key(index + 1)
+
+
+def test_the_periods_of_different_tenants_start_at_different_times() -> None:
+    starts = {CountingPeriods(tenant, tenant, 2.0 * SECOND).start_us(0) for tenant in range(100)}
+    assert len(starts) == 100
+
+
+def test_a_tenant_with_a_valid_total_needs_few_polls() -> None:
+    driver = GatewayDriver()
+    flood(driver, 10)
+    log_start = len(driver.log)
+    flood(driver, 10)
+    assert count_polls(driver, log_start) <= 50  # of 400 requests
+
+
+@pytest.mark.parametrize("failure", [Outcome.REJECTED, Outcome.TIMED_OUT])
+def test_failing_polls_are_made_less_often(failure: Outcome) -> None:
+    """174 gateways polled for each request, four times what the counter could take, so that it stayed late
+    and no gateway got a total any more.
+    """
+    driver = GatewayDriver(gateway_count=250)
+    driver.counter_answers, driver.refusal = False, failure
+    for number in range(400):
+        driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
+        driver.run(50 * MS)
+    assert count_polls(driver) <= 100
+
+
+def test_a_poll_under_backoff_stands_for_those_that_were_not_made() -> None:
+    driver = GatewayDriver(gateway_count=250)
+    driver.gateway.polling.backoff_factor = 4.0
+    for number in range(1000):
+        driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
+        driver.gateway.polling.backoff_factor = 4.0
+    reported = sum(driver.counts.values())
+    tenants = driver.gateway.tenants.values()
+    starts = [t.periods.start_us(t.periods.index_at(driver.now)) for t in tenants]
+    ages = [(driver.now - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
+    mean_weight = sum(math.exp(age) for age in ages) / len(ages)
+    assert 0.7 * 1000 < reported / mean_weight < 1.4 * 1000
+
+
+def test_demand_that_was_surely_not_added_is_reported_later() -> None:
+    """After a time-out the counter may have added it; reported again, it would count twice."""
+    driver = GatewayDriver()
+    driver.counter_answers, driver.refusal = False, Outcome.REJECTED
+    assert find_tenant(driver, 5, RATED).demand.unreported_demand == 1.0
+    driver.refusal = Outcome.TIMED_OUT
+    assert find_tenant(driver, 6, RATED).demand.unreported_demand == 0.0
+
+
+def test_a_counter_that_fails_some_polls_is_polled_on_and_one_that_fails_all_is_spared() -> None:
+    def backoff_factor(is_answered: Callable[[int], bool]) -> float:
+        driver = GatewayDriver(gateway_count=2)
+        for number in range(200):
+            driver.counter_answers = is_answered(number)
+            driver.serve(tenant=number, quota_plan=RATED, gateway_count=2)
+            driver.run(20 * MS)
+        return driver.gateway.polling.backoff_factor
+
+    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not grow old
+    assert backoff_factor(lambda number: False) > 10.0
+
+
+def test_a_counter_that_answers_late_is_polled_less_until_it_answers_in_time() -> None:
+    """Forty gateways kept a counter just over what it bears, and over half of all polls timed out."""
+    driver = GatewayDriver(gateway_count=2)
+
+    def polls(answer_us: int) -> int:
+        driver.counter_takes = answer_us
+        log_start = len(driver.log)
+        for number in range(200):
+            driver.serve(tenant=number % 5, quota_plan=RATED, gateway_count=40)
+            driver.run(100 * MS)
+        return count_polls(driver, log_start)
+
+    prompt_polls = polls(MS)
+    assert polls(make_settings().counter_timeout_us * 3 // 4) < prompt_polls / 2
+    polls(MS)
+    assert polls(MS) >= prompt_polls * 0.8
+    assert driver.gateway.polling.backoff_factor < 1.01
+
+
+def test_unreported_demand_is_not_multiplied_by_polls_that_added_nothing() -> None:
+    driver = GatewayDriver(gateway_count=2)
+    driver.counter_answers, driver.refusal = False, Outcome.NOT_CONNECTED
+    for _ in range(400):
+        driver.serve(tenant=9, quota_plan=RATED, gateway_count=2)
+        driver.run(10 * MS)
+    driver.gateway.polling.backoff_factor = 1.0
+    driver.counter_answers = True
+    driver.ask(tenant=9, quota_plan=RATED, gateway_count=2)
+    # 401 units and the weight of the period's end, not those times the backoff of each failed poll.
+    last_poll = of_type(AddToCounter, [action for _, action in driver.log])[-1]
+    assert last_poll.amount < 401 * math.exp(8) * 1.01
+    assert driver.gateway.tenants[9, RATED].demand.unreported_demand == 0.0
--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -2,12 +2,12 @@
 
 **Reject.** A plan with a rate compares the fleet's demand in one decay time with the capacity for it: the
 rate, and a part of what is left of the burst. With demand D over capacity C, a new request is rejected with
-the chance 1 - C/D. All gateways compute about the same chance, so together they admit about C. The
-rejections are spread evenly rather than drawn, as drawn ones come in runs.
+the probability 1 - C/D. All gateways compute about the same probability, so together they admit about C.
+The rejections are spread evenly rather than drawn, as drawn ones come in runs.
 
 A plan with only a concurrency limit queues what is beyond its bound. But a limit below the number of
-gateways cannot be kept by bounds, since a bound is one request at least; there the same chance keeps the
-sum.
+gateways cannot be kept by bounds, since a bound is one request at least; there the same probability keeps
+the sum.
 
 **Queue.** An admitted request queues until the concurrency bound, the hard rate and an endpoint let it go,
 in order of arrival. It is rejected while its client can still use the answer, after `longest_queueing_us`.
@@ -61,15 +61,15 @@
         tenant.update_concurrency_bound(fleet_demand, service_time_us / weight)
     if plan.rate_per_s:
         available = max(0.0, available + BURST_SHARE * tenant.burst.units_left(fleet_demand))
-    rejection_chance = 0.0
+    rejection_probability = 0.0
     if fleet_demand > 0 and (plan.rate_per_s or tenant.has_limit_below_fleet):
-        rejection_chance = max(0.0, 1.0 - available / fleet_demand)
-    return _passes_evenly(tenant, rejection_chance)
+        rejection_probability = max(0.0, 1.0 - available / fleet_demand)
+    return _passes_evenly(tenant, rejection_probability)
 
 
-def _passes_evenly(tenant: Tenant, rejection_chance: float) -> bool:
-    """Add up the chances to pass; a request passes whenever they reach the next whole one."""
-    passing, tenant.admission_credit = divmod(tenant.admission_credit + 1.0 - rejection_chance, 1.0)
+def _passes_evenly(tenant: Tenant, rejection_probability: float) -> bool:
+    """Add up the probabilities to pass; a request passes whenever they reach the next whole one."""
+    passing, tenant.admission_credit = divmod(tenant.admission_credit + 1.0 - rejection_probability, 1.0)
     return passing >= 1.0
 
 
