--- a/yardlane/decisions/rate_ceiling.py
+++ b/yardlane/decisions/rate_ceiling.py
@@ -9,12 +9,13 @@
 so one that was lent to another gateway would be spent twice.
 
 **Rate.** While the last total is fresh, a part of the rate follows the demand; otherwise a gateway that
-gets most of a tenant's requests would pass far less than the quota. Gateways get their totals at different
-times, so these parts are kept small enough to add up to one at most: they are taken as of the last total,
-never from demand that came since (at the start of a burst each gateway sees its own demand first), they
-return to even shares as the total ages, and less moves while less than the quota is asked.
+gets most of a tenant's requests would pass far less than the quota. All shares together must not become
+more than one, while each gateway gets its total at another time. So a share is taken as of the last total,
+never from demand that came since: at the start of a burst each gateway sees its own demand first. It
+returns to the even share as the total ages. And less of the rate moves while less than the quota is asked,
+as what the others have not reported yet weighs more then.
 
-**Start.** A gateway that starts may be one that restarts, and its forerunner may have emptied the bucket.
+**Start.** A gateway that starts may be one that restarts, and its predecessor may have emptied the bucket.
 So it starts with half of the slack and what has flowed in since the process started. The first total shows
 whether the tenant floods; if not, up to half of the bucket is released.
 """
@@ -85,7 +86,7 @@
     def refill(self, now_us: int) -> None:
         """Add what this gateway's share of the rate has let flow in since the last call."""
         elapsed_us = now_us - self._refilled_at_us
-        if elapsed_us == 0:
+        if elapsed_us == 0:  # several requests in one turn
             return
         self._refilled_at_us = now_us
         filled = self.units + self._plan.hard_rate_per_s * self.rate_share(now_us) * elapsed_us / SECOND_US
@@ -107,7 +108,7 @@
     def release_on_first_total(self) -> None:
         """Fill up to half of the bucket, less so the more of the hard rate the fleet's first total asks.
 
-        A gateway that starts anew does not know whether its forerunner emptied the bucket. In a flood it
+        A gateway that starts anew does not know whether its predecessor emptied the bucket. In a flood it
         did, and a bucket filled anew would exceed the hard rate; without a flood half of it is there.
         """
         asked_share = (
