--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -11,7 +11,7 @@
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.actions import Action, Fail, StartAttempt
 from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
-from yardlane.proxy.upstream_connection import Attempt
+from yardlane.proxy.attempt import Attempt
 from yardlane.proxy.client_connection import MOST_PIPELINED, Client
 from tests.loopback import (
     LIMIT,
@@ -37,7 +37,7 @@
 
 async def nothing_open(door: RunningProxy) -> None:
     """All that the request held is given back: its place in the books, its attempts, its descriptors."""
-    while door.program.door.requests or door.program.pool.all:
+    while door.program.door.requests or door.program.pool.connections:
         await asyncio.sleep(0)
     assert door.program.door.unanswered == 0 and not door.program.clients.open_traces
 
@@ -280,7 +280,7 @@
         writer.write(answer())
         while door.program.door.requests and len(begun) < 2:
             await asyncio.sleep(0)
-        assert [attempt.request for attempt in begun] == [1]
+        assert [attempt.request_id for attempt in begun] == [1]
         gateway = cast(Gateway, door.program.door.decider)
         while gateway.requests or gateway.out:
             await asyncio.sleep(0)
@@ -306,7 +306,7 @@
             writer.write(answer(503, extra="X-Never-Ran: 1\r\n"))
         while door.program.door.requests and len(begun) == MOST_PIPELINED:
             await asyncio.sleep(0)
-        assert [attempt.number for attempt in begun] == [0] * MOST_PIPELINED
+        assert [attempt.attempt_index for attempt in begun] == [0] * MOST_PIPELINED
         await script.wait_for(RequestEnded, MOST_PIPELINED)
 
 
@@ -413,7 +413,7 @@
     async def run() -> None:
         script = Script(send_all)
         async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-            door.program.pool.rest_time = 0.0
+            door.program.pool.reuse.quarantine_s = 0.0
             client, to_door = await door.client()
             to_door.write(ask(trace="first"))
             reader, writer = await backend.connection()
@@ -443,7 +443,7 @@
         async with running(
             script, known=whole_list(first, second), discovery=f"127.0.0.1:{discovery.port}"
         ) as door:
-            door.program.pool.connect_timeout = LIMIT
+            door.program.pool.connect_timeout_s = LIMIT
             to_agent, agent = await discovery.connection()
             await read_message(to_agent)
             delayed = DelayedConnections(door, one.port)
@@ -465,7 +465,7 @@
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         pool, told = door.program.pool, asyncio.Event()
-        pool.connect_timeout = 0.05
+        pool.connect_timeout_s = 0.05
         delayed = DelayedConnections(door, backend.port)
         delayed.may_connect.set()
         delayed.may_return = told  # the connection is up and used; whoever opened it hears of that later
@@ -473,7 +473,7 @@
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        over = delayed.loop.time() + 2 * pool.connect_timeout
+        over = delayed.loop.time() + 2 * pool.connect_timeout_s
         while delayed.loop.time() < over:
             await asyncio.sleep(0)
         writer.write(answer())
@@ -501,7 +501,7 @@
                 script, known=whole_list(member("s-1", backend.port)), settings=settings(profiles=patient)
             ) as door,
         ):
-            door.program.pool.connect_timeout = LIMIT
+            door.program.pool.connect_timeout_s = LIMIT
             delayed, clock = DelayedConnections(door, backend.port), door.program.door.clock
             _, to_door = await door.client()
             to_door.write(ask("file", X_Expires_In="60000m"))
@@ -511,8 +511,8 @@
                 assert not ended.request_ended
             else:
                 [request] = door.program.door.requests.values()
-                assert request.attempts[0].latest is not None
-                request.attempts[0].latest.cancel()
+                assert request.attempts[0].send_by_timer is not None
+                request.attempts[0].send_by_timer.cancel()
                 clock.offset += 10**9
             delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
@@ -534,7 +534,7 @@
 
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.rest_time = 0.0
+        door.program.pool.reuse.quarantine_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask("file"))
         reader, writer = await backend.connection()
@@ -544,6 +544,6 @@
         script.reply = copy
         to_door.write(ask("file", trace="again"))  # at once on the connection that rests
         await read_message(reader)
-        door.program.door.requests[2].attempts[0].begins_too_late()  # as its timer comes
+        door.program.door.requests[2].attempts[0].on_send_by()  # as its timer comes
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -50,7 +50,7 @@
 async def test_a_connection_to_a_backend_is_used_again() -> None:
     # The parser says only within its own call whether the peer keeps the connection.
     async with Peer() as backend, running(known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.rest_time = 0.0
+        door.program.pool.reuse.quarantine_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -14,8 +14,11 @@
 
 from yardlane.decisions.actions import Action, CancelAttempt, StartAttempt
 from yardlane.decisions.events import AttemptEnded, Event, LoadReport, Outcome, RequestArrived, RequestEnded
-from yardlane.proxy.upstream_connection import REST, STALLED, Attempt, Backend, Pool
+from yardlane.proxy.attempt import Attempt
+from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S
 from yardlane.proxy.proxy import Proxy
+from yardlane.proxy.upstream_connection import UpstreamConnection
+from yardlane.proxy.upstream_pool import UpstreamPool
 from tests.loopback import (
     Peer,
     RunningProxy,
@@ -112,7 +115,7 @@
             # The client has time without end: only the connect time-out can end this.
             assert (await door.call(ask(X_Expires_In="3000000m")))[0].split()[1] == "502"
             [ended] = await script.wait_for(AttemptEnded)
-            assert ended.outcome is Outcome.NOT_CONNECTED and not door.program.pool.all
+            assert ended.outcome is Outcome.NOT_CONNECTED and not door.program.pool.connections
 
 
 @socket_test
@@ -242,7 +245,7 @@
         writer.write(answer())
         await read_message(client)
         writer.close()
-        while door.program.pool.all:
+        while door.program.pool.connections:
             await asyncio.sleep(0)
         to_door.write(ask(trace="a2"))
         reader, writer = await backend.connection()
@@ -264,9 +267,10 @@
 async def test_a_connection_in_its_last_moment_may_have_carried_the_request() -> None:
     ends: list[Outcome] = []
     async with Peer() as backend:
-        pool = Pool(config(), 8, cast(asyncio.AbstractEventLoop, LateLoop()))
+        pool = UpstreamPool(config(), 8, cast(asyncio.AbstractEventLoop, LateLoop()))
         attempt = Attempt(1, 0, b"s-1", 0, lambda attempt, result, answer: ends.append(result))
-        attempt.address, attempt.payload = ("127.0.0.1", backend.port), ask()
+        attempt.address = ("127.0.0.1", backend.port)
+        attempt.request_bytes = ask()
         pool.send(attempt)
         await backend.connection()
         while not ends:
@@ -280,7 +284,7 @@
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.most = 1
+        door.program.pool.max_connections = 1
         _, first = await door.client()
         first.write(ask())
         await backend.connection()
@@ -295,7 +299,7 @@
         script = Script(send_all)
         async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
             pool = door.program.pool
-            pool.rest_time = 0.0
+            pool.reuse.quarantine_s = 0.0
             client, to_door = await door.client()
             for n, together in enumerate((True, False)):
                 to_door.write(ask(trace=f"a{n}"))
@@ -327,7 +331,7 @@
         Peer() as backend,
         running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
     ):
-        door.program.pool.rest_time = 1e6
+        door.program.pool.reuse.quarantine_s = 1e6
         client, to_door = await door.client()
         for trace in ("a1", "a2"):
             to_door.write(ask(trace=trace))
@@ -341,7 +345,7 @@
 async def test_an_answer_that_stops_half_way_ends_its_attempt_long_before_the_clients_time() -> None:
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
-        door.program.pool.stall_time = 0.02
+        door.program.pool.stall_timeout_s = 0.02
         client, to_door = await door.client()
         to_door.write(ask(X_Expires_In="3000000m"))  # time without end
         reader, writer = await backend.connection()
@@ -357,14 +361,14 @@
         Peer() as backend,
         running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
     ):
-        door.program.pool.stall_time = 0.0
+        door.program.pool.stall_timeout_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        connection = next(iter(door.program.pool.all))
+        connection = next(iter(door.program.pool.connections))
         writer.write(b"HTTP/1.1 102 X\r\n\r\n")
-        while not connection.interim:
+        while connection.reader is None or not connection.reader.interim_count:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         writer.write(answer(200, b"whole"))
@@ -380,7 +384,7 @@
             known=whole_list(member("s-1", backend.port)),
         ) as door,
     ):
-        door.program.pool.rest_time = 0.0
+        door.program.pool.reuse.quarantine_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
@@ -424,7 +428,7 @@
             to_door.write(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
-            held = weakref.ref(next(iter(door.program.pool.all)))
+            held = weakref.ref(next(iter(door.program.pool.connections)))
             writer.write(answer())
             await read_message(client)
             writer.close()
@@ -441,35 +445,35 @@
         running(Script(send_all), known=whole_list(member("s-1", backend.port))) as door,
     ):
         pool = door.program.pool
-        pool.rest_time = 0.0
+        pool.reuse.quarantine_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         await read_message(client)
-        pool.idle[b"s-1"][0].idle_since -= 5.0
+        pool.idle[b"s-1"][0].idle_since_s -= 5.0
         to_door.write(ask(trace="a2"))
         await read_message(reader)
         writer.transport.abort()  # as a peer that had forgotten the connection
         await read_message(client)
-        assert 3.0 < pool.keep < 5.0 < pool.longest
+        assert 3.0 < pool.reuse.idle_limit_s < 5.0 < pool.reuse.max_idle_limit_s
         to_door.write(ask(trace="a3"))
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         await read_message(client)
-        pool.idle[b"s-1"][0].idle_since -= 5.0
+        pool.idle[b"s-1"][0].idle_since_s -= 5.0
         to_door.write(ask(trace="a4"))
         reader, _ = await backend.connection()  # five seconds are too long by now
         assert (await read_message(reader))[1]["x-trace-id"] == "a4"
         for _ in range(1000):
-            pool.learn(pool.keep, True)
-        assert pool.keep == pool.longest
-        pool.learn(0.0, False)
+            pool.reuse.on_reused(pool.reuse.idle_limit_s)
+        assert pool.reuse.idle_limit_s == pool.reuse.max_idle_limit_s
+        pool.reuse.on_found_dead(0.0)
         for _ in range(100):
-            pool.recover()
-        assert pool.keep == pool.longest
+            pool.reuse.recover()
+        assert pool.reuse.idle_limit_s == pool.reuse.max_idle_limit_s
 
 
 class SmallBuffers:
@@ -499,7 +503,7 @@
 
     async def half_written(
         self, door: RunningProxy, peer: socket.socket | None = None
-    ) -> tuple[Backend, socket.socket]:
+    ) -> tuple[UpstreamConnection, socket.socket]:
         """A client's request of 64 KiB: its connection to a backend, which stands, and the backend's end."""
         door.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
         self.client, self.to_door = await door.client()
@@ -513,13 +517,15 @@
             accept.cancel()
         return done.pop().result()[0]
 
-    async def standing(self, door: RunningProxy, peer: socket.socket) -> tuple[Backend, socket.socket]:
-        while not (found := [c for c in door.program.pool.all if left(c)]):
+    async def standing(
+        self, door: RunningProxy, peer: socket.socket
+    ) -> tuple[UpstreamConnection, socket.socket]:
+        while not (found := [c for c in door.program.pool.connections if left(c)]):
             await asyncio.sleep(0)
         return found[0], peer
 
 
-def left(connection: Backend) -> int:
+def left(connection: UpstreamConnection) -> int:
     return connection.transport.get_write_buffer_size() if connection.transport is not None else 0
 
 
@@ -528,7 +534,7 @@
     peer.close()
 
 
-async def take(peer: socket.socket, connection: Backend) -> bytes:
+async def take(peer: socket.socket, connection: UpstreamConnection) -> bytes:
     """What the backend reads until the kernel has taken the whole request."""
     got = b""
     while left(connection):
@@ -547,28 +553,34 @@
     return got
 
 
-def by_reset(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_reset(door: Proxy, connection: UpstreamConnection, peer: socket.socket, buffers: SmallBuffers) -> None:
     reset(peer)
 
 
-def by_time(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_time(door: Proxy, connection: UpstreamConnection, peer: socket.socket, buffers: SmallBuffers) -> None:
     assert connection.attempt is not None
-    connection.attempt.time_out()
+    connection.attempt.on_deadline()
 
 
-def by_cancel(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_cancel(
+    door: Proxy, connection: UpstreamConnection, peer: socket.socket, buffers: SmallBuffers
+) -> None:
     door._apply(CancelAttempt(1, 0))
 
 
-def by_client(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_client(
+    door: Proxy, connection: UpstreamConnection, peer: socket.socket, buffers: SmallBuffers
+) -> None:
     buffers.to_door.transport.abort()
 
 
-def by_answer(door: Proxy, connection: Backend, peer: socket.socket, buffers: SmallBuffers) -> None:
+def by_answer(
+    door: Proxy, connection: UpstreamConnection, peer: socket.socket, buffers: SmallBuffers
+) -> None:
     peer.send(answer(200, b"to what?"))
 
 
-Ending = Callable[[Proxy, Backend, socket.socket, SmallBuffers], None]
+Ending = Callable[[Proxy, UpstreamConnection, socket.socket, SmallBuffers], None]
 
 
 @pytest.mark.parametrize(
@@ -593,7 +605,7 @@
         script, buffers = Script(send_all), SmallBuffers()
         async with running(script, known=buffers.known) as door:
             connection, peer = await buffers.half_written(door)
-            door.program.pool.withdraw(b"s-1")  # a drain: its first byte had left before
+            door.program.pool.drain_endpoint(b"s-1")  # a drain: its first byte had left before
             got = b"" if is_half else await take(peer, connection)
             unsent = left(connection)
             end(door.program.door, connection, peer, buffers)
@@ -642,7 +654,7 @@
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as door:
         pool = door.program.pool
-        pool.rest_time = 0.0
+        pool.reuse.quarantine_s = 0.0
         client, to_door = await door.client()
         to_door.write(ask())
         reader, writer = await backend.connection()
@@ -684,38 +696,41 @@
                 assert (await read_message(reader))[1]["x-trace-id"] == trace
                 writer.write(answer())
                 await read_message(client)
-                pool.idle[b"s-1"][-1].idle_since -= time
+                pool.idle[b"s-1"][-1].idle_since_s -= time
                 return writer
 
             writer = await rested("a1", 3.0)
             os.write(writer.get_extra_info("socket").fileno(), answer(200, b"stale"))
-            while is_read and pool.all:
+            while is_read and pool.connections:
                 await asyncio.sleep(0)
-            assert pool._rested(b"s-1") is None  # what the loop has not read, the look before use shows
+            assert pool._take_idle(b"s-1") is None  # what the loop has not read, the look before use shows
             await rested("a2", 4.0)
-            assert pool._rested(b"s-1") is None
-            pool.idle[b"s-1"][0].idle_since -= 3.0
-            assert pool._rested(b"s-1") is not None
+            assert pool._take_idle(b"s-1") is None
+            pool.idle[b"s-1"][0].idle_since_s -= 3.0
+            assert pool._take_idle(b"s-1") is not None
 
     socket_test(run)()
 
 
 @socket_test
 async def test_a_backend_that_answers_to_nothing_costs_the_others_little_and_is_forgiven() -> None:
-    pool = Pool(config(), 8, asyncio.get_running_loop())
+    pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
     for _ in range(100):
-        pool.learn_late(b"s-1", 5.0)
-    assert pool.late == {b"s-1": 10.0} and pool.rest_time == 2 * REST
-    pool.learn_late(b"s-2", 3 * REST)
-    assert pool.rest_time == 4 * REST
+        pool.reuse.on_stray_bytes(b"s-1", 5.0)
+    assert pool.reuse.endpoint_quarantine_s == {b"s-1": 10.0} and pool.reuse.quarantine_s == 2 * QUARANTINE_S
+    pool.reuse.on_stray_bytes(b"s-2", 3 * QUARANTINE_S)
+    assert pool.reuse.quarantine_s == 4 * QUARANTINE_S
     for n in range(100):
-        pool.learn_late(b"t-%d" % n, 1e6)
-    assert pool.rest_time == STALLED and max(pool.late.values()) == pool.longest
-    pool.retire(b"t-1")
-    assert b"t-1" not in pool.late
+        pool.reuse.on_stray_bytes(b"t-%d" % n, 1e6)
+    assert (
+        pool.reuse.quarantine_s == MAX_SHARED_QUARANTINE_S
+        and max(pool.reuse.endpoint_quarantine_s.values()) == pool.reuse.max_idle_limit_s
+    )
+    pool.remove_endpoint(b"t-1")
+    assert b"t-1" not in pool.reuse.endpoint_quarantine_s
     for _ in range(1000):
-        pool.recover()
-    assert pool.rest_time == REST and not pool.late
+        pool.reuse.recover()
+    assert pool.reuse.quarantine_s == QUARANTINE_S and not pool.reuse.endpoint_quarantine_s
 
 
 @socket_test
@@ -723,7 +738,7 @@
     script, buffers = Script(send_all), SmallBuffers()
     async with running(script, known=buffers.known) as door:
         pool = door.program.pool
-        pool.rest_time = 0.0
+        pool.reuse.quarantine_s = 0.0
         pool.loop = cast(asyncio.AbstractEventLoop, buffers)
         client, to_door = await door.client()
         to_door.write(ask())
@@ -732,9 +747,9 @@
         peer.send(answer())
         await read_message(client)
         connection, _ = await buffers.half_written(door, peer)
-        pool.rest_time = 1e6  # while late bytes may show
+        pool.reuse.quarantine_s = 1e6  # while late bytes may show
         await take(peer, connection)  # the kernel has it all, and the backend not yet
         peer.send(answer(200, b"late"))
         assert (await read_message(buffers.client))[0].split()[1] == "502"
         assert (await script.wait_for(AttemptEnded, 2))[1].outcome is Outcome.CONNECTION_LOST
-        assert pool.late
+        assert pool.reuse.endpoint_quarantine_s
--- a/yardlane/__main__.py
+++ b/yardlane/__main__.py
@@ -16,7 +16,7 @@
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.settings import Settings
-from yardlane.proxy.upstream_connection import Pool
+from yardlane.proxy.upstream_pool import UpstreamPool
 from yardlane.proxy.client_connection import ClientSide
 from yardlane.config import Config, load
 from yardlane.errors import ConfigError
@@ -64,11 +64,10 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
         limits = share(held(config.sockets))
         self.loop = loop
-        self.pool = Pool(config, limits.backends, loop)
+        self.pool = UpstreamPool(config, limits.backends, loop)
         self.door = Proxy(config, decider, self.pool, loop)
         self.clients = ClientSide(config, self.door, limits.clients, loop)
         self.discovery = Discovery(config, self.door.listed, self.door.unheard)
-        self.door.on_refetch = self.discovery.refetch
         self.over = asyncio.Event()
         self.ending: asyncio.Task[None] | None = None  # from SIGTERM on
 
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -15,3 +15,7 @@
 
 class CodecError(YardlaneError):
     """Input that does not follow the simulator's wire."""
+
+
+class MalformedResponse(YardlaneError):
+    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -13,10 +13,7 @@
     Action,
     AddToCounter,
     CancelAttempt,
-    CloseIdleConnections,
     Fail,
-    FetchEndpoints,
-    LogMessage,
     Reject,
     SetTimer,
     StartAttempt,
@@ -35,7 +32,9 @@
     TimerFired,
     UpdateKind,
 )
-from yardlane.proxy.upstream_connection import Answer, Attempt, Pool
+from yardlane.proxy.attempt import Attempt
+from yardlane.proxy.response import UpstreamResponse
+from yardlane.proxy.upstream_pool import UpstreamPool
 from yardlane.proxy.client_connection import ClientRequest, retry_after
 from yardlane.config import Address, Config
 from yardlane.proxy.counter_client import Counter
@@ -82,7 +81,9 @@
 class Proxy:
     """Transport for one `Decider`."""
 
-    def __init__(self, config: Config, decider: Decider, pool: Pool, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self, config: Config, decider: Decider, pool: UpstreamPool, loop: asyncio.AbstractEventLoop
+    ) -> None:
         self.config, self.decider, self.pool, self.loop = config, decider, pool, loop
         self.settings = config.settings
         self.clock = Clock()
@@ -97,7 +98,6 @@
         self.events = Batch()
         self.scheduled = self.list_known = False
         self.drain_by = 0  # when all must be answered; 0 while in service
-        self.on_refetch: Callable[[], None] = lambda: None
         self.actions: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._send,
             CancelAttempt: self._cancel,
@@ -105,10 +105,7 @@
             Fail: self._fail,
             AddToCounter: self._count,
             SetTimer: self._wake,
-            CloseIdleConnections: self._close_idle,
-            FetchEndpoints: lambda _: self.on_refetch(),
             WatchEndpoints: lambda _: None,  # the watch always runs
-            LogMessage: lambda note: log.info("%s", note.text),
         }
 
     # Events in
@@ -201,10 +198,10 @@
         self.post(told)  # before what ends by it, so that nothing turns to another that drains as well
         for server, place in old.items():
             if self.places.get(server) != place:  # moved or gone
-                self.pool.retire(server)
+                self.pool.remove_endpoint(server)
         for entry in told.endpoints:
             if entry.state is not EndpointState.READY:
-                self.pool.withdraw(entry.endpoint_id)
+                self.pool.drain_endpoint(entry.endpoint_id)
 
     def unheard(self) -> None:
         """Discovery is silent: what is remembered must do. Until then it may name what has long gone."""
@@ -243,7 +240,7 @@
         if request.guard is not None:
             request.guard.cancel()
         for attempt in request.attempts:
-            if not attempt.is_written():  # its connection still comes up, or takes no more for now
+            if not attempt.may_have_run():  # its connection still comes up, or takes no more for now
                 attempt.finish(Outcome.NOT_SENT)
         self.unanswered -= 1
 
@@ -264,8 +261,8 @@
 
     def _apply(self, action: Action) -> None:
         apply = self.actions.get(type(action))
-        if apply is None:  # probes and messages: neither is to be had here
-            log.warning("%s is not to be had here", type(action).__name__)
+        if apply is None:  # one that the gateway never asks for
+            log.warning("no handler for action %s", type(action).__name__)
         else:
             apply(action)
 
@@ -283,30 +280,30 @@
         left = request.gives_up - now
         if action.timeout_us > 0:
             left = min(left, action.timeout_us)
-        if request.final or place is None or left <= 0 or attempt.number >= self.settings.max_attempts:
+        if request.final or place is None or left <= 0 or attempt.attempt_index >= self.settings.max_attempts:
             return attempt.finish(Outcome.NOT_SENT)
         client = request.client
-        attempt.address, attempt.on_begin = place, client.where.look
+        attempt.address, attempt.on_connected = place, client.where.look
         length = b"Content-Length: %d\r\n" % len(client.body) if client.is_write else b""
-        attempt.payload = b"".join(
+        attempt.request_bytes = b"".join(
             (client.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), client.body)
         )
-        attempt.timer = self._after(left, attempt.time_out)
+        attempt.deadline_timer = self._after(left, attempt.on_deadline)
         if action.begin_within_us:
-            attempt.on_begin = partial(self._begin, attempt, client, now + action.begin_within_us)
-            attempt.latest = self._after(action.begin_within_us, attempt.begins_too_late)
+            attempt.on_connected = partial(self._begin, attempt, client, now + action.begin_within_us)
+            attempt.send_by_timer = self._after(action.begin_within_us, attempt.on_send_by)
         self.pool.send(attempt)
 
     def _begin(self, attempt: Attempt, client: ClientRequest, latest: int) -> None:
         """Its connection has come up. If we stood still, the timer may still be due."""
         if self.clock.now() > latest:
-            attempt.begins_too_late()
+            attempt.on_send_by()
         else:
             client.where.look()
 
-    def _ended(self, attempt: Attempt, result: Outcome, answer: Answer | None) -> None:
+    def _ended(self, attempt: Attempt, result: Outcome, answer: UpstreamResponse | None) -> None:
         """An attempt's one end. The first good answer goes to the client and is final."""
-        number = attempt.request
+        number = attempt.request_id
         request = self.requests[number]
         request.out -= 1
         if result is Outcome.OK and answer is not None and not request.final:
@@ -318,13 +315,13 @@
         self.post(
             AttemptEnded(
                 number,
-                attempt.number,
-                attempt.server,
+                attempt.attempt_index,
+                attempt.endpoint_id,
                 result,
-                self.clock.now() - attempt.sent,
+                self.clock.now() - attempt.started_at_us,
                 request.final,
-                answer.usage if answer else None,
-                answer.load if answer else None,
+                answer.usage_percent if answer else None,
+                answer.load_report if answer else None,
             )
         )
 
@@ -372,6 +369,3 @@
             self._after(left, self._woken, due, event)
         else:
             self.post(event)
-
-    def _close_idle(self, action: CloseIdleConnections) -> None:
-        self.pool.close_idle(action.endpoint_id)
--- /dev/null
+++ b/yardlane/proxy/response.py
@@ -0,0 +1,170 @@
+"""Responses of upstreams: what is read of them, their limits, and the outcome of an attempt that got one."""
+
+from __future__ import annotations
+
+import httptools
+
+from yardlane.decisions.events import LoadReport, Outcome
+from yardlane.errors import MalformedResponse
+from yardlane.settings_reader import LOAD_REPORT_FIELDS
+
+MAX_BODY_BYTES = 65_536
+MAX_HEAD_BYTES = 16_384
+MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
+MAX_LENGTH_DIGITS = 9  # of Content-Length and Usage-Percent
+FIRST_FINAL_STATUS = 200
+
+# The figures of a load report that the decisions use, by their names in the settings and as plain words.
+LOAD_FIGURES = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
+MAX_REQUESTS = 10_000.0
+MAX_LOAD_SHARE = 1.5
+MAX_LATENCY_MS = 60_000.0
+MAX_RATE_PER_S = 1e6
+# The most that an upstream can mean by each figure; a greater one is noise.
+MAX_LOAD = {
+    "concurrent": MAX_REQUESTS,
+    "inflight": MAX_REQUESTS,
+    "depth": MAX_REQUESTS,
+    "queue": MAX_REQUESTS,
+    "load_share": MAX_LOAD_SHARE,
+    "util": MAX_LOAD_SHARE,
+    "mean_ms": MAX_LATENCY_MS,
+    "latency_ms": MAX_LATENCY_MS,
+    "tps": MAX_RATE_PER_S,
+    "qps": MAX_RATE_PER_S,
+    "err_ps": MAX_RATE_PER_S,
+    "eps": MAX_RATE_PER_S,
+}
+UNKNOWN_FIGURE = -1.0  # no number is as small: an unknown figure is passed over
+
+
+class UpstreamResponse:
+    """The final response to a request."""
+
+    __slots__ = ("body", "content_type", "load_report", "never_ran", "status", "usage_percent")
+
+    def __init__(self) -> None:
+        self.status = 0
+        self.body = b""
+        self.content_type = b""
+        self.never_ran = False  # the upstream's word that the request had no effect
+        self.usage_percent: int | None = None
+        self.load_report: LoadReport | None = None
+
+
+def outcome_of(response: UpstreamResponse) -> Outcome:
+    """The protocol's table of outcomes, for whole responses."""
+    if response.status == 200:
+        return Outcome.OK
+    if response.status in (503, 504) and response.never_ran:
+        return Outcome.REJECTED
+    return Outcome.ERROR  # the request may have run
+
+
+def read_load_report(text: bytes) -> LoadReport | None:
+    """The figures of a load report; those that are unknown, no numbers or too great are passed over.
+
+    None where no figure is left.
+    """
+    figures: dict[str, float] = {}
+    for part in text.decode("latin-1").removeprefix("TEXT").split(","):
+        name, _, value = part.partition("=")
+        name = name.strip()
+        try:
+            number = float(value)
+        except ValueError:
+            continue
+        if 0 <= number <= MAX_LOAD.get(name, UNKNOWN_FIGURE):
+            figures[name] = number
+    if not figures:
+        return None
+    return LoadReport(
+        **{LOAD_FIGURES[name]: number for name, number in figures.items() if name in LOAD_FIGURES}
+    )
+
+
+class ResponseReader:
+    """Reads the responses of one connection: to each request one final response, after any interim ones."""
+
+    def __init__(self) -> None:
+        self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
+        self.response = UpstreamResponse()
+        self.body_parts: list[bytes] = []
+        self.head_bytes = 0
+        self.body_bytes = 0
+        self.interim_count = 0
+        self.is_receiving = False  # a response has begun and is not whole
+        self.is_complete = False  # the final response is whole
+        self.keep_alive = False  # the connection may carry another request after it
+
+    def feed(self, data: bytes) -> None:
+        """Read on; raises `MalformedResponse`, also for bytes behind a complete response."""
+        assert self.parser is not None
+        try:
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            cause = error.__context__ or error  # what a callback raised is the context of the parser's error
+            raise MalformedResponse(str(cause)) from error
+
+    def expect_next(self) -> None:
+        """The connection is to carry another request."""
+        self.is_complete = False
+
+    def close(self) -> None:
+        """Nothing more is read. The parser and this reader hold each other, which only the GC would end."""
+        self.parser = None
+
+    # Callbacks of the parser
+
+    def on_message_begin(self) -> None:
+        if self.is_complete:
+            raise MalformedResponse("more than one response to one request")
+        self.response = UpstreamResponse()
+        self.body_parts = []
+        self.head_bytes = 0
+        self.body_bytes = 0
+        self.is_receiving = True
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        self.head_bytes += len(name) + len(value)
+        if self.head_bytes > MAX_HEAD_BYTES:
+            raise MalformedResponse(f"head over {MAX_HEAD_BYTES} bytes")
+        key = name.lower()
+        if key == b"content-length":
+            # A response of gigabytes is refused by its head rather than read up to the limit.
+            if len(value) > MAX_LENGTH_DIGITS or int(value) > MAX_BODY_BYTES:
+                raise MalformedResponse(f"body over {MAX_BODY_BYTES} bytes")
+        elif key == b"endpoint-load-metrics":
+            self.response.load_report = read_load_report(value)
+        elif key == b"usage-percent":
+            is_number = value.isdigit() and len(value) <= MAX_LENGTH_DIGITS
+            self.response.usage_percent = int(value) if is_number else None
+        elif key == b"x-never-ran":
+            self.response.never_ran = value.strip() == b"1"
+        elif key == b"content-type":
+            self.response.content_type = value
+
+    def on_body(self, body: bytes) -> None:
+        self.body_bytes += len(body)
+        if self.body_bytes > MAX_BODY_BYTES:
+            raise MalformedResponse(f"body over {MAX_BODY_BYTES} bytes")
+        self.body_parts.append(body)
+
+    def on_message_complete(self) -> None:
+        assert self.parser is not None
+        self.is_receiving = False
+        status = self.parser.get_status_code()
+        if status < FIRST_FINAL_STATUS:
+            self._count_interim()
+            return
+        self.response.status = status
+        self.response.body = b"".join(self.body_parts)
+        self.interim_count = 0
+        self.is_complete = True
+        self.keep_alive = self.parser.should_keep_alive()  # the parser answers this within this call only
+
+    def _count_interim(self) -> None:
+        """Interim responses without end would hold the attempt until its deadline."""
+        self.interim_count += 1
+        if self.interim_count > MAX_INTERIM_RESPONSES:
+            raise MalformedResponse(f"more than {MAX_INTERIM_RESPONSES} interim responses")
