--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -31,3 +31,7 @@
 
 class MalformedEndpoint(YardlaneError):
     """One entry of an endpoint list, or a value in it, that cannot be read."""
+
+
+class MalformedResponse(YardlaneError):
+    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -17,7 +17,7 @@
 from yardlane.proxy.client_connection import ClientSide
 from yardlane.proxy.discovery_client import DiscoveryClient
 from yardlane.proxy.proxy import Proxy
-from yardlane.proxy.upstream_connection import Pool
+from yardlane.proxy.upstream_pool import UpstreamPool
 
 log = logging.getLogger("yardlane.server")
 
@@ -47,11 +47,10 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
         limits = share(held(config.sockets))
         self.loop = loop
-        self.pool = Pool(config, limits.backends, loop)
+        self.pool = UpstreamPool(config, limits.backends, loop)
         self.door = Proxy(config, decider, self.pool, loop)
         self.clients = ClientSide(config, self.door, limits.clients, loop)
         self.discovery = DiscoveryClient(config, self.door.listed, self.door.unheard)
-        self.door.on_refetch = self.discovery.refetch
         self.stopped = asyncio.Event()
         self.shutdown_task: asyncio.Task[None] | None = None
 
