--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -1,36 +1,40 @@
-"""Each call to the counter gets exactly one answer, whatever the counter does."""
+"""Each call to the counter gets exactly one result, whatever the counter does."""
 
 import asyncio
 from typing import Any
 
-from yardlane.decisions.actions import AddToCounter
-from yardlane.decisions.events import CounterResult, Outcome
+import pytest
+
+from tests.counter_calls import add, first_call
 from tests.loopback import Peer, Script, running, settings, socket_test
+from yardlane.decisions.events import CounterResult, Outcome
+from yardlane.errors import MalformedCounterReply
+from yardlane.proxy.counter_connection import parse_reply
 
 
-def counting(peer: Peer, **family: Any) -> dict[str, Any]:
+def with_counter(counter: Peer, **changes: Any) -> dict[str, Any]:
     """Configuration with a counter; calls time out late unless told otherwise."""
-    told = {"shared_counter": True, "count_wait_us": 5_000_000, **family}
-    return {"counter": f"127.0.0.1:{peer.port}", "settings": settings(family_info=told)}
+    family_info = {"shared_counter": True, "count_wait_us": 5_000_000, **changes}
+    return {"counter": f"127.0.0.1:{counter.port}", "settings": settings(family_info=family_info)}
 
 
-def quiet() -> Script:
+def no_actions() -> Script:
     return Script(lambda event: [])
 
 
 @socket_test
 async def test_answers_are_matched_in_order() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter)) as door:
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
         for amount in (2.5, -1.0, 0.0, 7.0):
-            door.program.door._apply(AddToCounter(0xAB, amount, 4_000_000))
+            add(proxy, 0xAB, amount, 4_000_000)
         reader, writer = await counter.connection()
         lines = [await reader.readuntil(b"\r\n") for _ in range(4)]
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
         writer.write(b"ok 2.5\r\nbusy\r\nerr")
         writer.write(b"or\r\nok 1e3\r\n")
-        told = await script.wait_for(CounterResult, 4)
-        assert [(a.counter_key, a.outcome, a.total) for a in told] == [
+        results = await script.wait_for(CounterResult, 4)
+        assert [(r.counter_key, r.outcome, r.total) for r in results] == [
             (0xAB, Outcome.OK, 2.5),
             (0xAB, Outcome.REJECTED, 0.0),
             (0xAB, Outcome.REJECTED, 0.0),
@@ -39,49 +43,54 @@
 
 
 @socket_test
-async def test_a_break_after_writing_may_have_added() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        reader, writer = await counter.connection()
-        await reader.readuntil(b"\r\n")
+async def test_a_reset_after_writing_may_have_added() -> None:
+    """The counter resets the connection after a call was written. Nobody knows whether it was added, so the
+    result must not say that it was not: that would let the decisions add it twice."""
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
+        add(proxy)
+        _, writer = await first_call(counter)
         writer.transport.abort()
-        assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 @socket_test
 async def test_a_refused_connection_added_nothing() -> None:
-    script = quiet()
+    """Nobody listens at the counter's address. The call was never written, and its result says so."""
+    script = no_actions()
     async with Peer() as counter:
-        told = counting(counter)
-    async with running(script, **told) as door:  # nobody listens any more
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
+        configuration = with_counter(counter)
+    async with running(script, **configuration) as proxy:
+        add(proxy)
+        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
 
 
 @socket_test
 async def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter, count_wait_us=300_000)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        reader, writer = await counter.connection()
-        await reader.readuntil(b"\r\n")
-        assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+    """A call times out, the next one is written, then both are answered. The first answer belongs to the call
+    that timed out; taken for the next one, every later total would be a wrong one."""
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=300_000)) as proxy:
+        add(proxy)
+        reader, writer = await first_call(counter)
+        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        add(proxy)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\nok 2\r\n")
-        told = await script.wait_for(CounterResult, 2)
-        assert (told[1].outcome, told[1].total) == (Outcome.OK, 2.0)
+        results = await script.wait_for(CounterResult, 2)
+        assert (results[1].outcome, results[1].total) == (Outcome.OK, 2.0)
 
 
 @socket_test
-async def test_a_silent_counter_finds_no_pile_of_calls() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter)) as door:
+async def test_a_silent_counter_gets_no_backlog_of_calls() -> None:
+    """The counter accepts a connection and stays silent while calls go on. Only so many are written; the
+    others end at once, so that a counter that comes back is not met by a backlog."""
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
         for _ in range(100):
-            door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        told = await script.wait_for(CounterResult, 84)
-        assert {a.outcome for a in told} == {Outcome.NOT_CONNECTED}
+            add(proxy)
+        results = await script.wait_for(CounterResult, 100 - 16)
+        assert {r.outcome for r in results} == {Outcome.NOT_CONNECTED}
         reader, writer = await counter.connection()
         for _ in range(16):
             await reader.readuntil(b"\r\n")
@@ -90,68 +99,84 @@
 
 
 @socket_test
-async def test_a_connection_without_answers_is_given_up() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter, count_wait_us=20_000)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+async def test_a_connection_without_answers_is_dropped() -> None:
+    """The counter's host is gone without a reset: calls are written and never answered. After some timeouts
+    the connection is closed from our side, so that the next calls get another one."""
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=20_000)) as proxy:
+        add(proxy)
         reader, _ = await counter.connection()
-        await reader.read()  # the door closes it by itself
+        await reader.read()
         assert len(await script.wait_for(CounterResult)) == 1
 
 
+TOTALS_THAT_ARE_NONE = (b"", b" nan", b" 1_0", b" inf", b" 1e999", b" 1 2")
+MALFORMED_REPLIES = [
+    *(b"ok" + total + b"\r\n" for total in TOTALS_THAT_ARE_NONE),
+    b"what\r\n",
+    b"x" * 1000,
+    b"pong\r\n",
+    b"\xff\xfe\r\n",
+]
+
+
 @socket_test
-async def test_odd_lines_end_the_connection_not_the_door() -> None:
-    totals = (b"", b" nan", b" 1_0", b" inf", b" 1e999", b" 1 2")
-    odd_totals = [b"ok" + total + b"\r\n" for total in totals]
-    for odd in (*odd_totals, b"what\r\n", b"x" * 1000, b"pong\r\n", b"\xff\xfe\r\n"):
-        script = quiet()
-        async with Peer() as counter, running(script, **counting(counter)) as door:
-            door.program.door._apply(AddToCounter(1, 1.0, 1000))
-            reader, writer = await counter.connection()
-            await reader.readuntil(b"\r\n")
-            writer.write(odd)
-            assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+async def test_a_malformed_reply_ends_the_connection_and_not_the_process() -> None:
+    """The counter sends a line that answers no call. The call may have been added, and no later answer on
+    this connection can be trusted."""
+    for reply in MALFORMED_REPLIES:
+        script = no_actions()
+        async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
+            add(proxy)
+            _, writer = await first_call(counter)
+            writer.write(reply)
+            assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+
+
+@pytest.mark.parametrize("reply", MALFORMED_REPLIES, ids=lambda reply: repr(reply[:12]))
+def test_a_malformed_reply_raises_the_typed_error(reply: bytes) -> None:
+    with pytest.raises(MalformedCounterReply):
+        parse_reply(reply)
 
 
 @socket_test
-async def test_after_an_odd_line_the_next_call_is_heard_on_a_new_connection() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter)) as door:
-        count = door.program.door._apply
-        count(AddToCounter(1, 1.0, 1000))
-        reader, writer = await counter.connection()
-        await reader.readuntil(b"\r\n")
+async def test_after_a_malformed_reply_the_next_call_is_answered_on_a_new_connection() -> None:
+    """A connection that has answered breaks by a malformed reply. A quarter of all keys share it: they get
+    another one at once, without a reconnect delay."""
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
+        add(proxy)
+        reader, writer = await first_call(counter)
         writer.write(b"ok 1\r\n")
         await script.wait_for(CounterResult)
-        count(AddToCounter(1, 1.0, 1000))
+        add(proxy)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok {}\r\n")
         await script.wait_for(CounterResult, 2)
-        count(AddToCounter(1, 1.0, 1000))  # at once: a quarter of the names must not wait a pause out
-        reader, writer = await counter.connection()
-        await reader.readuntil(b"\r\n")
+        add(proxy)
+        _, writer = await first_call(counter)
         writer.write(b"ok 3\r\n")
-        told = await script.wait_for(CounterResult, 3)
-        assert [a.outcome for a in told] == [Outcome.OK, Outcome.TIMED_OUT, Outcome.OK]
+        results = await script.wait_for(CounterResult, 3)
+        assert [r.outcome for r in results] == [Outcome.OK, Outcome.TIMED_OUT, Outcome.OK]
 
 
 @socket_test
-async def test_a_line_without_an_end_costs_one_call_its_time_and_no_other_line() -> None:
-    script = quiet()
-    async with Peer() as counter, running(script, **counting(counter, count_wait_us=200_000)) as door:
-        count = door.program.door._apply
-        count(AddToCounter(1, 1.0, 1000))
-        reader, writer = await counter.connection()
-        await reader.readuntil(b"\r\n")
-        writer.write(b"ok 1")  # and nothing more
-        assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
-        assert await reader.read() == b""  # given up: answers behind it could not be told apart
-        assert door.program.door.counter is not None
-        line = next(line for line in door.program.door.counter.lines if line.not_before)
-        while asyncio.get_running_loop().time() < line.not_before:
+async def test_a_line_without_an_end_costs_one_call_and_no_other() -> None:
+    """The counter sends half a line and nothing more. The call times out, and as answers behind the half line
+    could not be told apart, the connection is closed; the next call is answered on another one."""
+    script = no_actions()
+    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=200_000)) as proxy:
+        add(proxy)
+        reader, writer = await first_call(counter)
+        writer.write(b"ok 1")
+        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        assert await reader.read() == b""
+        client = proxy.program.door.counter
+        assert client is not None
+        connection = next(one for one in client.connections if one.reconnect_not_before_s)
+        while asyncio.get_running_loop().time() < connection.reconnect_not_before_s:
             await asyncio.sleep(0.01)
-        count(AddToCounter(1, 1.0, 1000))
-        reader, writer = await counter.connection()
-        await reader.readuntil(b"\r\n")
+        add(proxy)
+        _, writer = await first_call(counter)
         writer.write(b"ok 2\r\n")
         assert (await script.wait_for(CounterResult, 2))[1].total == 2.0
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration: discovery and the counter move, and all that is open goes on."""
+"""SIGHUP: discovery and the counter get other addresses, and what is in flight goes on."""
 
 import asyncio
 import json
@@ -9,7 +9,6 @@
 
 import pytest
 
-from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import CounterResult, EndpointListUpdate, Outcome
 from tests.loopback import (
     Peer,
@@ -23,39 +22,42 @@
     socket_test,
     whole_list,
 )
+from tests.counter_calls import add, first_call
 from tests.proxy.test_proxy import free_port, start
 
-COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
+WITH_COUNTER = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
 
-def told(discovery: Peer, counter: Peer, **changes: Any) -> dict[str, Any]:
+def configuration(discovery: Peer, counter: Peer, **changes: Any) -> dict[str, Any]:
     return {
         "listen": "127.0.0.1:9",
         "discovery": f"127.0.0.1:{discovery.port}",
         "counter": f"127.0.0.1:{counter.port}",
         "seed": "1f",
-        "settings": COUNTED,
+        "settings": WITH_COUNTER,
         **changes,
     }
 
 
 @socket_test
-async def test_the_new_discovery_gives_its_whole_list_and_the_old_one_is_left() -> None:
+async def test_a_new_discovery_is_asked_for_its_whole_list_and_the_old_one_is_dropped() -> None:
+    """Discovery moves while a watch is open. Each discovery counts its own versions, so the version that we
+    have says nothing at the new one: the whole list is fetched there, and ours stands until it comes."""
     script = Script(lambda event: [])
-    async with Peer() as old, Peer() as new, running(script, discovery=f"127.0.0.1:{old.port}") as door:
+    async with Peer() as old, Peer() as new, running(script, discovery=f"127.0.0.1:{old.port}") as proxy:
         reader, writer = await old.connection()
         await read_message(reader)
         writer.write(answer(200, as_json(whole_list(member("s-1", 9), revision=41))))
         await read_message(reader)
         for _ in range(3):  # several in a row
-            door.program.discovery.move(("127.0.0.1", new.port))
-        assert await reader.read() == b""  # the watch there is dropped at once
-        assert door.program.door.places == {b"s-1": ("127.0.0.1", 9)}  # the list stands meanwhile
-        while True:  # the connections of moves that were overtaken only end
+            proxy.program.discovery.move(("127.0.0.1", new.port))
+        assert await reader.read() == b""  # the watch there is dropped
+        assert proxy.program.door.places == {b"s-1": ("127.0.0.1", 9)}
+        while True:  # the connections of the first moves only end
             to_new, agent = await new.connection()
             if line := await to_new.readline():
                 break
-        assert line == b"GET /catalog/members HTTP/1.1\r\n"  # versions are each discovery's own
+        assert line == b"GET /catalog/members HTTP/1.1\r\n"
         await to_new.readuntil(b"\r\n\r\n")
         agent.write(answer(200, as_json(whole_list(member("s-2", 9), revision=3))))
         assert "index=3&" in (await read_message(to_new))[0]
@@ -65,81 +67,86 @@
 
 
 @socket_test
-async def test_each_call_ends_once_where_it_was_written() -> None:
+async def test_each_counter_call_ends_once_where_it_was_written() -> None:
+    """The counter moves while a call is written and not answered. Written again at the new address it would
+    be added twice; so its answer is awaited at the old one, and only later calls go to the new."""
     script = Script(lambda event: [])
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
+        running(script, settings=WITH_COUNTER, counter=f"127.0.0.1:{old.port}") as proxy,
     ):
-        count = door.program.door._apply
-        count(AddToCounter(1, 1.0, 1000))
-        reader, writer = await old.connection()
-        await reader.readuntil(b"\r\n")
-        door.program.door.recount(("127.0.0.1", new.port))
-        count(AddToCounter(1, 2.0, 1000))
+        add(proxy)
+        reader, writer = await first_call(old)
+        proxy.program.door.recount(("127.0.0.1", new.port))
+        add(proxy, amount=2.0)
         to_new, counter = await new.connection()
-        assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"  # the first is not said again
+        assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
         writer.write(b"ok 1\r\n")
-        assert await reader.read() == b""  # closed once nothing is open there
+        assert await reader.read() == b""
         counter.write(b"ok 3\r\n")
-        ends = await script.wait_for(CounterResult, 2)
-        assert [(e.outcome, e.total) for e in ends] == [(Outcome.OK, 1.0), (Outcome.OK, 3.0)]
+        results = await script.wait_for(CounterResult, 2)
+        assert [(r.outcome, r.total) for r in results] == [(Outcome.OK, 1.0), (Outcome.OK, 3.0)]
 
 
 @socket_test
-async def test_a_call_not_yet_written_is_written_to_the_new_counter() -> None:
+async def test_a_counter_call_that_is_not_written_goes_to_the_new_counter() -> None:
+    """The counter moves before the connection to it has come up. The call that waits for it was written
+    nowhere, so it may go to the new address."""
     script = Script(lambda event: [])
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
+        running(script, settings=WITH_COUNTER, counter=f"127.0.0.1:{old.port}") as proxy,
     ):
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        door.program.door.recount(("127.0.0.1", new.port))
+        add(proxy)
+        proxy.program.door.recount(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
-        assert [e.outcome for e in await script.wait_for(CounterResult)] == [Outcome.OK]
+        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.OK]
 
 
 @socket_test
 async def test_a_silent_old_counter_does_not_keep_its_connection() -> None:
+    """The counter moves, and the old one never answers the call that is written there. After a while the
+    connection is closed all the same, and the call ends as one that may have been added."""
     script = Script(lambda event: [])
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
+        running(script, settings=WITH_COUNTER, counter=f"127.0.0.1:{old.port}") as proxy,
     ):
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        reader, _ = await old.connection()
-        await reader.readuntil(b"\r\n")
-        door.program.door.recount(("127.0.0.1", new.port))
+        add(proxy)
+        reader, _ = await first_call(old)
+        proxy.program.door.recount(("127.0.0.1", new.port))
         assert await reader.read() == b""
-        assert [e.outcome for e in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 def test_sighup_reads_the_file_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """First a file that is no JSON: the old configuration goes on. Then one with another discovery: it is
+    used. At last SIGHUP comes during the graceful shutdown, which goes on to its end."""
     path = tmp_path / "config.json"
 
     async def run() -> None:
         async with Peer() as old, Peer() as new, Peer() as counter:
             monkeypatch.setitem(os.environ, "EDGE_DISCOVERY", f"127.0.0.1:{old.port}")
             listen = f"127.0.0.1:{await free_port()}"
-            door = await start(path, told(old, counter, listen=listen))
-            assert door.stderr is not None
+            process = await start(path, configuration(old, counter, listen=listen))
+            assert process.stderr is not None
             await old.connection()  # it has started
             path.write_text("{")
-            door.send_signal(signal.SIGHUP)
-            while b"the old configuration goes on" not in await door.stderr.readline():
+            process.send_signal(signal.SIGHUP)
+            while b"the old configuration goes on" not in await process.stderr.readline():
                 pass
-            path.write_text(json.dumps(told(new, counter, listen=listen)))
-            door.send_signal(signal.SIGHUP)
+            path.write_text(json.dumps(configuration(new, counter, listen=listen)))
+            process.send_signal(signal.SIGHUP)
             reader, _ = await new.connection()  # the file goes before the variable now
             assert await reader.readline() == b"GET /catalog/members HTTP/1.1\r\n"
-            door.send_signal(signal.SIGTERM)
-            door.send_signal(signal.SIGHUP)  # in a drain
-            await door.communicate()
-            assert door.returncode == 0
+            process.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGHUP)  # in a drain
+            await process.communicate()
+            assert process.returncode == 0
 
     asyncio.run(run())
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -31,3 +31,10 @@
 
 class MalformedEndpoint(YardlaneError):
     """One entry of an endpoint list, or a value in it, that cannot be read."""
+
+
+class MalformedCounterReply(YardlaneError):
+    """A line of the counter that does not answer the call whose turn it is."""
+
+    def __init__(self, line: bytes) -> None:
+        super().__init__(f"malformed reply {line!r}")
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -38,7 +38,7 @@
 from yardlane.proxy.upstream_connection import Answer, Attempt, Pool
 from yardlane.proxy.client_connection import ClientRequest, retry_after
 from yardlane.config import Address, Config
-from yardlane.proxy.counter_client import Counter
+from yardlane.proxy.counter_client import CounterClient
 
 log = logging.getLogger("yardlane.proxy.proxy")
 
@@ -86,9 +86,9 @@
         self.config, self.decider, self.pool, self.loop = config, decider, pool, loop
         self.settings = config.settings
         self.clock = Clock()
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         if config.counter is not None:
-            self.counter = Counter(config.counter, self.settings.counter_timeout_us, self.post, loop)
+            self.counter = CounterClient(config.counter, self.settings.counter_timeout_us, self.post, loop)
         self.requests: dict[int, Open] = {}
         self.unanswered = 0
         self.closed: list[int] = []  # requests whose end the module hears of in the next turn
@@ -360,7 +360,7 @@
     def _count(self, action: AddToCounter) -> None:
         if self.counter is None:
             return self.post(CounterResult(action.counter_key, Outcome.NOT_CONNECTED, 0.0, 0))
-        self.counter.count(action)
+        self.counter.add(action)
 
     def _wake(self, action: SetTimer) -> None:
         self._woken(self.clock.now() + action.delay_us, TimerFired(action.token))
