--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -10,7 +10,7 @@
 from yardlane.decisions.actions import Action, Reject, StartAttempt
 from yardlane.decisions.events import Event, RequestArrived
 from yardlane.proxy.client_connection import MOST_BEHIND, MOST_PIPELINED, ClientSide, State
-from yardlane.descriptors import OWN, share
+from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
 from yardlane.proxy.listener import Listener
 from tests.loopback import (
     Peer,
@@ -235,10 +235,10 @@
 
 
 def test_what_is_shared_out_stays_under_the_descriptors() -> None:
-    for sockets in (256, 384, 512, 1024):
-        limits = share(sockets)
-        assert limits.clients + limits.backends + OWN <= sockets
-        assert limits.clients >= sockets // 3 and limits.backends >= sockets // 3
+    for descriptors in (256, 384, 512, 1024):
+        limits = divide(descriptors)
+        assert limits.clients + limits.upstreams + RESERVED_DESCRIPTORS <= descriptors
+        assert limits.clients >= descriptors // 3 and limits.upstreams >= descriptors // 3
 
 
 @socket_test
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from yardlane.descriptors import share
+from yardlane.descriptors import divide
 from tests.loopback import (
     Peer,
     Streams,
@@ -28,7 +28,7 @@
 from tests.proxy.test_proxy import free_port, start
 
 HELD = 128  # descriptors that the process may hold
-PLACES = share(HELD).clients
+PLACES = divide(HELD).clients
 COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -13,7 +13,7 @@
 
 def make_decoder() -> EndpointDecoder:
     made = config()
-    return EndpointDecoder(made.zones, made.kinds)
+    return EndpointDecoder(made.zones, made.hardware_kinds)
 
 
 def test_names_that_are_ever_new_do_not_fill_the_memory() -> None:
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -1,4 +1,8 @@
-"""From the environment and its JSON file to `Config`. What is wrong is told in one plain line."""
+"""From the environment and the JSON file that it names to `Config`.
+
+This is the one place that knows the names in that file; the names inside its `settings` are known by
+`yardlane.settings_reader`. Whatever is wrong raises ConfigError, whose text names the value.
+"""
 
 from __future__ import annotations
 
@@ -7,146 +11,183 @@
 from dataclasses import dataclass
 from typing import Any
 
-from yardlane import settings_reader
-from yardlane.errors import ConfigError, SettingsError
 from yardlane.decisions.settings import Settings
+from yardlane.errors import ConfigError, SettingsError
+from yardlane.settings_reader import SettingsReader, read_settings
 
 Address = tuple[str, int]
 
 MAX_PORT = 65_535
-SOCKETS = 1024  # descriptors that we may hold where nothing is told
+DEFAULT_DESCRIPTORS = 1_024
+DEFAULT_CONNECT_TIMEOUT_US = "250000"
+DEFAULT_KEEPALIVE_US = "30000000"
+
+# The key in the file, and the variable that overrides it.
+ENVIRONMENT = {
+    "name": "EDGE_NAME",
+    "listen": "EDGE_LISTEN",
+    "discovery": "EDGE_DISCOVERY",
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a front door is told at its start. Times are microseconds."""
+    """All that a front door is configured with."""
 
     name: str
     listen: Address
     discovery: Address
     counter: Address | None
     seed: int
-    sockets: int
-    known: object | None
+    descriptors: int
+    """How many file descriptors the process may hold."""
+    cached_endpoint_list: object | None
+    """The endpoint list as an earlier process had it, in discovery's JSON."""
     settings: Settings
     classes: tuple[str, ...]
+    """The names of the request classes, in the order of the settings; so are the three below."""
     plans: tuple[str, ...]
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    hardware_kinds: tuple[str, ...]
     connect_timeout: int
+    """In µs."""
     keepalive: int
-
-
-def parse_address(text: object, what: str) -> Address:
-    """`host:port` in its two parts. ConfigError where it is none, which calls it by the name `what`."""
-    host, _, port_text = str(text).rpartition(":")
-    port = _parse_port(port_text)
-    if not host or port is None:
-        raise ConfigError(f"{what} is {text!r}: wanted host:port")
-    return host, port
-
-
-def _parse_port(text: str) -> int | None:
-    if not (text.isascii() and text.isdigit()):
-        return None
-    try:
-        port = int(text)
-    except ValueError:  # more digits than int() takes
-        return None
-    return port if 0 < port <= MAX_PORT else None
+    """How long an upstream keeps an idle connection, in µs."""
 
 
 def load(environ: Mapping[str, str], again: bool = False) -> Config:
-    """Read what `EDGE_CONFIG` names; the other variables go before the file where both speak.
+    """Read the file that `EDGE_CONFIG` names; the variables of `ENVIRONMENT` override it.
 
-    Read `again`, the file goes before `EDGE_DISCOVERY`, which still names where discovery was at the start.
+    Where it is read `again`, its discovery overrides `EDGE_DISCOVERY`, which still has the first address.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
         raise ConfigError("EDGE_CONFIG is not set")
+    document = _read_json(path)
+    for key, variable in ENVIRONMENT.items():
+        if not environ.get(variable):
+            continue
+        if again and key == "discovery" and document.get(key):
+            continue
+        document[key] = environ[variable]
     try:
-        with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-    except OSError as error:
-        raise ConfigError(f"EDGE_CONFIG: {path}: {error.strerror}") from None
-    except (ValueError, RecursionError) as error:
-        raise ConfigError(f"EDGE_CONFIG: {path}: no JSON: {error}") from None
-    if not isinstance(told, dict):
-        raise ConfigError(f"EDGE_CONFIG: {path}: wanted an object")
-    for key, variable in (("name", "EDGE_NAME"), ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY")):
-        if environ.get(variable) and not (again and told.get(key) and key == "discovery"):
-            told[key] = environ[variable]
-    try:
-        return parse(told)
-    except ConfigError:
-        raise
-    except (SettingsError, ValueError, TypeError, KeyError, OverflowError) as error:
+        return parse(document)
+    except SettingsError as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error}") from None
 
 
-def parse(told: Mapping[str, Any]) -> Config:
-    """The configuration from its JSON object."""
-    nested = told.get("settings")
+def parse(document: Mapping[str, Any]) -> Config:
+    """The configuration from its JSON object. ConfigError, or SettingsError for its settings."""
+    nested = document.get("settings")
     if not isinstance(nested, dict):
         raise ConfigError("settings are missing")
     values = dict(flatten(nested))
-    settings, _ = settings_reader.read_settings(values)
-    reader = settings_reader.Reader(values)
-    counter = told.get("counter")
+    settings, _ = read_settings(values)
+    reader = SettingsReader(values)
+    counter = document.get("counter")
     if settings.has_shared_counter and not counter:
         raise ConfigError("counter is missing, though the settings tell of one")
-    limits = told.get("limits") or {}
-    if not isinstance(limits, dict):
-        raise ConfigError(f"limits are {limits!r}: wanted an object")
-    sockets = int(limits.get("sockets") or SOCKETS)
-    if sockets <= 0:
-        raise ConfigError(f"limits.sockets is {sockets}: wanted more than 0")
-    try:
-        seed = int(str(told.get("seed") or "0"), 16)
-    except ValueError:
-        raise ConfigError(f"seed is {told.get('seed')!r}: wanted hex digits") from None
+    descriptors = _parse_descriptors(document.get("limits") or {})
+    seed = _parse_seed(document.get("seed") or "0")
     return Config(
-        name=str(told.get("name") or f"gateway {settings.rank}"),
-        listen=parse_address(told.get("listen"), "listen"),
-        discovery=parse_address(told.get("discovery"), "discovery"),
+        name=str(document.get("name") or f"gateway {settings.rank}"),
+        listen=parse_address(document.get("listen"), "listen"),
+        discovery=parse_address(document.get("discovery"), "discovery"),
         counter=parse_address(counter, "counter") if counter else None,
         seed=seed,
-        sockets=sockets,
-        known=told.get("known"),
+        descriptors=descriptors,
+        cached_endpoint_list=document.get("known"),
         settings=settings,
-        classes=_names(reader, "profiles", len(settings.request_classes)),
-        plans=_names(reader, "packages", len(settings.quota_plans)),
-        zones=_list(nested.get("zones")),
-        kinds=_list(nested.get("kinds")),
-        connect_timeout=reader.positive("permissions.connect_timeout_us", "250000"),
-        keepalive=reader.positive("permissions.keepalive_us", "30000000"),
+        classes=_read_names(reader, "profiles", len(settings.request_classes)),
+        plans=_read_names(reader, "packages", len(settings.quota_plans)),
+        zones=_parse_list(nested.get("zones")),
+        hardware_kinds=_parse_list(nested.get("kinds")),
+        connect_timeout=reader.positive_integer("permissions.connect_timeout_us", DEFAULT_CONNECT_TIMEOUT_US),
+        keepalive=reader.positive_integer("permissions.keepalive_us", DEFAULT_KEEPALIVE_US),
     )
 
 
+def parse_address(text: object, name: str) -> Address:
+    """`host:port` in its two parts. ConfigError calls the value by its `name`."""
+    host, _, port_text = str(text).rpartition(":")
+    port = _parse_port(port_text)
+    if not host or port is None:
+        raise ConfigError(f"{name} is {text!r}: wanted host:port")
+    return host, port
+
+
 def flatten(value: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Nested JSON as the paths and texts of the simulator's settings."""
+    """Nested JSON as the paths and texts of the settings text.
+
+    A list of objects gets a count and a number for each, as in `profiles.count` and `profiles.0.name`; any
+    other list is joined by commas.
+    """
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
     elif isinstance(value, list) and value and all(isinstance(inner, dict) for inner in value):
         yield f"{path}.count", str(len(value))
-        for n, inner in enumerate(value):
-            yield from flatten(inner, f"{path}.{n}")
+        for index, inner in enumerate(value):
+            yield from flatten(inner, f"{path}.{index}")
     elif isinstance(value, list):
-        yield path, ",".join(_text(inner) for inner in value)
+        yield path, ",".join(_to_text(inner) for inner in value)
     else:
-        yield path, _text(value)
+        yield path, _to_text(value)
 
 
-def _text(value: object) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return "" if value is None else str(value)
+def _read_json(path: str) -> dict[str, Any]:
+    try:
+        with open(path, encoding="utf-8") as file:
+            document = json.load(file)
+    except OSError as error:
+        raise ConfigError(f"EDGE_CONFIG: {path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"EDGE_CONFIG: {path}: no JSON: {error}") from None
+    if not isinstance(document, dict):
+        raise ConfigError(f"EDGE_CONFIG: {path}: wanted an object")
+    return document
+
+
+def _parse_port(text: str) -> int | None:
+    if not (text.isascii() and text.isdigit()):
+        return None
+    try:
+        port = int(text)
+    except ValueError:  # more digits than int() takes
+        return None
+    return port if 0 < port <= MAX_PORT else None
+
+
+def _parse_descriptors(limits: object) -> int:
+    if not isinstance(limits, dict):
+        raise ConfigError(f"limits are {limits!r}: wanted an object")
+    value = limits.get("sockets") or DEFAULT_DESCRIPTORS
+    try:
+        descriptors = int(value)
+    except (ValueError, TypeError, OverflowError):
+        raise ConfigError(f"limits.sockets is {value!r}: wanted a number") from None
+    if descriptors <= 0:
+        raise ConfigError(f"limits.sockets is {descriptors}: wanted more than 0")
+    return descriptors
 
 
-def _names(reader: settings_reader.Reader, path: str, count: int) -> tuple[str, ...]:
-    return tuple(reader.text(f"{path}.{n}.name") for n in range(count))
+def _parse_seed(value: object) -> int:
+    try:
+        return int(str(value), 16)
+    except ValueError:
+        raise ConfigError(f"seed is {value!r}: wanted hex digits") from None
+
+
+def _read_names(reader: SettingsReader, path: str, count: int) -> tuple[str, ...]:
+    return tuple(reader.text(f"{path}.{index}.name") for index in range(count))
+
 
+def _parse_list(value: object) -> tuple[str, ...]:
+    items = value if isinstance(value, list) else str(value or "").split(",")
+    return tuple(str(item) for item in items if item)
 
-def _list(value: object) -> tuple[str, ...]:
-    return tuple(str(v) for v in (value if isinstance(value, list) else str(value or "").split(",")) if v)
+
+def _to_text(value: object) -> str:
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    return "" if value is None else str(value)
--- a/yardlane/descriptors.py
+++ b/yardlane/descriptors.py
@@ -1,4 +1,9 @@
-"""How the descriptors are shared out, in one place."""
+"""How the process divides its file descriptors between client and upstream connections.
+
+A process without a free descriptor can accept nobody and connect nowhere. If clients could take all of them,
+discovery and the upstreams would be shut out for as long as the clients stay. So each kind of connection has
+a limit, and with what the process itself needs the limits stay under the descriptors that it may hold.
+"""
 
 from __future__ import annotations
 
@@ -8,30 +13,34 @@
 
 log = logging.getLogger("yardlane.descriptors")
 
-# Loop, signals, listener and streams; discovery and counter, each twice while they move; and connections that
-# are being closed, which hold their descriptor until the end of the turn.
-OWN = 40
+# The loop, signals, the listener and the standard streams; discovery and counter, each twice while they move;
+# and connections that are being closed, which hold their descriptor until the end of the loop's turn.
+RESERVED_DESCRIPTORS = 40
+# Under this there is no use in a limit: it would serve nobody.
+MIN_CONNECTIONS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """The most connections of each kind; with our own they stay under the descriptors we may hold."""
+class ConnectionLimits:
+    """The most connections of each kind at a time."""
 
     clients: int
-    backends: int
+    upstreams: int
 
 
-def share(sockets: int) -> Limits:
-    """Even halves: a third of all is asked for by clients' requests, and each of those needs a backend."""
-    rest = max(16, sockets - OWN)
-    return Limits(clients=rest // 2, backends=rest - rest // 2)
+def divide(descriptors: int) -> ConnectionLimits:
+    """Even halves: requests come from a third of all, and each of them may need an upstream connection."""
+    connections = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
+    clients = connections // 2
+    return ConnectionLimits(clients, connections - clients)
 
 
-def held(told: int) -> int:
-    """Of the descriptors that the configuration tells of, those that this process may hold."""
+def usable_descriptors(configured: int) -> int:
+    """The configured number, or less where the process's own limit (`ulimit -n`) is lower."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if allowed == resource.RLIM_INFINITY or told <= allowed:
-        return told
-    # Clients would take them all, and each that becomes free again: discovery would be shut out for good.
-    log.warning("limits.sockets is %d, but this process may hold %d descriptors: these it is", told, allowed)
+    if allowed == resource.RLIM_INFINITY or configured <= allowed:
+        return configured
+    log.warning(
+        "limits.sockets is %d, but this process may hold %d descriptors: using these", configured, allowed
+    )
     return allowed
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -43,10 +43,10 @@
 
     def __init__(self, config: Config, on_update: OnUpdate, on_poll_failed: Callable[[], None]) -> None:
         self.address = config.discovery
-        self.cached_list = config.known
+        self.cached_list = config.cached_endpoint_list
         self.on_update = on_update
         self.on_poll_failed = on_poll_failed
-        self.decoder = EndpointDecoder(config.zones, config.kinds)
+        self.decoder = EndpointDecoder(config.zones, config.hardware_kinds)
         self.response_timeout_s = response_timeout_s(config.settings.drain_grace_us)
         self.max_backoff_s = max_backoff_s(config.settings.drain_grace_us)
         self.version = NO_VERSION
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -12,7 +12,7 @@
 from yardlane.config import Config, load
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.settings import Settings
-from yardlane.descriptors import held, share
+from yardlane.descriptors import divide, usable_descriptors
 from yardlane.errors import ConfigError
 from yardlane.proxy.client_connection import ClientSide
 from yardlane.proxy.discovery_client import DiscoveryClient
@@ -45,9 +45,9 @@
     """One front door, from its start to the end of its graceful shutdown."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
-        limits = share(held(config.sockets))
+        limits = divide(usable_descriptors(config.descriptors))
         self.loop = loop
-        self.pool = Pool(config, limits.backends, loop)
+        self.pool = Pool(config, limits.upstreams, loop)
         self.door = Proxy(config, decider, self.pool, loop)
         self.clients = ClientSide(config, self.door, limits.clients, loop)
         self.discovery = DiscoveryClient(config, self.door.listed, self.door.unheard)
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -1,4 +1,9 @@
-"""The settings text: paths and values to `Settings`."""
+"""The settings text to `Settings`: the one place that knows the names and values that it has for them.
+
+The text is a line a setting, `path=value`. The front door's configuration has the same settings as nested
+JSON, which `yardlane.config` flattens to the same paths. Whatever is wrong raises SettingsError, whose text
+names the setting.
+"""
 
 from __future__ import annotations
 
@@ -10,142 +15,160 @@
 
 T = TypeVar("T")
 
-LOAD_REPORT_FIELDS = {"concurrent": "in_flight", "depth": "queued", "load_share": "utilization"}
+LOAD_REPORT_FIELDS = {
+    "concurrent": "in_flight",
+    "depth": "queued",
+    "load_share": "utilization",
+}
 """The columns of a load report that are read: their names in the settings, and their `LoadReport` fields."""
 
+IDEMPOTENCY = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.KEYED,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+IS_PUSHED = {
+    "pushed": True,
+    "on_request": False,
+}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+    "": DeduplicationScope.CELL,
+}
+FLAGS = {
+    "true": True,
+    "false": False,
+}
 
-class Reader:
-    """Typed look-ups in the settings text; errors name the setting."""
+
+class SettingsReader:
+    """Typed look-ups by path. Each takes the text of a default; a setting that has none must be there."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
 
     def text(self, path: str, default: str | None = None) -> str:
+        """The value as it stands."""
         value = self.values.get(path, default)
         if value is None:
             raise SettingsError(f"setting {path} is missing")
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
+        """A finite number: any other would spoil every sum and comparison that it enters."""
         text = self.text(path, default)
         try:
             number = float(text)
         except ValueError:
             raise SettingsError(f"setting {path} is no number: {text!r}") from None
-        if not math.isfinite(number):  # it would spoil every sum and comparison that it enters
+        if not math.isfinite(number):
             raise SettingsError(f"setting {path} is not finite: {text!r}")
         return number
 
-    def positive(self, path: str, default: str | None = None) -> int:
-        number = self.whole(path, default)
+    def integer(self, path: str, default: str | None = None) -> int:
+        """A number without its fraction."""
+        return int(self.number(path, default))
+
+    def positive_integer(self, path: str, default: str | None = None) -> int:
+        """An integer over 0."""
+        number = self.integer(path, default)
         if number <= 0:
             raise SettingsError(f"setting {path} is {number}: wanted more than 0")
         return number
 
-    def whole(self, path: str, default: str | None = None) -> int:
-        return int(self.number(path, default))
-
     def flag(self, path: str, default: str | None = None) -> bool:
+        """`true` or `false`."""
         text = self.text(path, default)
-        if text not in ("true", "false"):
+        if text not in FLAGS:
             raise SettingsError(f"setting {path} is neither true nor false: {text!r}")
-        return text == "true"
+        return FLAGS[text]
 
     def one_of(self, path: str, table: dict[str, T], default: str | None = None) -> T:
+        """What the table has for the value."""
         text = self.text(path, default)
         if text not in table:
             raise SettingsError(f"setting {path} has an unknown value: {text!r}")
         return table[text]
 
 
-IDEMPOTENCY = {
-    "free": Idempotency.IDEMPOTENT,
-    "guarded": Idempotency.KEYED,
-    "single_shot": Idempotency.NON_IDEMPOTENT,
-}
-DISCOVERY_MODES = {"pushed": True, "on_request": False}
-DEDUPLICATION_SCOPES = {
-    "all": DeduplicationScope.ALL,
-    "zone": DeduplicationScope.ZONE,
-    "cell": DeduplicationScope.CELL,
-    "": DeduplicationScope.CELL,
-}
-
-
 def parse_settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
-    """Settings, and the names of the load report's values in their order."""
+    """Settings, and the names of the load report's columns in their order."""
     try:
         lines = text.decode("utf-8").split("\n")
     except UnicodeDecodeError as error:
         raise SettingsError(f"settings are not UTF-8 at byte {error.start}") from None
     values: dict[str, str] = {}
-    for number, line in enumerate(lines, 1):
-        if line.strip():
-            path, sign, value = line.strip().partition("=")
-            if not sign:
-                raise SettingsError(f"settings line {number} has no '=': {line.strip()!r}")
-            values[path] = value
+    for number, untrimmed in enumerate(lines, 1):
+        line = untrimmed.strip()
+        if not line:
+            continue
+        path, sign, value = line.partition("=")
+        if not sign:
+            raise SettingsError(f"settings line {number} has no '=': {line!r}")
+        values[path] = value
     return read_settings(values)
 
 
 def read_settings(values: dict[str, str]) -> tuple[Settings, tuple[str, ...]]:
-    """The same from single values by their paths."""
-    reader = Reader(values)
-    endpoint_list_is_pushed = reader.one_of("discovery", DISCOVERY_MODES)
+    """The same from values by their paths."""
+    reader = SettingsReader(values)
+    endpoint_list_is_pushed = reader.one_of("discovery", IS_PUSHED)
     columns = tuple(column for column in reader.text("report.columns", "").split(",") if column)
     request_classes = tuple(
-        _read_request_class(reader, f"profiles.{n}.") for n in range(reader.whole("profiles.count"))
+        _read_request_class(reader, f"profiles.{n}.") for n in range(reader.integer("profiles.count"))
     )
     quota_plans = tuple(
-        _read_quota_plan(reader, f"packages.{n}.") for n in range(reader.whole("packages.count", "0"))
+        _read_quota_plan(reader, f"packages.{n}.") for n in range(reader.integer("packages.count", "0"))
     )
     settings = Settings(
-        gateway_count=reader.whole("peers_total"),
-        rank=reader.whole("rank"),
-        zone=reader.whole("locality"),
+        gateway_count=reader.integer("peers_total"),
+        rank=reader.integer("rank"),
+        zone=reader.integer("locality"),
         request_classes=request_classes,
         quota_plans=quota_plans,
-        tick_us=reader.whole("round_us"),
-        answer_grace_us=reader.whole("safety.grace_to_answer_us"),
-        drain_grace_us=reader.whole("safety.drain_grace_us"),
+        tick_us=reader.integer("round_us"),
+        answer_grace_us=reader.integer("safety.grace_to_answer_us"),
+        drain_grace_us=reader.integer("safety.drain_grace_us"),
         initial_capacity_share=reader.number("safety.start_capacity"),
-        warm_up_us=reader.whole("safety.warm_up_us"),
+        warm_up_us=reader.integer("safety.warm_up_us"),
         overload_multiple=reader.number("safety.tip_multiple"),
-        overload_window_us=reader.whole("safety.fall_us"),
-        max_attempts=reader.positive("permissions.max_attempts"),
+        overload_window_us=reader.integer("safety.fall_us"),
+        max_attempts=reader.positive_integer("permissions.max_attempts"),
         may_hedge=reader.flag("permissions.parallel_tries"),
         may_cancel=reader.flag("permissions.cancel"),
         may_send_retry_after=reader.flag("permissions.retry_after"),
-        max_retry_after_us=reader.whole("permissions.max_retry_after_us", "0"),
+        max_retry_after_us=reader.integer("permissions.max_retry_after_us", "0"),
         endpoint_list_is_pushed=endpoint_list_is_pushed,
         has_shared_counter=reader.flag("family_info.shared_counter", "false"),
-        counter_timeout_us=reader.whole("family_info.count_wait_us", "0"),
+        counter_timeout_us=reader.integer("family_info.count_wait_us", "0"),
         cross_zone_cost=reader.number("costs.cross_zone", "0"),
     )
     return settings, columns
 
 
-def _read_request_class(reader: Reader, prefix: str) -> RequestClass:
+def _read_request_class(reader: SettingsReader, prefix: str) -> RequestClass:
     idempotency = reader.one_of(prefix + "repeat", IDEMPOTENCY)
     keyed = idempotency is Idempotency.KEYED
     scope = DeduplicationScope.CELL
     if keyed:
         scope = reader.one_of(prefix + "group", DEDUPLICATION_SCOPES)
     return RequestClass(
-        latency_objective_us=reader.whole(prefix + "slo_us"),
-        deadline_us=reader.whole(prefix + "deadline_us"),
+        latency_objective_us=reader.integer(prefix + "slo_us"),
+        deadline_us=reader.integer(prefix + "deadline_us"),
         idempotency=idempotency,
         deduplication_scope=scope,
-        idempotency_window_us=reader.whole(prefix + "window_us", None if keyed else "0"),
+        idempotency_window_us=reader.integer(prefix + "window_us", None if keyed else "0"),
         priority_weight=reader.number(prefix + "worth"),
     )
 
 
-def _read_quota_plan(reader: Reader, prefix: str) -> QuotaPlan:
+def _read_quota_plan(reader: SettingsReader, prefix: str) -> QuotaPlan:
     return QuotaPlan(
         rate_per_s=reader.number(prefix + "refill"),
         burst=reader.number(prefix + "burst"),
-        concurrency_limit=reader.whole(prefix + "concurrency"),
+        concurrency_limit=reader.integer(prefix + "concurrency"),
         hard_rate_per_s=reader.number(prefix + "hard_rate"),
         hard_rate_depth=reader.number(prefix + "never_over_depth"),
         hard_rate_slack=reader.number(prefix + "cap_slack"),
