--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -6,7 +6,8 @@
 
 from yardlane.decisions.actions import StartAttempt
 from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
-from yardlane.decisions.endpoints import REACH, Fleet
+from yardlane.decisions.endpoints import SUBSET_SIZE, EndpointList
+from yardlane.decisions.slow_start import SlowStart
 from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_endpoint, of_type, make_settings
 
 GATEWAYS, SERVERS = 40, 60
@@ -19,10 +20,10 @@
     )
 
 
-def fleets(entries: tuple[Endpoint, ...], gateways: int = GATEWAYS) -> list[Fleet]:
-    made = [Fleet(make_settings(gateway_count=gateways, rank=rank)) for rank in range(gateways)]
+def fleets(entries: tuple[Endpoint, ...], gateways: int = GATEWAYS) -> list[EndpointList]:
+    made = [EndpointList(make_settings(gateway_count=gateways, rank=rank)) for rank in range(gateways)]
     for fleet in made:
-        fleet.hear(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, entries))
+        fleet.apply_update(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, entries))
     return made
 
 
@@ -30,23 +31,23 @@
     """Lost: forty gateways that each used sixty servers opened a connection for every second request."""
     used: Counter[bytes] = Counter()
     for fleet in fleets(many()):
-        assert len(fleet.near) == REACH
-        used.update(s.entry.endpoint_id for s in fleet.near)
+        assert len(fleet.subset) == SUBSET_SIZE
+        used.update(s.entry.endpoint_id for s in fleet.subset)
     assert len(used) == SERVERS
-    assert max(used.values()) <= 2 * GATEWAYS * REACH / SERVERS
+    assert max(used.values()) <= 2 * GATEWAYS * SUBSET_SIZE / SERVERS
 
 
 def test_a_small_fleet_is_used_whole_by_every_gateway() -> None:
     for fleet in fleets(many(9), gateways=3):
-        assert len(fleet.near) == 9 and fleet.sharers == 3
+        assert len(fleet.subset) == 9 and fleet.users_per_endpoint == 3
 
 
 def test_a_change_of_the_list_moves_few_other_servers() -> None:
     for fleet in fleets(many()):
-        before = {s.entry.endpoint_id for s in fleet.near}
+        before = {s.entry.endpoint_id for s in fleet.subset}
         new = many(1, first=900)
-        fleet.hear(EndpointListUpdate(UpdateKind.DELTA, 2, new))
-        assert len(before - {s.entry.endpoint_id for s in fleet.near}) <= 1
+        fleet.apply_update(EndpointListUpdate(UpdateKind.DELTA, 2, new))
+        assert len(before - {s.entry.endpoint_id for s in fleet.subset}) <= 1
 
 
 def test_a_cold_server_has_as_many_users_as_share_its_budget() -> None:
@@ -56,19 +57,20 @@
     ):
         users = set()
         for rank, fleet in enumerate(fleets((*many(), cold))):
-            server, work = fleet.servers[cold.endpoint_id], 200 * MS
+            server, work = fleet.by_id[cold.endpoint_id], 200 * MS
+            slow_start = SlowStart(fleet.settings, fleet)
             if any(
-                fleet.fits_cold(server, fleet.warmth(server, at), work, at)
+                slow_start.admits(server, slow_start.warm_up_factor(server, at), work, at)
                 for at in range(now, now + 8 * SECOND, 50 * MS)
             ):
                 users.add(rank)
-        assert len(users) == fleet.sharers < GATEWAYS
+        assert len(users) == fleet.users_per_endpoint < GATEWAYS
 
 
 def test_requests_go_to_the_subset_and_to_the_next_when_one_of_it_drains() -> None:
     desk = GatewayDriver(servers=0, gateway_count=GATEWAYS)
     desk.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, many()))
-    near = [s.entry for s in desk.gateway.fleet.near]
+    near = [s.entry for s in desk.gateway.endpoints.subset]
 
     def reached() -> set[bytes]:
         found = set()
@@ -83,5 +85,5 @@
     assert reached() <= {e.endpoint_id for e in near}
     gone = make_endpoint(0, endpoint_id=near[0].endpoint_id, state=EndpointState.DRAINING)
     desk.give(EndpointListUpdate(UpdateKind.DELTA, 2, (gone,)))
-    assert len(desk.gateway.fleet.near) == REACH
+    assert len(desk.gateway.endpoints.subset) == SUBSET_SIZE
     assert near[0].endpoint_id not in reached()
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -8,6 +8,7 @@
 
 from yardlane.decisions.quota import Tenant
 from yardlane.decisions.actions import AddToCounter, Reject, StartAttempt
+from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import Outcome
 from tests.gateway_driver import (
     CAPPED,
@@ -249,7 +250,7 @@
         desk.run(100 * MS)
     assert len(desk.gateway.customers) <= 210  # those of the last 20 s and the regular one
     desk.run(10 * SECOND)
-    assert not desk.gateway.requests and not desk.gateway.calls and len(desk.gateway.agenda) < 10
+    assert not desk.gateway.requests and not desk.gateway.calls and len(desk.gateway.timers) < 10
 
 
 def test_a_strangers_plan_is_not_taken_for_the_customers() -> None:
@@ -328,18 +329,18 @@
         actions += desk.run(2 * SECOND)
         for send in of_type(StartAttempt, actions):
             desk.end(number, send.endpoint_id, elapsed_us=700 * MS)
-    assert desk.gateway.window < 1.0
-    desk.now = desk.gateway.last_sent + MS
+    assert desk.gateway.concurrency.limit < 1.0
+    desk.now = desk.gateway.concurrency.last_sent_at_us + MS
     assert not of_type(StartAttempt, desk.ask(quota_plan=FREE)[1])
 
 
 def test_the_window_opens_again_on_good_answers() -> None:
     desk = GatewayDriver(servers=2, gateway_count=100)
-    desk.gateway.window = 0.1
+    desk.gateway.concurrency.limit = 0.1
     for _ in range(200):
         desk.serve(quota_plan=FREE)
         desk.run(2 * SECOND)
-    assert desk.gateway.window >= desk.gateway.usual_window
+    assert desk.gateway.concurrency.limit >= desk.gateway.concurrency.usual_limit
 
 
 def test_a_client_with_little_time_is_no_mark_against_a_server() -> None:
@@ -347,7 +348,7 @@
     for _ in range(6):
         number, actions = desk.ask(quota_plan=FREE, time_left_us=60 * MS)
         desk.end(number, of_type(StartAttempt, actions)[0].endpoint_id, Outcome.TIMED_OUT, elapsed_us=60 * MS)
-    assert not any(desk.gateway.fleet.servers[make_endpoint_id(0)].bad.values())
+    assert not any(desk.gateway.endpoints.by_id[make_endpoint_id(0)].failure_rates.values())
 
 
 def test_a_doubled_outcome_changes_nothing() -> None:
@@ -356,7 +357,9 @@
     desk.ask(quota_plan=FREE)
     for _ in range(3):
         desk.end(number, make_endpoint_id(0), Outcome.OK)
-    assert desk.gateway.out == 1 == desk.gateway.fleet.servers[make_endpoint_id(0)].out
+    assert (
+        desk.gateway.concurrency.in_flight == 1 == desk.gateway.endpoints.by_id[make_endpoint_id(0)].in_flight
+    )
 
 
 def test_a_pick_looks_at_few_servers_however_many_there_are() -> None:
@@ -366,12 +369,12 @@
         desk.serve(quota_plan=FREE)
         calls = 0
 
-        def count(server: object, now: int) -> float:
+        def count(endpoint: EndpointRecord, now_us: int) -> float:
             nonlocal calls
             calls += 1
             return 1.0
 
-        desk.gateway.fleet.warmth = count  # type: ignore[method-assign]
+        desk.gateway.slow_start.warm_up_factor = count  # type: ignore[method-assign]
         desk.serve(quota_plan=FREE)
         looked.append(calls)
     assert 0 < looked[0] == looked[1] <= 20
@@ -381,12 +384,14 @@
     """Lost: after a pause of its own every answer looked two seconds late and marked its server."""
     desk = GatewayDriver(servers=3, gateway_count=100)
     sent = [of_type(StartAttempt, desk.ask(quota_plan=FREE)[1]) for _ in range(2)]
-    before = {n: (s.slow, s.bad.copy()) for n, s in desk.gateway.fleet.servers.items()}
+    before = {n: (s.latency_ratio, s.failure_rates.copy()) for n, s in desk.gateway.endpoints.by_id.items()}
     desk.now += 2 * SECOND  # nobody woke it
     for send in (a for actions in sent for a in actions):
         desk.end(send.request_id, send.endpoint_id, Outcome.TIMED_OUT, elapsed_us=2 * SECOND)
     assert sum(len(actions) for actions in sent) > 0
-    assert before == {n: (s.slow, s.bad.copy()) for n, s in desk.gateway.fleet.servers.items()}
+    assert before == {
+        n: (s.latency_ratio, s.failure_rates.copy()) for n, s in desk.gateway.endpoints.by_id.items()
+    }
 
 
 def test_a_server_full_for_one_plan_is_left_by_that_plan_only() -> None:
@@ -396,7 +401,7 @@
         for plan_ in (FREE, CAPPED):
             for send in of_type(StartAttempt, desk.ask(tenant=plan_, quota_plan=plan_)[1]):
                 desk.end(send.request_id, send.endpoint_id, Outcome.REJECTED if plan_ == FREE else Outcome.OK)
-    bad = desk.gateway.fleet.servers[make_endpoint_id(0)].bad
+    bad = desk.gateway.endpoints.by_id[make_endpoint_id(0)].failure_rates
     assert (
         bad[desk.settings.quota_plans[FREE]] > 0.2
         and bad[None] == bad[desk.settings.quota_plans[CAPPED]] == 0.0
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -239,8 +239,8 @@
         sent += len(of_type(StartAttempt, desk.run(each))) + len(
             of_type(StartAttempt, desk.ask(tenant=4, quota_plan=0, gateway_count=10)[1])
         )
-        for number in [n for n, r in desk.gateway.requests.items() if any(t.out for t in r.tries)]:
-            desk.end(number, desk.gateway.requests[number].tries[-1].server.entry.endpoint_id)
+        for number in [n for n, r in desk.gateway.requests.items() if any(t.in_flight for t in r.tries)]:
+            desk.end(number, desk.gateway.requests[number].tries[-1].endpoint.entry.endpoint_id)
     return sent
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -26,7 +26,8 @@
     UpdateKind,
 )
 from yardlane.decisions.settings import Settings
-from yardlane.decisions.endpoints import COLD_MARGIN, NEWBORN, Fleet
+from yardlane.decisions.endpoints import EndpointList
+from yardlane.decisions.slow_start import BUDGET_SHARE, RESTART_SHARE, SlowStart
 from tests.gateway_driver import FREE, MS, SECOND, make_endpoint, make_settings
 
 READY, DRAINING, GONE = EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED
@@ -336,28 +337,31 @@
     )
     cold = EndpointListUpdate(UpdateKind.SNAPSHOT, 1, (make_endpoint(1, started_at_us=BEGIN),))
 
-    def made(born: int) -> list[Fleet]:
-        fleets = [Fleet(replace(base, rank=rank)) for rank in range(gateways)]
-        for fleet in fleets:
-            fleet.born = born
-            fleet.hear(cold)
-        return fleets
-
-    fleets, sent = made(0), deque[int]()
+    def started(at: int) -> list[SlowStart]:
+        made = []
+        for rank in range(gateways):
+            endpoints = EndpointList(replace(base, rank=rank))
+            endpoints.apply_update(cold)
+            made.append(SlowStart(endpoints.settings, endpoints))
+            made[-1].gateway_started_at_us = at
+        return made
+
+    slow_starts = started(0)
+    sent = deque[int]()
     for now in range(BEGIN, BEGIN + base.warm_up_us, 20 * MS):
         if births and now == BEGIN + SECOND:
-            fleets = made(now)
+            slow_starts = started(now)
         share = warmth(base, BEGIN, now)
-        for fleet in fleets:
-            server = fleet.servers[cold.endpoints[0].endpoint_id]
-            while fleet.fits_cold(server, share, work, now):
-                fleet.send_cold(server, work, now)
-                server.last_sent = now
+        for slow_start in slow_starts:
+            endpoint = slow_start.endpoints.by_id[cold.endpoints[0].endpoint_id]
+            while slow_start.admits(endpoint, share, work, now):
+                slow_start.record_sent(endpoint, work, now)
+                endpoint.last_sent_at_us = now
                 sent.append(now)
                 while sent[0] <= now - base.overload_window_us:
                     sent.popleft()
-                part = COLD_MARGIN * base.overload_multiple * share * base.overload_window_us / work
-                assert len(sent) <= part * (1.0 + NEWBORN * births) + 1  # of the turn that is on
+                part = BUDGET_SHARE * base.overload_multiple * share * base.overload_window_us / work
+                assert len(sent) <= part * (1.0 + RESTART_SHARE * births) + 1  # of the turn that is on
 
 
 if __name__ == "__main__":  # more seeds by hand: how many, and part of a title
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -174,7 +174,12 @@
         while door.program.door.requests:
             await asyncio.sleep(0)
         [customer] = gateway.customers.values()
-        assert (customer.out, customer.held, gateway.out, gateway.requests) == (0, [], 0, {})
+        assert (customer.out, customer.held, gateway.concurrency.in_flight, gateway.requests) == (
+            0,
+            [],
+            0,
+            {},
+        )
 
 
 @each_way
@@ -200,7 +205,7 @@
         writer.write(answer(503, extra="X-Never-Ran: 1\r\n"))  # it could go on to the other one
         while gateway.requests:
             await asyncio.sleep(0)
-        assert gateway.out == 0
+        assert gateway.concurrency.in_flight == 0
         await door.call(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert one.accepted.empty() and two.accepted.empty()
 
@@ -282,7 +287,7 @@
             await asyncio.sleep(0)
         assert [attempt.request for attempt in begun] == [1]
         gateway = cast(Gateway, door.program.door.decider)
-        while gateway.requests or gateway.out:
+        while gateway.requests or gateway.concurrency.in_flight:
             await asyncio.sleep(0)
 
 
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -43,7 +43,7 @@
 def test_an_outcome_of_an_unknown_request_changes_nothing() -> None:
     desk = GatewayDriver()
     assert desk.give(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
-    assert desk.gateway.out == 0
+    assert desk.gateway.concurrency.in_flight == 0
 
 
 def test_settings_that_cannot_be_end_the_adapter_with_one_line(
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import heapq
 import math
 import random
 from collections import deque
@@ -33,8 +32,15 @@
     StreamStarted,
     UpdateKind,
 )
-from yardlane.decisions.settings import DeduplicationScope, Idempotency, QuotaPlan, Settings
-from yardlane.decisions.endpoints import FIRST_WORK_SHARE, Fleet, Server, AttemptRecord
+from yardlane.decisions.settings import DeduplicationScope, Idempotency, Settings
+from yardlane.decisions.attempt_record import AttemptRecord
+from yardlane.decisions.concurrency import ConcurrencyLimit
+from yardlane.decisions.endpoint_record import EndpointRecord
+from yardlane.decisions.endpoints import EndpointList
+from yardlane.decisions.outliers import OutlierDetection, overdue_after_us, remembered_share
+from yardlane.decisions.service_time import ServiceTimes
+from yardlane.decisions.slow_start import SlowStart
+from yardlane.decisions.timers import Timers
 from yardlane.decisions.quota import NEAR, SECOND, TELLERS, Tenant, Request
 
 # Parts that the chance aims at: of rate, small cap, what is left of a burst. Requests come at random: half of
@@ -46,13 +52,7 @@
 STRAIN_MOST, STRAIN_LATE, STRAIN_LOST, STRAIN_PROMPT = 20.0, 1.3, 1.15, 0.9
 STRAIN_FADES = 10_000_000  # while few calls are made, few answers could tell that the counter is well again
 LATE_SHARE = 0.5  # of the counter's time-out: an answer that takes longer is late
-STALL, NO_SERVER_PAUSE = 100_000, 20_000  # woken so late, we stood still; held requests look again after this
-LEARN, LEARN_BAD = 0.1, 0.25  # weight of a new sample: in averages; in failures, which must show fast
-PATIENCE = 4.0  # an attempt out for so many usual times counts against its server
-GOOD_SHARE = 0.35  # an answer in this share of its aim widens the window of attempts, a later one narrows it
-WINDOW, WIDEST = 2.0, 4.0  # attempts of all for each server while half the answers are good; most times that
-FADE = 0.1  # share of a server's bad name forgotten each second unused, so that it is tried again
-FAVOUR = 2.0  # most that the window is wider or narrower for a class by its worth for its time
+NO_SERVER_PAUSE = 20_000  # held requests look again after this
 CROSSING_LEAN = 1.5  # how much faster a server in another zone must look, where crossing costs
 AGAIN_SHARE, AGAIN_MOST = 0.1, 10.0  # further attempts per first, and saved up: no swelling of an overload
 HOLD_SHARE, HOLD_MOST = 0.6, 0.4  # of the aim's spare time that a request may be held; of its own
@@ -65,22 +65,18 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
-        self.fleet = Fleet(settings)
-        self.numbers, self.wake_at, self.woke, self.now, self.born = 0, 0, -1, -1, -1
-        self.out, self.last_sent = 0, -SECOND
-        self.window, self.usual_window = WIDEST, 1.0  # most attempts of ours at once: queues stay short
+        self.timers = Timers()
+        self.endpoints = EndpointList(settings)
+        self.slow_start = SlowStart(settings, self.endpoints)
+        self.service_times = ServiceTimes(settings)
+        self.now, self.born = -1, -1
+        self.concurrency = ConcurrencyLimit(settings)
+        self.outliers = OutlierDetection(self.timers)
         self.customers: dict[tuple[int, int], Tenant] = {}
         self.requests: dict[int, Request] = {}
         self.calls: dict[int, deque[tuple[Request, float, int]]] = {}
-        self.usual = [c.latency_objective_us * FIRST_WORK_SHARE for c in settings.request_classes]
+        self.usual = self.service_times.mean_us
         self.again, self.strain = AGAIN_MOST, 1.0
-        self.work, self.work_weight = max(self.usual), 1.0  # mean service time of all; of the next sample
-        self.value = (
-            sum(c.priority_weight / c.latency_objective_us for c in settings.request_classes)
-            / len(self.usual)
-            / FIRST_WORK_SHARE
-        )
-        self.agenda: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.actions: list[Action] = []
         self.handlers: dict[type, Callable[[Any], None]] = {
             EndpointListUpdate: self._server_list,
@@ -93,41 +89,39 @@
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what happened by `now`; return what to do, in order."""
-        if self.agenda and now > self.wake_at + STALL:
-            self.woke = now
+        self.timers.detect_stall(now)
         self.strain = 1.0 + (self.strain - 1.0) * math.exp((self.now - now) / STRAIN_FADES)
         self.now, self.actions = now, []
         if self.born < 0:
-            self.born = self.fleet.born = now
+            self.born = self.slow_start.gateway_started_at_us = now
             self.actions += [] if self.settings.endpoint_list_is_pushed else [WatchEndpoints()]
         for event in events:
             self.handlers.get(type(event), lambda _: None)(event)
-        while self.agenda and self.agenda[0][0] <= now:
-            _, _, action, subject = heapq.heappop(self.agenda)
-            action(subject)
-        if self.agenda and not now < self.wake_at <= self.agenda[0][0]:
-            self.wake_at = self.agenda[0][0]
-            self.actions.append(SetTimer(self.wake_at - now))
+        self.timers.fire_due(now)
+        delay_us = self.timers.next_delay_us(now)
+        if delay_us is not None:
+            self.actions.append(SetTimer(delay_us))
         return self.actions
 
     def _plan(self, when: int, action: Callable[[Any], None], subject: Any) -> None:
-        self.numbers += 1  # keeps the order of equal times
-        heapq.heappush(self.agenda, (when, self.numbers, action, subject))
+        self.timers.schedule(when, lambda: action(subject))
 
     def _server_list(self, event: EndpointListUpdate) -> None:
         if event.kind is UpdateKind.FAILED:
             return self._plan(self.now + SECOND, lambda _: self.actions.append(WatchEndpoints()), None)
-        self.fleet.hear(event)
-        usual = WINDOW * max(1, len(self.fleet.ready)) / self.settings.gateway_count
-        self.window, self.usual_window = self.window * usual / self.usual_window, usual
+        self.endpoints.apply_update(event)
+        self.concurrency.set_endpoint_count(len(self.endpoints.ready))
 
-    def _pick(self, request: Request) -> Server | None:
+    def _pick(self, request: Request) -> EndpointRecord | None:
         """The server that should finish first, failures counted as an aim lost."""
         rule, usual = self.settings.request_classes[request.kind], self.usual[request.kind]
-        window = self.window * min(FAVOUR, max(1.0 / FAVOUR, rule.priority_weight / usual / self.value))
-        if self.out >= window or (window < 1.0 and self.now - self.last_sent < usual / window):
+        value = self.service_times.relative_value(request.kind)
+        if not self.concurrency.admits(value, usual, self.now):
             return None
-        ready, tied = self.fleet.near, next((t.server.entry for t in request.tries if t.may_have_run), None)
+        ready, tied = (
+            self.endpoints.subset,
+            next((t.endpoint.entry for t in request.tries if t.may_have_run), None),
+        )
         if (
             tied
             and rule.idempotency is Idempotency.KEYED
@@ -136,18 +130,31 @@
             zonal = rule.deduplication_scope is DeduplicationScope.ZONE
             ready = [
                 s
-                for s in self.fleet.ready
+                for s in self.endpoints.ready
                 if (s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)
             ]
-        tried, best, least = [t.server for t in request.tries], None, math.inf
+        tried, best, least = [t.endpoint for t in request.tries], None, math.inf
         for server in (s for s in ready if s not in tried):
-            warmth = self.fleet.warmth(server, self.now)
-            if warmth < 1.0 and not self.fleet.fits_cold(server, warmth, self.work, self.now):
+            warmth = self.slow_start.warm_up_factor(server, self.now)
+            if warmth < 1.0 and not self.slow_start.admits(
+                server, warmth, self.service_times.overall_mean_us, self.now
+            ):
                 continue
-            others = server.others * max(0.0, 1.0 - (self.now - server.told_at) / SECOND)
-            kept = (1.0 - FADE) ** ((self.now - server.last_sent) / SECOND)
-            cost = usual * (1.0 + (server.slow - 1.0) * kept) * (1.0 + server.out + others) / warmth
-            cost += (server.bad[None] + server.bad[request.customer.plan]) * kept * rule.latency_objective_us
+            others = server.remote_in_flight * max(
+                0.0, 1.0 - (self.now - server.load_reported_at_us) / SECOND
+            )
+            kept = remembered_share(self.now - server.last_sent_at_us)
+            cost = (
+                usual
+                * (1.0 + (server.latency_ratio - 1.0) * kept)
+                * (1.0 + server.in_flight + others)
+                / warmth
+            )
+            cost += (
+                (server.failure_rates[None] + server.failure_rates.get(request.customer.plan, 0.0))
+                * kept
+                * rule.latency_objective_us
+            )
             cost *= (
                 warmth / 2 if warmth < 1.0 and usual < warmth * rule.latency_objective_us / 2 else 1.0
             )  # turns are rare
@@ -171,7 +178,7 @@
             0, int(min((rule.latency_objective_us - usual) * HOLD_SHARE, event.time_left_us * HOLD_MOST))
         )
         self._plan(min(request.last, self.now + hold), self._time_up, request)
-        self.value += LEARN / 10 * (rule.priority_weight / usual - self.value)
+        self.service_times.record_arrival(request.kind)
         weight, room = self._weigh(request)
         customer.ask(weight, self.now)
         self._forget()
@@ -242,17 +249,18 @@
             self.again = min(AGAIN_MOST, self.again + AGAIN_SHARE)
             self._send(request, server)
 
-    def _send(self, request: Request, server: Server) -> None:
+    def _send(self, request: Request, server: EndpointRecord) -> None:
         request.customer.out += 1
         within = self._left_to_repeat(request)
         request.tries.append(attempt := AttemptRecord(server, self.now))
-        server.out, server.last_sent = server.out + 1, self.now
-        self.out, self.last_sent = self.out + 1, self.now
+        server.in_flight += 1
+        server.last_sent_at_us = self.now
+        self.concurrency.record_sent(self.now)
         usual = self.usual[request.kind]
-        if self.fleet.warmth(server, self.now) < 1.0:
-            self.fleet.send_cold(server, self.work, self.now)
+        if self.slow_start.warm_up_factor(server, self.now) < 1.0:
+            self.slow_start.record_sent(server, self.service_times.overall_mean_us, self.now)
         self.actions.append(StartAttempt(request.id, server.entry.endpoint_id, begin_within_us=within))
-        self._plan(self.now + int(PATIENCE * usual), self._overdue, (request, attempt))
+        self._plan(self.now + overdue_after_us(usual), self._overdue, (request, attempt))
 
     def _left_to_repeat(self, request: Request) -> int:
         """Microseconds in which a copy must be sent, as a key holds only so long (rule 2); 0: no bound."""
@@ -260,9 +268,9 @@
         if rule.idempotency is not Idempotency.KEYED:
             return 0
         first = next((t for t in request.tries if t.may_have_run), None)
-        return max(1, first.at + rule.idempotency_window_us - self.now) if first else 0
+        return max(1, first.sent_at_us + rule.idempotency_window_us - self.now) if first else 0
 
-    def _another(self, request: Request) -> Server | None:
+    def _another(self, request: Request) -> EndpointRecord | None:
         """Where a further attempt may go: rule 2, and the limits that keep retries few."""
         rule = self.settings.request_classes[request.kind]
         late = self.now + self.usual[request.kind] > min(
@@ -274,7 +282,8 @@
         if risky and (
             rule.idempotency is Idempotency.NON_IDEMPOTENT
             or (
-                rule.idempotency is Idempotency.KEYED and self.now - risky[0].at >= rule.idempotency_window_us
+                rule.idempotency is Idempotency.KEYED
+                and self.now - risky[0].sent_at_us >= rule.idempotency_window_us
             )
         ):
             return None
@@ -286,20 +295,11 @@
             self._send(request, server)
         return server is not None
 
-    def _judge(
-        self, attempt: AttemptRecord, good: bool, slow: float | None, *plans: QuotaPlan | None
-    ) -> None:
-        if attempt.at >= self.woke:  # what was out while we stood still is no sign of a server's health
-            server = attempt.server
-            for plan in plans:  # a server may be full for one plan alone
-                server.bad[plan] += LEARN_BAD * ((0.0 if good else 1.0) - server.bad[plan])
-            server.slow += LEARN * (min(slow, PATIENCE) - server.slow) if slow is not None else 0.0
-
     def _overdue(self, subject: tuple[Request, AttemptRecord]) -> None:
         """Out for much longer than usual: a mark against the server long before the time-out."""
         request, attempt = subject
-        if attempt.out:
-            self._judge(attempt, attempt.server.last_good > attempt.at, PATIENCE, None)  # silent or slow?
+        if attempt.in_flight:
+            self.outliers.record_overdue(attempt)
             if self.settings.may_hedge:
                 self._try_again(request)
             elif self.settings.may_cancel and self._another(request):
@@ -312,42 +312,28 @@
         if (
             request is None
             or event.attempt_index >= len(request.tries)
-            or not request.tries[event.attempt_index].out
+            or not request.tries[event.attempt_index].in_flight
         ):
             return
         customer, attempt = request.customer, request.tries[event.attempt_index]
-        server, usual = attempt.server, self.usual[request.kind]
+        server, usual = attempt.endpoint, self.usual[request.kind]
         customer.out -= 1
-        attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        server.out, self.out = server.out - 1, self.out - 1
+        attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_RAN
+        server.in_flight -= 1
+        self.concurrency.record_ended()
         if event.outcome is Outcome.OK:
-            server.last_good = self.now
-            late = (
-                event.elapsed_us
-                > GOOD_SHARE * self.settings.request_classes[request.kind].latency_objective_us
-            )
-            over = self.window / self.usual_window  # settles at the number of good answers for a late one
-            step = -min(self.window, over) if late else min(self.window, 1.0 / over)
-            self.window = max(LEARN, min(max(2.0, WIDEST * self.usual_window), self.window + LEARN * step))
-            self._judge(attempt, True, event.elapsed_us / usual, None, customer.plan)
-            took = min(event.elapsed_us, 5 * usual)
-            self.usual[request.kind] = usual + LEARN * (took - usual)
-            self.work_weight = max(LEARN, self.work_weight / (1.0 + self.work_weight))  # the first tell most
-            self.work += self.work_weight * (took - self.work)
-        elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and (
-            event.outcome is not Outcome.TIMED_OUT or event.elapsed_us >= PATIENCE * usual
-        ):  # else little time
-            self._judge(attempt, False, None, customer.plan if event.outcome is Outcome.REJECTED else None)
-        if load := event.load:
-            told = (
-                load.in_flight
-                if load.in_flight is not None
-                else (load.queued or 0.0) + (load.utilization or 0.0)
-            )
-            server.others, server.told_at = max(0.0, told - server.out), self.now
+            server.last_success_at_us = self.now
+            objective_us = self.settings.request_classes[request.kind].latency_objective_us
+            self.concurrency.record_answer(event.elapsed_us, objective_us)
+            self.outliers.record_answer(attempt, customer.plan, event.elapsed_us, usual)
+            self.service_times.record_answer(request.kind, event.elapsed_us)
+        else:
+            self.outliers.record_failure(attempt, customer.plan, event.outcome, event.elapsed_us, usual)
+        if event.load:
+            server.record_load(event.load, self.now)
         if event.request_ended or request.ended:
             self._end(request)
-        elif not (any(t.out for t in request.tries) or self._try_again(request)):
+        elif not (any(t.in_flight for t in request.tries) or self._try_again(request)):
             self._answer(request)
         self._release(customer)
 
@@ -376,7 +362,7 @@
         if request.held:
             request.customer.held.remove(request)
             request.held = False
-        if not any(t.out for t in request.tries):
+        if not any(t.in_flight for t in request.tries):
             self.requests.pop(request.id, None)
 
     def _time_up(self, request: Request) -> None:
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -6,7 +6,7 @@
 
 from yardlane.decisions.events import RequestArrived
 from yardlane.decisions.settings import Settings
-from yardlane.decisions.endpoints import AttemptRecord
+from yardlane.decisions.attempt_record import AttemptRecord
 
 FADING_SHARE, FADING_TIMEOUTS = 0.4, 50  # fading interval: of the time a burst lasts; else counter time-outs
 # Time-outs where a cap is smaller than its set: about as long as a request takes. And where a rate's set is
