--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -18,8 +18,8 @@
 from __future__ import annotations
 
 from yardlane.decisions.settings import Settings
+from yardlane.decisions.units import SECOND_US
 
-SECOND_US = 1_000_000
 GOOD_LATENCY_SHARE = 0.35
 ATTEMPTS_PER_ENDPOINT = 2.0
 WIDEST = 4.0  # in usual limits
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -26,8 +26,8 @@
 from yardlane.decisions.events import Outcome
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.timers import Timers
+from yardlane.decisions.units import SECOND_US
 
-SECOND_US = 1_000_000
 FAILURE_SAMPLE_WEIGHT = 0.25  # failures must show fast
 LATENCY_SAMPLE_WEIGHT = 0.1
 OVERDUE_MULTIPLE = 4.0  # of the mean service time
