--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from random import Random
+from typing import Any
 
 import pytest
 
@@ -40,10 +41,10 @@
 class SlowCounterDriver(GatewayDriver):
     """A gateway whose counter is shared and far away; some answers are lost."""
 
-    def __init__(self, counts: dict[int, float], random: Random, **changes: object) -> None:
+    def __init__(self, counts: dict[int, float], random: Random, **changes: Any) -> None:
         self.random = random
         self.counter_steps: list[CounterStep] = []
-        super().__init__(servers=10, counter_timeout_us=COUNTER_TIMEOUT_US, **changes)  # type: ignore[arg-type]
+        super().__init__(servers=10, counter_timeout_us=COUNTER_TIMEOUT_US, **changes)
         self.counts = counts
 
     def _count(self, call: AddToCounter) -> list[Action]:
--- a/tests/decisions/test_tenant.py
+++ b/tests/decisions/test_tenant.py
@@ -29,7 +29,7 @@
         driver.run(100 * MS)
     assert len(driver.gateway.tenants) <= 210  # those of the last 20 s and the regular one
     driver.run(10 * SECOND)
-    assert not driver.gateway.requests and not len(driver.gateway.polling) and len(driver.gateway.agenda) < 10
+    assert not driver.gateway.requests and not len(driver.gateway.polling) and len(driver.gateway.timers) < 10
 
 
 def test_a_request_that_names_another_plan_leaves_the_tenants_plan_alone() -> None:
