--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -7,18 +7,14 @@
 from tests.decisions.quota_scenarios import find_tenant, flood
 from tests.gateway_driver import (
     CAPPED,
-    FREE,
     MS,
     RATED,
     SECOND,
     GatewayDriver,
-    make_endpoint_id,
     make_quota_plan,
     of_type,
 )
-from yardlane.decisions.actions import AddToCounter, Reject, StartAttempt
-from yardlane.decisions.endpoint_record import EndpointRecord
-from yardlane.decisions.events import Outcome
+from yardlane.decisions.actions import AddToCounter, StartAttempt
 from yardlane.decisions.quota import TenantDemand, concurrency_bound
 
 
@@ -127,154 +123,3 @@
         forwarded += driver.serve(tenant=5, quota_plan=RATED, gateway_count=200)
         driver.run(SECOND)
     assert 2 <= forwarded <= 8  # an even share of the rate is two
-
-
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
-    def log() -> list[object]:
-        desk = GatewayDriver(seed=11)
-        for n in range(200):
-            desk.ask(tenant=n % 7, quota_plan=n % 4, request_class=n % 3)
-            desk.run(13 * MS)
-        return list(desk.log)
-
-    assert log() == log()
-
-
-def test_a_hung_server_is_left_before_its_time_out() -> None:
-    desk = GatewayDriver(servers=4)
-    hung = make_endpoint_id(1)
-    for n in range(400):
-        number, actions = desk.ask(quota_plan=FREE)
-        for send in of_type(StartAttempt, actions):
-            if send.endpoint_id != hung:
-                desk.end(number, send.endpoint_id, elapsed_us=60 * MS)
-        desk.run(20 * MS)
-        if n == 200:
-            desk.log.clear()
-    late = [a for _, a in desk.log if isinstance(a, StartAttempt) and a.endpoint_id == hung]
-    assert len(late) <= 0.1 * 200
-
-
-def test_a_server_that_fails_fast_gets_trials_only() -> None:
-    """Lost: with the others full it had room at once and drew most of the traffic."""
-    desk = GatewayDriver(servers=4)
-    bad = make_endpoint_id(2)
-    for _ in range(600):
-        _, actions = desk.ask(quota_plan=FREE)
-        todo = of_type(StartAttempt, actions)
-        while todo:
-            send = todo.pop()
-            if send.endpoint_id == bad:
-                todo += of_type(
-                    StartAttempt, desk.end(send.request_id, bad, Outcome.NOT_CONNECTED, elapsed_us=MS)
-                )
-        desk.run(5 * MS)
-    tries = [a for _, a in desk.log if isinstance(a, StartAttempt) and a.endpoint_id == bad]
-    assert len(tries) <= 20
-
-
-def test_the_window_narrows_on_late_answers_down_to_a_rest() -> None:
-    """Lost: with 168 gateways a slow back end was driven to answers of four seconds: none held back."""
-    desk = GatewayDriver(servers=2, gateway_count=100)
-    for _ in range(60):
-        number, actions = desk.ask(quota_plan=FREE)
-        actions += desk.run(2 * SECOND)
-        for send in of_type(StartAttempt, actions):
-            desk.end(number, send.endpoint_id, elapsed_us=700 * MS)
-    assert desk.gateway.concurrency.limit < 1.0
-    desk.now = desk.gateway.concurrency.last_sent_at_us + MS
-    assert not of_type(StartAttempt, desk.ask(quota_plan=FREE)[1])
-
-
-def test_the_window_opens_again_on_good_answers() -> None:
-    desk = GatewayDriver(servers=2, gateway_count=100)
-    desk.gateway.concurrency.limit = 0.1
-    for _ in range(200):
-        desk.serve(quota_plan=FREE)
-        desk.run(2 * SECOND)
-    assert desk.gateway.concurrency.limit >= desk.gateway.concurrency.usual_limit
-
-
-def test_a_client_with_little_time_is_no_mark_against_a_server() -> None:
-    desk = GatewayDriver(servers=1)
-    for _ in range(6):
-        number, actions = desk.ask(quota_plan=FREE, time_left_us=60 * MS)
-        desk.end(number, of_type(StartAttempt, actions)[0].endpoint_id, Outcome.TIMED_OUT, elapsed_us=60 * MS)
-    assert not any(desk.gateway.endpoints.by_id[make_endpoint_id(0)].failure_rates.values())
-
-
-def test_a_doubled_outcome_changes_nothing() -> None:
-    desk = GatewayDriver(servers=1)
-    number, _ = desk.ask(quota_plan=FREE)
-    desk.ask(quota_plan=FREE)
-    for _ in range(3):
-        desk.end(number, make_endpoint_id(0), Outcome.OK)
-    assert (
-        desk.gateway.concurrency.in_flight == 1 == desk.gateway.endpoints.by_id[make_endpoint_id(0)].in_flight
-    )
-
-
-def test_a_pick_looks_at_few_servers_however_many_there_are() -> None:
-    looked = []
-    for servers in (40, 200):
-        desk = GatewayDriver(servers=servers)
-        desk.serve(quota_plan=FREE)
-        calls = 0
-
-        def count(endpoint: EndpointRecord, now_us: int) -> float:
-            nonlocal calls
-            calls += 1
-            return 1.0
-
-        desk.gateway.slow_start.warm_up_factor = count  # type: ignore[method-assign]
-        desk.serve(quota_plan=FREE)
-        looked.append(calls)
-    assert 0 < looked[0] == looked[1] <= 20
-
-
-def test_a_gateway_that_stood_still_shuns_no_server_for_it() -> None:
-    """Lost: after a pause of its own every answer looked two seconds late and marked its server."""
-    desk = GatewayDriver(servers=3, gateway_count=100)
-    sent = [of_type(StartAttempt, desk.ask(quota_plan=FREE)[1]) for _ in range(2)]
-    before = {n: (s.latency_ratio, s.failure_rates.copy()) for n, s in desk.gateway.endpoints.by_id.items()}
-    desk.now += 2 * SECOND  # nobody woke it
-    for send in (a for actions in sent for a in actions):
-        desk.end(send.request_id, send.endpoint_id, Outcome.TIMED_OUT, elapsed_us=2 * SECOND)
-    assert sum(len(actions) for actions in sent) > 0
-    assert before == {
-        n: (s.latency_ratio, s.failure_rates.copy()) for n, s in desk.gateway.endpoints.by_id.items()
-    }
-
-
-def test_a_server_full_for_one_plan_is_left_by_that_plan_only() -> None:
-    """Lost: servers that turned one plan away as full were left by all plans, and the rest ran over."""
-    desk = GatewayDriver(servers=1)
-    for _ in range(5):
-        for plan_ in (FREE, CAPPED):
-            for send in of_type(StartAttempt, desk.ask(tenant=plan_, quota_plan=plan_)[1]):
-                desk.end(send.request_id, send.endpoint_id, Outcome.REJECTED if plan_ == FREE else Outcome.OK)
-    bad = desk.gateway.endpoints.by_id[make_endpoint_id(0)].failure_rates
-    assert (
-        bad[desk.settings.quota_plans[FREE]] > 0.2
-        and bad[None] == bad[desk.settings.quota_plans[CAPPED]] == 0.0
-    )
-
-
-def test_a_refusal_goes_out_at_once_and_tells_when_to_return() -> None:
-    """Lost: no refusal said when to come back, so clients came again at once, to be refused again."""
-    desk = GatewayDriver(quota_plans=(make_quota_plan(rate_per_s=1.0, burst=2.0),))
-    for _ in range(40):
-        _, actions = desk.ask(quota_plan=0)
-        if refusals := of_type(Reject, actions):
-            break
-    assert refusals  # in the same turn as the arrival
-    assert 0 < refusals[0].retry_after_us <= desk.settings.max_retry_after_us
-    assert refusals[0].retry_after_us < desk.gateway.usual[0]  # later, the next try could not be in time
-
-
-def test_no_advice_where_the_settings_allow_none() -> None:
-    desk = GatewayDriver(
-        quota_plans=(make_quota_plan(rate_per_s=1.0, burst=2.0),), may_send_retry_after=False
-    )
-    refusals = [r for _ in range(40) for r in of_type(Reject, desk.ask(quota_plan=0)[1])]
-    assert refusals and all(r.retry_after_us == 0 for r in refusals)
--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -11,6 +11,8 @@
 from tests.gateway_driver import MS, SECOND, GatewayDriver, make_quota_plan, of_type
 from yardlane.decisions.actions import Action, AddToCounter, StartAttempt
 from yardlane.decisions.events import CounterResult, Outcome
+from yardlane.decisions.quota import TenantDemand
+from yardlane.decisions.rate_ceiling import RateCeiling, compute_even_share
 
 PLAN = make_quota_plan(
     rate_per_s=6.5, burst=13.0, hard_rate_per_s=13.0, hard_rate_depth=19.0, hard_rate_slack=2.0
@@ -173,3 +175,97 @@
     used = sum(play_bursts(day, stop_every_us) for day in days) / len(days)
     assert min(day.least_units_left for day in days) >= -PLAN.hard_rate_slack
     assert used >= least_used  # not kept by rejecting all
+
+
+def forwarded_at_start(demand_of_others: float, counter_answers: bool = True) -> int:
+    """How many of ten requests are forwarded at once right after a start, with a share of ten units."""
+    plan = make_quota_plan(
+        rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
+    )
+    driver = GatewayDriver(quota_plans=(plan,))
+    driver.counter_answers = counter_answers
+    driver.others = demand_of_others
+    forwarded = [of_type(StartAttempt, driver.ask(tenant=4, quota_plan=0)[1]) for _ in range(10)]
+    return sum(bool(attempts) for attempts in forwarded)
+
+
+def test_a_first_total_releases_half_of_the_bucket_unless_the_tenant_floods() -> None:
+    """Many gateways started with an empty bucket, and a hard rate rejected most of the first seconds."""
+    assert forwarded_at_start(0.0) in (2, 3, 4, 5)
+    assert forwarded_at_start(1e4) == forwarded_at_start(0.0, counter_answers=False) == 0
+
+
+TEN_GATEWAYS_PLAN = make_quota_plan(
+    rate_per_s=6.0, burst=12.0, hard_rate_per_s=10.0, hard_rate_depth=20.0, hard_rate_slack=2.0
+)
+
+
+def ask_steadily(driver: GatewayDriver, seconds: int, every_us: int) -> int:
+    """One request of one unit every so often, answered by the next one; the number forwarded."""
+    forwarded = 0
+    for _ in range(seconds * SECOND // every_us):
+        actions = driver.run(every_us)
+        actions += driver.ask(tenant=4, quota_plan=0, gateway_count=10)[1]
+        attempts = of_type(StartAttempt, actions)
+        forwarded += len(attempts)
+        for attempt in attempts:
+            driver.end(attempt.request_id, attempt.endpoint_id)
+    return forwarded
+
+
+def test_the_rate_follows_the_demand_and_returns_to_even_shares_in_silence() -> None:
+    """Of ten gateways a busy one had a tenth of the hard rate, far less than its part of the quota."""
+    driver = GatewayDriver(gateway_count=10, quota_plans=(TEN_GATEWAYS_PLAN,))
+    ask_steadily(driver, 4, 200 * MS)
+    assert ask_steadily(driver, 10, 200 * MS) > 40  # alone it is asked 5 units a second of a quota of 6
+    ceiling = driver.gateway.tenants[4, 0].ceiling
+    assert ceiling.rate_share(driver.now) > 0.3  # three even shares
+    driver.counter_answers = False
+    driver.run(20 * SECOND)
+    assert ceiling.rate_share(driver.now) < 0.11
+
+
+def test_a_hard_rate_holds_over_ten_gateways_whose_demand_moves() -> None:
+    """All poll one counter; the demand jumps from one gateway to another, as the busy ones of a fleet do."""
+    plan = TEN_GATEWAYS_PLAN
+    drivers = [
+        GatewayDriver(gateway_count=10, quota_plans=(plan,), rank=rank, seed=rank) for rank in range(10)
+    ]
+    for driver in drivers:
+        driver.counts = drivers[0].counts
+    forwarded_at_us: list[int] = []
+    for step in range(400):  # 20 units a second, over three times the quota
+        busy = drivers[step // 60 % 10]
+        asked = busy if step % 4 else drivers[step % 10]
+        for driver in drivers:
+            actions = driver.run(50 * MS)
+            if driver is asked:
+                actions += driver.ask(tenant=4, quota_plan=0, gateway_count=10)[1]
+            for attempt in of_type(StartAttempt, actions):
+                forwarded_at_us.append(driver.now)
+                driver.end(attempt.request_id, attempt.endpoint_id)
+    assert len(forwarded_at_us) >= 60
+    units_left = plan.hard_rate_depth
+    last_us = 0
+    for at_us in sorted(forwarded_at_us):
+        inflow = plan.hard_rate_per_s * (at_us - last_us) / SECOND
+        units_left = min(plan.hard_rate_depth, units_left + inflow) - 1.0
+        last_us = at_us
+        assert units_left >= -plan.hard_rate_slack
+
+
+def test_a_gateway_that_does_not_serve_a_tenant_has_no_share_of_its_hard_rate() -> None:
+    shares = [compute_even_share(rank, first_gateway=4, gateway_count=3, all_gateways=6) for rank in range(6)]
+    assert shares == [1 / 3, 0.0, 0.0, 0.0, 1 / 3, 1 / 3]
+
+
+def test_the_bucket_fills_by_its_share_and_never_beyond_its_depth() -> None:
+    demand = TenantDemand(PLAN, gateway_count=2, counter_timeout_us=COUNTER_TIMEOUT_US, now_us=0)
+    ceiling = RateCeiling(PLAN, demand, even_share=0.5, uptime_us=0, now_us=0)
+    assert ceiling.units == 0.5 * PLAN.hard_rate_slack / 2
+    ceiling.refill(SECOND)
+    assert ceiling.units == pytest.approx(0.5 + 0.5 * PLAN.hard_rate_per_s)
+    assert not ceiling.is_full()
+    assert ceiling.time_to_fill_us(1.3, SECOND) == pytest.approx(200 * MS, abs=1)
+    ceiling.refill(60 * SECOND)
+    assert ceiling.units == 0.5 * PLAN.hard_rate_depth and ceiling.is_full()
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -20,7 +20,6 @@
     make_endpoint,
     make_endpoint_id,
     of_type,
-    make_quota_plan,
 )
 
 
@@ -205,76 +204,3 @@
         window = [at for at in warming if first <= at < first + base.overload_window_us]
         warmth = base.initial_capacity_share + (1 - base.initial_capacity_share) * first / base.warm_up_us
         assert len(window) * work <= base.overload_multiple * warmth * base.overload_window_us
-
-
-def first_sends(told: float, answers: bool = True) -> int:
-    """How many of ten requests at once pass under a ceiling with a part of ten units, right after a start."""
-    plans = (
-        make_quota_plan(
-            rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
-        ),
-    )
-    desk = GatewayDriver(quota_plans=plans)
-    desk.counter_answers, desk.others = answers, told
-    return sum(bool(of_type(StartAttempt, desk.ask(tenant=4, quota_plan=0)[1])) for _ in range(10))
-
-
-def test_a_first_total_opens_half_of_the_ceiling_unless_the_customer_floods() -> None:
-    """Lost: with an empty store at each of many gateways a ceiling refused most of the first seconds."""
-    assert first_sends(0.0) in (2, 3, 4, 5)
-    assert first_sends(1e4) == first_sends(0.0, answers=False) == 0
-
-
-CEILING = (
-    make_quota_plan(
-        rate_per_s=6.0, burst=12.0, hard_rate_per_s=10.0, hard_rate_depth=20.0, hard_rate_slack=2.0
-    ),
-)
-
-
-def asked_for(desk: GatewayDriver, seconds: int, each: int) -> int:
-    """Sends in so many seconds, one request of one unit every `each`."""
-    sent = 0
-    for _ in range(seconds * SECOND // each):
-        sent += len(of_type(StartAttempt, desk.run(each))) + len(
-            of_type(StartAttempt, desk.ask(tenant=4, quota_plan=0, gateway_count=10)[1])
-        )
-        for number in [n for n, r in desk.gateway.requests.items() if any(t.in_flight for t in r.attempts)]:
-            desk.end(number, desk.gateway.requests[number].attempts[-1].endpoint.entry.endpoint_id)
-    return sent
-
-
-def test_a_ceiling_goes_where_the_demand_is_and_back_in_silence() -> None:
-    """Lost: with ten gateways a hot one had a tenth of the ceiling, far less than its part of the quota."""
-    desk = GatewayDriver(gateway_count=10, quota_plans=CEILING)
-    asked_for(desk, 4, 200 * MS)
-    assert asked_for(desk, 10, 200 * MS) > 40  # alone it asks 5 units a second of a quota of 6
-    tenant = desk.gateway.tenants[4, 0]
-    assert tenant.ceiling.rate_share(desk.now) > 0.3  # three even parts
-    desk.counter_answers = False
-    desk.run(20 * SECOND)
-    assert tenant.ceiling.rate_share(desk.now) < 0.11
-
-
-def test_a_ceiling_holds_over_ten_gateways_whose_demand_moves() -> None:
-    """All ask one counter; the demand jumps from one gateway to another, as the busy ones of a set do."""
-    desks = [GatewayDriver(gateway_count=10, quota_plans=CEILING, rank=rank, seed=rank) for rank in range(10)]
-    for desk in desks:
-        desk.counts = desks[0].counts
-    sent: list[int] = []
-    for step in range(400):  # 20 units a second, over three times the quota
-        hot = desks[step // 60 % 10]
-        desk = hot if step % 4 else desks[step % 10]
-        for n, other in enumerate(desks):
-            actions = other.run(50 * MS)
-            if other is desk:
-                actions += other.ask(tenant=4, quota_plan=0, gateway_count=10)[1]
-            for send in of_type(StartAttempt, actions):
-                sent.append(desk.now)
-                desks[n].end(send.request_id, send.endpoint_id)
-    assert len(sent) >= 60
-    store, last = 20.0, 0
-    for at in sorted(sent):
-        store = min(20.0, store + 10.0 * (at - last) / SECOND) - 1.0
-        last = at
-        assert store >= -2.0
