--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -18,7 +18,7 @@
 from yardlane.proxy.proxy import Proxy
 from tests.loopback import (
     Peer,
-    Running,
+    RunningProxy,
     Script,
     answer,
     ask,
@@ -385,8 +385,8 @@
         to_door.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
-        told, places = door.program.discovery.reader.read(whole_list(member("s-2", backend.port)))
-        door.program.door.listed(told, places)  # while the old one still has a request
+        decoded = door.program.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
+        door.program.door.listed(decoded.update, decoded.addresses)  # while the old one still has a request
         writer.write(answer(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
@@ -498,7 +498,7 @@
         return await self.loop.create_connection(made, sock=up)
 
     async def half_written(
-        self, door: Running, peer: socket.socket | None = None
+        self, door: RunningProxy, peer: socket.socket | None = None
     ) -> tuple[Backend, socket.socket]:
         """A client's request of 64 KiB: its connection to a backend, which stands, and the backend's end."""
         door.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
@@ -513,7 +513,7 @@
             accept.cancel()
         return done.pop().result()[0]
 
-    async def standing(self, door: Running, peer: socket.socket) -> tuple[Backend, socket.socket]:
+    async def standing(self, door: RunningProxy, peer: socket.socket) -> tuple[Backend, socket.socket]:
         while not (found := [c for c in door.program.pool.all if left(c)]):
             await asyncio.sleep(0)
         return found[0], peer
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -2,7 +2,11 @@
 
 
 class YardlaneError(Exception):
-    """The base of all errors that this package raises on purpose; the text says what is wrong and where."""
+    """The base of all errors that this package raises itself; the text says what is wrong and where."""
+
+    def one_line(self) -> str:
+        """The text without line breaks, which a value that it quotes may bring in."""
+        return " ".join(str(self).split())
 
 
 class SettingsError(YardlaneError):
@@ -36,3 +40,15 @@
 
 class UnreadableStream(ClientProtocolError):
     """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the answer."""
+
+
+class DiscoveryError(YardlaneError):
+    """A poll of discovery that brought no endpoint list, though the connection held."""
+
+
+class MalformedEndpointList(DiscoveryError):
+    """A response that cannot be read as an endpoint list, or does not follow the one before."""
+
+
+class MalformedEndpoint(YardlaneError):
+    """One entry of an endpoint list, or a value in it, that cannot be read."""
