--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -10,7 +10,8 @@
 
 from yardlane.decisions.actions import Reject
 from yardlane.decisions.events import RequestArrived
-from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S, ClientConnection, ClientRequest
+from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S, ClientConnection
+from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.client_state import ConnectionEvent, State
 from tests.loopback import Script, answer, ask, read_message, running, socket_test
 
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -14,10 +14,11 @@
 from typing import Protocol, cast
 
 from yardlane.errors import MalformedRequest, UnreadableStream
+from yardlane.proxy.client_request import ClientRequest, RequestHandler
 from yardlane.proxy.client_response import CONTINUE, encode_response
 from yardlane.proxy.client_state import TRANSITIONS, ConnectionEvent, State
 from yardlane.proxy.request_parser import RequestParser
-from yardlane.proxy.request_validation import ParsedRequest, RequestRules, parse_request
+from yardlane.proxy.request_validation import RequestRules, parse_request
 from yardlane.proxy.socket_probe import SocketProbe
 
 log = logging.getLogger("yardlane.proxy.client_connection")
@@ -36,39 +37,6 @@
 CLOSED = State.CLOSED
 
 
-class ClientRequest:
-    """A client's request in its place among the answers of its connection."""
-
-    __slots__ = ("answer", "closes_connection", "connection", "parsed", "request_id")
-
-    def __init__(self, connection: ClientConnection) -> None:
-        self.connection = connection
-        self.parsed: ParsedRequest | None = None  # stays so where it is not valid
-        self.request_id = -1  # given by the handler
-        self.answer = b""
-        self.closes_connection = False
-
-    def reply(self, status: int, body: bytes, header_lines: bytes = b"") -> None:
-        """The final answer; any further one is dropped. `header_lines` holds whole lines."""
-        self.connection.reply(self, status, body, header_lines)
-
-
-class RequestHandler(Protocol):
-    """What serves the requests of all connections."""
-
-    def handle_request(self, request: ClientRequest, parsed: ParsedRequest) -> None:
-        """Take charge of a valid request: `request.reply` is due, now or later."""
-
-    def on_client_disconnected(self, request: ClientRequest) -> None:
-        """The client has left: `request` cannot be answered any more."""
-
-    def abandon_request(self, request: ClientRequest) -> None:
-        """The connection ends with an error: answer `request` at once."""
-
-    def can_serve(self) -> bool:
-        """Whether the health check passes."""
-
-
 class ConnectionOwner(Protocol):
     """What a connection shares with the others of its server."""
 
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 
 from yardlane.config import Config
-from yardlane.proxy.client_connection import ClientConnection, RequestHandler
+from yardlane.proxy.client_connection import ClientConnection
+from yardlane.proxy.client_request import RequestHandler
 from yardlane.proxy.client_state import State
 from yardlane.proxy.listener import Listener
 from yardlane.proxy.request_validation import RequestRules
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -36,7 +36,7 @@
     UpdateKind,
 )
 from yardlane.proxy.upstream_connection import Answer, Attempt, Pool
-from yardlane.proxy.client_connection import ClientRequest
+from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.client_response import retry_after_line
 from yardlane.config import Address, Config
 from yardlane.proxy.counter_client import Counter
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -27,6 +27,7 @@
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
 MAX_QUOTA_INFO_BYTES = 100
 QUOTA_INFO_CACHE_SIZE = 512  # few texts recur; the others must not fill the memory
+TENANT_BASE = 16
 TENANT_LIMIT = 2**33
 US_PER_UNIT = {b"m": 1000, b"u": 1}
 
@@ -216,7 +217,7 @@
     text = headers.get(wire.TENANT, b"")
     if not TENANT.fullmatch(text):
         raise _bad_request("bad Account")
-    tenant = int(text, 16)
+    tenant = int(text, TENANT_BASE)
     if tenant >= TENANT_LIMIT:
         raise _bad_request("bad Account")
     return tenant
