--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: whole, short and broken frames."""
+"""The simulator's wire: frames and records that are whole, short and malformed."""
 
 from __future__ import annotations
 
@@ -11,19 +11,42 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from yardlane.errors import CodecError
-from yardlane.simulator import adapter as drill, codec as wire
-from yardlane.decisions.actions import StartAttempt
+from yardlane.decisions.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogMessage,
+    Reject,
+    SendGossip,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from yardlane.decisions.events import (
     AttemptEnded,
     CounterResult,
+    Endpoint,
     EndpointListUpdate,
     EndpointState,
+    Event,
+    Gossip,
+    HealthCheckEnded,
+    LoadReport,
     Outcome,
     RequestArrived,
     RequestEnded,
+    StreamStarted,
     TimerFired,
+    UpdateKind,
 )
+from yardlane.errors import CodecError
+from yardlane.simulator.action_encoder import ENCODERS, encode_action, encode_exception
+from yardlane.simulator.adapter import Adapter, serve
+from yardlane.simulator.codec import read_batch, write_reply
 
 SETTINGS = b"""discovery=pushed
 peers_total=2
@@ -62,19 +85,19 @@
 
 
 def read(*records: bytes) -> list[tuple[int, Any]]:
-    return list(wire.read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
+    return list(read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
 
 
-def init(door: int = 3, text: bytes = SETTINGS) -> bytes:
-    return record(1050, struct.pack("<IQI", door, 4, len(text)) + text)
+def init(instance: int = 3, text: bytes = SETTINGS) -> bytes:
+    return record(1050, struct.pack("<IQI", instance, 4, len(text)) + text)
 
 
-def test_every_common_event() -> None:
-    where = b"\x0a\x01\x02\x03\x50\x00"
-    row = struct.pack("<fQHHBH6s", 2.0, 5, 1, 0, 2, 4, where)
+def test_event_records_are_decoded() -> None:
+    endpoint_id = b"\x0a\x01\x02\x03\x50\x00"
+    row = struct.pack("<fQHHBH6s", 2.0, 5, 1, 0, 2, 4, endpoint_id)
     got = read(
         record(1060, struct.pack("<IQfBHfQIfB", 3, 77, 1.0, 0, 2, 2.0, 55, 9000, 3.0, 2)),
-        record(1000, struct.pack("<IQIBHB6sHHB2f", 3, 77, 50, 1, 302, 0, where, 41, 6, 2, 7.0, 1.0)),
+        record(1000, struct.pack("<IQIBHB6sHHB2f", 3, 77, 50, 1, 302, 0, endpoint_id, 41, 6, 2, 7.0, 1.0)),
         record(1040, struct.pack("<IIQHf", 3, 12, 99, 100, 4.5)),
         record(1080, struct.pack("<IQ", 3, 78)),
         record(1010, struct.pack("<II", 3, 6)),
@@ -82,7 +105,7 @@
         record(4321, b"skipped"),
     )
     events = [event for _, event in got]
-    assert [door for door, _ in got] == [3] * 6
+    assert [instance for instance, _ in got] == [3] * 6
     assert events[0] == RequestArrived(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
     ended = events[1]
     assert isinstance(ended, AttemptEnded) and ended.outcome is Outcome.REJECTED
@@ -94,31 +117,105 @@
     )
 
 
-def test_omitted_fields_read_as_nought() -> None:
+def test_omitted_fields_read_as_0() -> None:
     [(_, event)] = read(record(1060, struct.pack("<IQfBHfQ", 3, 77, 1.0, 0, 2, 2.0, 55)))
     assert event == RequestArrived(77, 55, 2, 0, 0, 0.0, 1, 2)
 
 
-def test_actions_go_out_as_the_wire_has_them() -> None:
-    out = wire.write_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
+def test_an_action_record_is_what_the_wire_has() -> None:
+    out = encode_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
     assert out == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
-    assert wire.write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
+    assert write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
+
+
+FIRST_ENDPOINT = bytes.fromhex("0a124a07c32b")
+SECOND_ENDPOINT = bytes.fromhex("0a9011f2ec2b")
+REQUEST_ID = int.from_bytes(bytes.fromhex("c4913a5de0300000"), "little")
+OTHER_REQUEST_ID = int.from_bytes(bytes.fromhex("192b6f0ee8330400"), "little")
+# The examples of the wire's page.
+EVENT_EXAMPLES: list[tuple[str, Event]] = [
+    (
+        "4c04 3f000000 03000000 02 29000000 02000000"
+        "0000803f 0000000000000000 0000 0000 01 0000 0a124a07 c32b"
+        "0000c03f 20145d0000000000 0100 0000 01 0000 0a9011f2 ec2b",
+        EndpointListUpdate(
+            UpdateKind.CACHED,
+            41,
+            (
+                Endpoint(FIRST_ENDPOINT, EndpointState.READY, 0, 1.0, 0, 0, 0),
+                Endpoint(SECOND_ENDPOINT, EndpointState.READY, 6_100_000, 1.5, 1, 0, 0),
+            ),
+        ),
+    ),
+    (
+        "2e04 17000000 03000000 c4913a5de0300000 00 0a124a07 c32b 22240000",
+        StreamStarted(REQUEST_ID, 0, FIRST_ENDPOINT, 9250),
+    ),
+    (
+        "0604 1d000000 03000000 78050000 0a9011f2 ec2b 6400 03 0000404000000c430000e040",
+        HealthCheckEnded(SECOND_ENDPOINT, Outcome.OK, 1400, LoadReport(in_flight=3.0, queued=140.0)),
+    ),
+    ("4204 0c000000 03000000 0200 0400 68692037", Gossip(2, b"hi 7")),
+    ("3804 0c000000 03000000 192b6f0ee8330400", RequestEnded(OTHER_REQUEST_ID)),
+    ("f203 08000000 03000000 4d000000", TimerFired(77)),
+]
+ACTION_EXAMPLES: list[tuple[Action, str]] = [
+    (
+        StartAttempt(REQUEST_ID, FIRST_ENDPOINT, 80_000),
+        "fc03 16000000 03000000 c4913a5de0300000 80380100 0a124a07 c32b",
+    ),
+    (CheckHealth(SECOND_ENDPOINT), "0604 0a000000 03000000 0a9011f2 ec2b"),
+    (
+        AddToCounter(0x89F690, 4.0, 3_000_000),
+        "4c04 14000000 03000000 90f6890000000000 00008040 c0c62d00",
+    ),
+    (WatchEndpoints(True), "f203 05000000 03000000 01"),
+    (Reject(OTHER_REQUEST_ID, 250_000), "1004 10000000 03000000 192b6f0ee8330400 90d00300"),
+    (FetchEndpoints(), "6004 04000000 03000000"),
+    (CancelAttempt(REQUEST_ID, 0), "5604 0d000000 03000000 c4913a5de0300000 00"),
+    (CloseIdleConnections(SECOND_ENDPOINT), "1a04 0a000000 03000000 0a9011f2 ec2b"),
+    (
+        LogMessage("two servers known"),
+        "2404 17000000 03000000 1100 74776f2073657276657273206b6e6f776e",
+    ),
+    (SendGossip(None, b"hi 7"), "4204 0e000000 03000000 ffffffff 0400 68692037"),
+    (SetTimer(500_000, 77), "3804 0c000000 03000000 20a10700 4d000000"),
+    (Fail(OTHER_REQUEST_ID), "e803 0c000000 03000000 192b6f0ee8330400"),
+]
+
+
+@pytest.mark.parametrize(("example", "event"), EVENT_EXAMPLES, ids=lambda of: type(of).__name__)
+def test_event_examples_of_the_page_are_decoded(example: str, event: Event) -> None:
+    assert read(bytes.fromhex(example)) == [(3, event)]
+
+
+@pytest.mark.parametrize(("action", "example"), ACTION_EXAMPLES, ids=lambda of: type(of).__name__)
+def test_action_examples_of_the_page_are_encoded(action: Action, example: str) -> None:
+    assert encode_action(3, action) == bytes.fromhex(example)
+
+
+def test_every_action_has_an_example_and_so_has_the_exception() -> None:
+    assert {type(action) for action, _ in ACTION_EXAMPLES} == set(ENCODERS)
+    example = "2e04 18000000 03000000 1200 696e646578206f7574206f662072616e6765"
+    assert encode_exception(3, "index out of range") == bytes.fromhex(example)
 
 
 @settings(deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**52), strategies.integers(0, 2**32 - 1), strategies.integers(0, 120))
-def test_cut_off_frames_are_refused(request: int, left: int, cut: int) -> None:
+def test_a_cut_off_frame_is_malformed(request_id: int, left_us: int, cut: int) -> None:
+    """The simulator ends in the middle of a frame. Whatever the place, the adapter must not take the rest for
+    a batch, nor wait for more."""
     whole = frame(
-        init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request, 0.0, 0, 0, 1.0, 5, left, 1.0, 0))
+        init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request_id, 0.0, 0, 0, 1.0, 5, left_us, 1.0, 0))
     )
-    [_, (_, event)] = list(wire.read_batch(whole, {})[1])
-    assert (event.request_id, event.time_left_us) == (request, left)  # type: ignore[union-attr]
+    [_, (_, event)] = list(read_batch(whole, {})[1])
+    assert (event.request_id, event.time_left_us) == (request_id, left_us)  # type: ignore[union-attr]
     with pytest.raises(CodecError):
-        drill.serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
+        serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
 
 
 @pytest.mark.parametrize(
-    ("broken", "says"),
+    ("malformed", "message"),
     [
         (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
         (frame(init(text=b"rank=1")), "discovery is missing"),
@@ -127,29 +224,39 @@
         (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
     ],
 )
-def test_malformed_input_is_named_in_one_line(broken: bytes, says: str) -> None:
+def test_malformed_input_is_named_in_one_line(malformed: bytes, message: str) -> None:
+    """Input that does not follow the wire, or settings that are wrong: the process ends with one line that
+    says what, and writes no reply."""
     done = subprocess.run(
-        [sys.executable, "-m", "yardlane.simulator.adapter"], input=broken, capture_output=True, check=False
+        [sys.executable, "-m", "yardlane.simulator.adapter"],
+        input=malformed,
+        capture_output=True,
+        check=False,
     )
     assert done.returncode != 0 and done.stdout == b""
-    assert says in done.stderr.decode() and done.stderr.count(b"\n") == 1
+    assert message in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
 
 def test_halt_then_init_in_one_batch_and_the_end_of_input() -> None:
-    out = io.BytesIO()
+    sink = io.BytesIO()
     halt = record(1020, struct.pack("<I", 3))
-    drill.serve(io.BytesIO(frame(init()) + frame(halt, init()) + frame()), out)
-    sizes, at, data = [], 0, out.getvalue()
-    while at < len(data):
-        sizes.append(struct.unpack_from("<I", data, at)[0])
-        at += sizes[-1]
+    serve(io.BytesIO(frame(init()) + frame(halt, init()) + frame()), sink)
+    replies = sink.getvalue()
+    sizes = []
+    offset = 0
+    while offset < len(replies):
+        sizes.append(struct.unpack_from("<I", replies, offset)[0])
+        offset += sizes[-1]
     assert len(sizes) == 3 and sizes[-1] == 8
 
 
-def test_a_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_decision_that_raises_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A fault of the decisions raises. The simulator gets its text in a record, as the process must not end
+    without a reply."""
+
     def fail(*_: object) -> None:
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr("yardlane.simulator.adapter.Gateway.handle", fail)
-    reply = drill.Host().reply(frame(init()))
+    reply = Adapter().reply(frame(init()))
     assert struct.unpack_from("<H", reply, 8)[0] == 1070 and b"out of luck" in reply
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -1,4 +1,4 @@
-"""Wrong settings and impossible events are told by the name of their field."""
+"""Wrong settings and impossible events are reported by the name of their field."""
 
 from dataclasses import replace
 from typing import Any
@@ -6,7 +6,7 @@
 import pytest
 
 from yardlane.errors import SettingsError
-from yardlane.simulator import adapter as drill
+from yardlane.simulator import adapter
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.events import AttemptEnded, Outcome, RequestArrived
 from tests.gateway_driver import CLASSES, PLANS, GatewayDriver, make_endpoint_id, make_settings
@@ -53,6 +53,6 @@
     def serve(*_: object) -> None:
         make_settings(rank=8)
 
-    monkeypatch.setattr(drill, "serve", serve)
-    assert drill.main() == 2
+    monkeypatch.setattr(adapter, "serve", serve)
+    assert adapter.main() == 2
     assert capsys.readouterr().err == "yardlane: rank is 8: wanted from 0 to 2\n"
--- /dev/null
+++ b/yardlane/simulator/action_encoder.py
@@ -0,0 +1,107 @@
+"""The decisions' actions to action records of the simulator's wire: the one place that knows their fields."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from enum import IntEnum
+from typing import Any
+
+from yardlane.decisions.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogMessage,
+    Reject,
+    SendGossip,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from yardlane.simulator.codec import RECORD_HEADER
+
+# A length field of a text or message is a u16.
+MAX_CONTENT_BYTES = 65_535
+ALL_GATEWAYS = 0xFFFFFFFF
+
+
+class ActionCode(IntEnum):
+    """The codes of the action records, whose numbers events use as well; the page's names beside them."""
+
+    FAIL = 1000  # REPORT_FAILURE
+    WATCH_ENDPOINTS = 1010  # TAIL
+    START_ATTEMPT = 1020  # ATTEMPT
+    CHECK_HEALTH = 1030  # TEST
+    REJECT = 1040  # REFUSE
+    CLOSE_IDLE_CONNECTIONS = 1050  # CLOSE
+    LOG_MESSAGE = 1060  # EMIT
+    EXCEPTION = 1070
+    SET_TIMER = 1080  # DEFER
+    SEND_GOSSIP = 1090  # MEMO_TO
+    ADD_TO_COUNTER = 1100  # TALLY
+    CANCEL_ATTEMPT = 1110  # REVOKE
+    FETCH_ENDPOINTS = 1120  # READ_LIST
+
+
+def _encoder(code: ActionCode, formats: str) -> Callable[..., bytes]:
+    """Encodes the values of a record that has fixed fields; the first is the instance."""
+    packed = struct.Struct("<HI" + formats)
+    length = packed.size - RECORD_HEADER.size
+    return lambda *values: packed.pack(code, length, *values)
+
+
+def _encode_content(code: ActionCode, fields: bytes, content: bytes) -> bytes:
+    """A record that ends in content of any length."""
+    body = fields + struct.pack("<H", len(content)) + content
+    return RECORD_HEADER.pack(code, len(body)) + body
+
+
+def _encode_text(code: ActionCode, instance: int, text: str) -> bytes:
+    content = text.encode("utf-8", "replace")[:MAX_CONTENT_BYTES]
+    return _encode_content(code, struct.pack("<I", instance), content)
+
+
+def _encode_gossip(instance: int, action: SendGossip) -> bytes:
+    recipient = ALL_GATEWAYS if action.gateway is None else action.gateway
+    return _encode_content(ActionCode.SEND_GOSSIP, struct.pack("<II", instance, recipient), action.content)
+
+
+_fail = _encoder(ActionCode.FAIL, "IQ")
+_watch_endpoints = _encoder(ActionCode.WATCH_ENDPOINTS, "IB")
+_start_attempt = _encoder(ActionCode.START_ATTEMPT, "IQi6s")
+_check_health = _encoder(ActionCode.CHECK_HEALTH, "I6s")
+_reject = _encoder(ActionCode.REJECT, "IQI")
+_close_idle_connections = _encoder(ActionCode.CLOSE_IDLE_CONNECTIONS, "I6s")
+_set_timer = _encoder(ActionCode.SET_TIMER, "III")
+_add_to_counter = _encoder(ActionCode.ADD_TO_COUNTER, "IQfI")
+_cancel_attempt = _encoder(ActionCode.CANCEL_ATTEMPT, "IQB")
+_fetch_endpoints = _encoder(ActionCode.FETCH_ENDPOINTS, "I")
+
+ENCODERS: dict[type, Callable[[int, Any], bytes]] = {
+    StartAttempt: lambda i, a: _start_attempt(i, a.request_id, a.timeout_us, a.endpoint_id),
+    CancelAttempt: lambda i, a: _cancel_attempt(i, a.request_id, a.attempt_index),
+    Reject: lambda i, a: _reject(i, a.request_id, a.retry_after_us),
+    Fail: lambda i, a: _fail(i, a.request_id),
+    AddToCounter: lambda i, a: _add_to_counter(i, a.counter_key, a.amount, a.lifetime_us),
+    SetTimer: lambda i, a: _set_timer(i, a.delay_us, a.token),
+    CheckHealth: lambda i, a: _check_health(i, a.endpoint_id),
+    CloseIdleConnections: lambda i, a: _close_idle_connections(i, a.endpoint_id),
+    FetchEndpoints: lambda i, a: _fetch_endpoints(i),
+    WatchEndpoints: lambda i, a: _watch_endpoints(i, a.enabled),
+    SendGossip: _encode_gossip,
+    LogMessage: lambda i, a: _encode_text(ActionCode.LOG_MESSAGE, i, a.text),
+}
+
+
+def encode_action(instance: int, action: Action) -> bytes:
+    """One action of an instance as a record."""
+    return ENCODERS[type(action)](instance, action)
+
+
+def encode_exception(instance: int, text: str) -> bytes:
+    """The record that reports a failed decision; the simulator ends the day with its text."""
+    return _encode_text(ActionCode.EXCEPTION, instance, text)
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -1,73 +1,84 @@
-"""Standard input to standard output: one `Gateway` for each instance on the wire."""
+"""The simulator's command: standard input to standard output, one `Gateway` for each instance on the wire.
+
+Exit codes: 0 at the end of the input, 2 for input or settings that are malformed, with one plain line on
+standard error. A decision that raises is reported on the wire, and ends the day there.
+"""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from yardlane.simulator import codec as wire
-from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.events import Event
+from yardlane.decisions.gateway import Gateway
 from yardlane.errors import CodecError, YardlaneError
+from yardlane.simulator.action_encoder import encode_action, encode_exception
+from yardlane.simulator.codec import BATCH_HEADER, read_batch, read_frame_size, write_reply
+from yardlane.simulator.event_decoder import Columns, Halt, Init
 
+EXIT_END_OF_INPUT = 0
+EXIT_MALFORMED_INPUT = 2
 
-class Host:
+
+class Adapter:
     """The instances that one process holds. They share nothing."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.columns: dict[int, wire.Columns] = {}
+        self.columns: dict[int, Columns] = {}
 
     def reply(self, frame: bytes) -> bytes:
         """The reply to one batch."""
-        clock, records = wire.read_batch(frame, self.columns)
-        waiting: dict[int, list[Event]] = {}
-        for door, event in records:
-            if isinstance(event, wire.Halt):
-                self.gateways.pop(door, None)
-                waiting.pop(door, None)
-            elif isinstance(event, wire.Init):
-                self.gateways[door] = Gateway(event.settings, event.seed)
-                self.columns[door] = event.columns
-                waiting[door] = []
-            elif door in self.gateways:
-                waiting.setdefault(door, []).append(event)
+        clock_us, records = read_batch(frame, self.columns)
+        events_by_instance: dict[int, list[Event]] = {}
+        for instance, event in records:
+            if isinstance(event, Halt):
+                self.gateways.pop(instance, None)
+                events_by_instance.pop(instance, None)
+            elif isinstance(event, Init):
+                self.gateways[instance] = Gateway(event.settings, event.seed)
+                self.columns[instance] = event.columns
+                events_by_instance[instance] = []
+            elif instance in self.gateways:
+                events_by_instance.setdefault(instance, []).append(event)
             else:
-                raise CodecError(f"{type(event).__name__} for unknown instance {door}")
-        out: list[bytes] = []
-        for door, events in waiting.items():
+                raise CodecError(f"{type(event).__name__} for unknown instance {instance}")
+        return write_reply(self._decide(clock_us, events_by_instance))
+
+    def _decide(self, clock_us: int, events_by_instance: dict[int, list[Event]]) -> list[bytes]:
+        records: list[bytes] = []
+        for instance, events in events_by_instance.items():
             try:
-                actions = self.gateways[door].handle(clock, events)
-            except Exception as error:  # reported on the wire: the day ends with its text
-                out.append(wire.exception_record(door, f"{type(error).__name__}: {error}"))
+                actions = self.gateways[instance].handle(clock_us, events)
+            except Exception as error:  # whatever it is: the day ends with its text
+                records.append(encode_exception(instance, f"{type(error).__name__}: {error}"))
                 break
-            out += [wire.write_action(door, action) for action in actions]
-        return wire.write_reply(out)
+            records += [encode_action(instance, action) for action in actions]
+        return records
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
-    while header := source.read(wire.BATCH_HEADER.size):
-        if len(header) < wire.BATCH_HEADER.size:
+    """Answer batches until the input ends. CodecError or SettingsError where it is malformed."""
+    adapter = Adapter()
+    while header := source.read(BATCH_HEADER.size):
+        if len(header) < BATCH_HEADER.size:
             raise CodecError(f"frame header cut off after {len(header)} bytes")
-        rest = wire.frame_size(header) - len(header)
-        body = source.read(rest)
-        if len(body) < rest:
-            whole = rest + len(header)
-            raise CodecError(f"frame of {whole} bytes cut off after {len(header) + len(body)}")
-        sink.write(host.reply(header + body))
+        size = read_frame_size(header)
+        frame = header + source.read(size - len(header))
+        if len(frame) < size:
+            raise CodecError(f"frame of {size} bytes cut off after {len(frame)}")
+        sink.write(adapter.reply(frame))
         sink.flush()
 
 
 def main() -> int:
-    """Run until the end of input; malformed input ends with one plain line."""
+    """Run until the end of input; the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except YardlaneError as error:  # of the wire or of the settings
+    except YardlaneError as error:
         print(f"yardlane: {error}", file=sys.stderr)
-        return 2
-    return 0
+        return EXIT_MALFORMED_INPUT
+    return EXIT_END_OF_INPUT
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/yardlane/simulator/event_decoder.py
@@ -0,0 +1,303 @@
+"""Event records of the simulator's wire to the decisions' events: the one place that knows their fields.
+
+Each layout below has the fields of a record under the names of the wire's page; its function gives them the
+decisions' names. A record may end before its last fields: these read as 0. Codes that are not known are
+skipped, so that the wire may grow.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from enum import IntEnum
+from typing import NamedTuple, TypeVar
+
+from yardlane.decisions.events import (
+    AttemptEnded,
+    CounterResult,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
+    Event,
+    Gossip,
+    HealthCheckEnded,
+    LoadReport,
+    Outcome,
+    RequestArrived,
+    RequestEnded,
+    StreamStarted,
+    TimerFired,
+    UpdateKind,
+)
+from yardlane.decisions.settings import Settings
+from yardlane.errors import CodecError
+from yardlane.settings_reader import LOAD_REPORT_FIELDS, parse_settings
+
+T = TypeVar("T")
+
+Columns = tuple[str, ...]
+"""The names of a load report's values, in their order; each instance has them from its settings."""
+
+
+class EventCode(IntEnum):
+    """The codes of the event records; the page's names beside those that differ."""
+
+    ATTEMPT_ENDED = 1000  # COMPLETED
+    TIMER_FIRED = 1010  # RING
+    HALT = 1020
+    HEALTH_CHECK_ENDED = 1030  # HEALTH_RESULT
+    COUNTER_RESULT = 1040  # COUNT_RESULT
+    INIT = 1050
+    REQUEST_ARRIVED = 1060  # REQUEST
+    STREAM_STARTED = 1070  # ACK_FIRST
+    REQUEST_ENDED = 1080  # DROPPED
+    GOSSIP = 1090  # NEIGHBOUR_SAYS
+    ENDPOINT_LIST_UPDATE = 1100  # PEERS_KNOWN
+
+
+class Init(NamedTuple):
+    """An instance starts afresh."""
+
+    seed: int
+    settings: Settings
+    columns: Columns
+
+
+class Halt(NamedTuple):
+    """An instance was killed."""
+
+
+Decoded = Event | Init | Halt
+
+
+class Layout:
+    """The fields of a record, as `name:format` of `struct`. Whole fields may be missing at its end."""
+
+    def __init__(self, *fields: str) -> None:
+        formats = [field.partition(":")[2] for field in fields]
+        self.packed = struct.Struct("<" + "".join(formats))
+        self.size = self.packed.size
+        self.field_ends = {struct.calcsize("<" + "".join(formats[:n])) for n in range(len(formats) + 1)}
+
+    def read(self, frame: memoryview, start: int, end: int) -> tuple:  # type: ignore[type-arg]
+        """The values of the fields from `start` on; the record ends at `end`."""
+        length = end - start
+        if length >= self.size:
+            return self.packed.unpack_from(frame, start)
+        if length not in self.field_ends:
+            raise CodecError(f"record cut inside a field at byte {end}")
+        return self.packed.unpack(bytes(frame[start:end]).ljust(self.size, b"\0"))
+
+
+INSTANCE = struct.Struct("<I")  # door_id, the first field of each record
+
+ATTEMPT_ENDED = Layout(
+    "door_id:I",
+    "corr:Q",
+    "took_us:I",
+    "leg:B",
+    "state_code:H",
+    "finished:B",
+    "backend:6s",
+    "usage:H",
+    "settled:H",
+    "stats count:B",
+)
+TIMER_FIRED = Layout("door_id:I", "name:I")
+HEALTH_CHECK_ENDED = Layout("door_id:I", "took_us:I", "backend:6s", "state_code:H", "stats count:B")
+COUNTER_RESULT = Layout("door_id:I", "took_us:I", "book:Q", "state_code:H", "value:f")
+INIT = Layout("door_id:I", "init_seed:Q", "setup length:I")
+REQUEST_ARRIVED = Layout(
+    "door_id:I",
+    "corr:Q",
+    "base:f",
+    "cls:B",
+    "contract:H",
+    "n_entries:f",
+    "caller:Q",
+    "left_us:I",
+    "cost_units:f",
+    "attrs:B",
+)
+STREAM_STARTED = Layout("door_id:I", "corr:Q", "leg:B", "backend:6s", "took_us:I")
+REQUEST_ENDED = Layout("door_id:I", "corr:Q")
+GOSSIP = Layout("door_id:I", "by:H", "content length:H")
+ENDPOINT_LIST_UPDATE = Layout("door_id:I", "kind:B", "stamp:I", "rows_in count:I")
+# heft, born_us, locality, shape, mode, block, backend
+LIST_ENTRY = struct.Struct("<fQHHBH6s")
+
+# Bits of `attrs`.
+IS_RETRY_BIT = 2
+IS_WRITE_BIT = 4
+
+OUTCOMES = {
+    100: Outcome.OK,
+    301: Outcome.ERROR,
+    302: Outcome.REJECTED,
+    303: Outcome.TIMED_OUT,
+    304: Outcome.NOT_CONNECTED,
+    305: Outcome.CONNECTION_LOST,
+    306: Outcome.CANCELLED,
+    307: Outcome.NOT_SENT,
+}
+STATES = {
+    0: EndpointState.REMOVED,
+    1: EndpointState.READY,
+    2: EndpointState.DRAINING,
+}
+UPDATE_KINDS = {
+    0: UpdateKind.DELTA,
+    1: UpdateKind.SNAPSHOT,
+    2: UpdateKind.CACHED,
+    3: UpdateKind.FAILED,
+}
+
+
+def decode_event(
+    code: int, frame: memoryview, start: int, end: int, columns: dict[int, Columns]
+) -> tuple[int, Decoded] | None:
+    """The instance and the event of a record whose fields are `frame[start:end]`; None for an unknown code.
+
+    CodecError where the fields do not follow the wire, SettingsError where an instance's settings are wrong.
+    """
+    decode = DECODERS.get(code)
+    if decode is None:
+        return None
+    instance = 0
+    if end - start >= INSTANCE.size:
+        instance = INSTANCE.unpack_from(frame, start)[0]
+    return instance, decode(frame, start, end, columns.get(instance, ()))
+
+
+def _look_up(table: dict[int, T], value: int, name: str, start: int) -> T:
+    try:
+        return table[value]
+    except KeyError:
+        raise CodecError(f"unknown {name} {value} in the record at byte {start}") from None
+
+
+def _content(frame: memoryview, start: int, end: int, size: int, name: str) -> memoryview:
+    """What follows the fields, of a size that one of them gives."""
+    if start + size > end:
+        raise CodecError(f"{name} of {size} bytes passes the end of its record at byte {end}")
+    return frame[start : start + size]
+
+
+def _load_report(frame: memoryview, start: int, end: int, count: int, columns: Columns) -> LoadReport | None:
+    if count == 0:
+        return None
+    values = struct.unpack(f"<{count}f", _content(frame, start, end, 4 * count, "load report"))
+    reported = dict(zip(columns, values, strict=False))
+    fields = {field: reported[name] for name, field in LOAD_REPORT_FIELDS.items() if name in reported}
+    return LoadReport(**fields)
+
+
+def _attempt_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    fields = ATTEMPT_ENDED.read(frame, start, end)
+    _, request_id, elapsed_us, attempt_index, outcome, request_ended, endpoint_id, usage, _, count = fields
+    return AttemptEnded(
+        request_id=request_id,
+        attempt_index=attempt_index,
+        endpoint_id=endpoint_id,
+        outcome=_look_up(OUTCOMES, outcome, "outcome", start),
+        elapsed_us=elapsed_us,
+        request_ended=bool(request_ended),
+        usage_percent=usage - 1 if usage else None,
+        load=_load_report(frame, start + ATTEMPT_ENDED.size, end, count, columns),
+    )
+
+
+def _timer_fired(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, token = TIMER_FIRED.read(frame, start, end)
+    return TimerFired(token)
+
+
+def _halt(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    return Halt()
+
+
+def _health_check_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, elapsed_us, endpoint_id, outcome, count = HEALTH_CHECK_ENDED.read(frame, start, end)
+    load = _load_report(frame, start + HEALTH_CHECK_ENDED.size, end, count, columns)
+    return HealthCheckEnded(endpoint_id, _look_up(OUTCOMES, outcome, "outcome", start), elapsed_us, load)
+
+
+def _counter_result(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, elapsed_us, counter_key, outcome, total = COUNTER_RESULT.read(frame, start, end)
+    return CounterResult(counter_key, _look_up(OUTCOMES, outcome, "outcome", start), total, elapsed_us)
+
+
+def _init(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, seed, size = INIT.read(frame, start, end)
+    text = bytes(_content(frame, start + INIT.size, end, size, "settings")) if size else b""
+    settings, own_columns = parse_settings(text)
+    return Init(seed, settings, own_columns)
+
+
+def _request_arrived(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    fields = REQUEST_ARRIVED.read(frame, start, end)
+    _, request_id, first, request_class, plan, gateway_count, tenant, time_left_us, units, attrs = fields
+    return RequestArrived(
+        request_id=request_id,
+        tenant=tenant,
+        quota_plan=plan,
+        request_class=request_class,
+        time_left_us=time_left_us,
+        units=units,
+        first_gateway=int(first),
+        gateway_count=int(gateway_count),
+        is_retry=bool(attrs & IS_RETRY_BIT),
+        is_write=bool(attrs & IS_WRITE_BIT),
+    )
+
+
+def _stream_started(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, request_id, attempt_index, endpoint_id, elapsed_us = STREAM_STARTED.read(frame, start, end)
+    return StreamStarted(request_id, attempt_index, endpoint_id, elapsed_us)
+
+
+def _request_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, request_id = REQUEST_ENDED.read(frame, start, end)
+    return RequestEnded(request_id)
+
+
+def _gossip(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, sender, size = GOSSIP.read(frame, start, end)
+    content = bytes(_content(frame, start + GOSSIP.size, end, size, "message")) if size else b""
+    return Gossip(sender, content)
+
+
+def _endpoint_list_update(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+    _, kind, version, count = ENDPOINT_LIST_UPDATE.read(frame, start, end)
+    entries: bytes | memoryview = b""
+    if count:
+        size = count * LIST_ENTRY.size
+        entries = _content(frame, start + ENDPOINT_LIST_UPDATE.size, end, size, "endpoint list")
+    endpoints = tuple(
+        Endpoint(
+            endpoint_id,
+            _look_up(STATES, state, "endpoint state", start),
+            started_at_us,
+            weight,
+            zone,
+            cell,
+            kind,
+        )
+        for weight, started_at_us, zone, kind, state, cell, endpoint_id in LIST_ENTRY.iter_unpack(entries)
+    )
+    return EndpointListUpdate(_look_up(UPDATE_KINDS, kind, "list kind", start), version, endpoints)
+
+
+DECODERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
+    EventCode.ATTEMPT_ENDED: _attempt_ended,
+    EventCode.TIMER_FIRED: _timer_fired,
+    EventCode.HALT: _halt,
+    EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
+    EventCode.COUNTER_RESULT: _counter_result,
+    EventCode.INIT: _init,
+    EventCode.REQUEST_ARRIVED: _request_arrived,
+    EventCode.STREAM_STARTED: _stream_started,
+    EventCode.REQUEST_ENDED: _request_ended,
+    EventCode.GOSSIP: _gossip,
+    EventCode.ENDPOINT_LIST_UPDATE: _endpoint_list_update,
+}
