--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -9,7 +9,7 @@
 from tests.loopback import Peer, Script, running, settings, socket_test
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.errors import MalformedCounterReply
-from yardlane.proxy.counter_connection import parse_reply
+from yardlane.proxy.counter_protocol import parse_reply
 
 
 def with_counter(counter: Peer, **changes: Any) -> dict[str, Any]:
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -25,7 +25,7 @@
     socket_test,
     whole_list,
 )
-from tests.proxy.test_proxy import free_port, start
+from tests.front_door_process import free_port, start_process
 
 HELD = 128  # descriptors that the process may hold
 PLACES = divide(HELD).clients
@@ -150,7 +150,7 @@
             crowd = Crowd(port)
             stack.push_async_callback(crowd.leave)
             coming = asyncio.create_task(crowd.come(3 * HELD))
-            door = await start(tmp_path / "config.json", config, HELD)
+            door = await start_process(tmp_path / "config.json", config, HELD)
             stack.callback(end, door)
             await coming
             if not is_silent:
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1,22 +1,14 @@
 """The loop round the module: failures in it, and the way out."""
 
 import asyncio
-import json
-import os
-import signal
-import sys
 import time
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any, cast
 
-import pytest
 
 from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.actions import Action, Reject, SetTimer, StartAttempt
 from yardlane.decisions.events import EndpointListUpdate, Event, RequestArrived, TimerFired
-from yardlane.config import load
-from yardlane.errors import ConfigError
 from tests.loopback import (
     Peer,
     Script,
@@ -135,100 +127,6 @@
         await door.program.stopped.wait()
 
 
-async def start(path: Path, told: object, descriptors: int = 0) -> asyncio.subprocess.Process:
-    """The program as a process that may hold so many descriptors; 0 for as many as we may."""
-    path.write_text(json.dumps(told))
-    limit = f"ulimit -n {descriptors} && " if descriptors else ""
-    return await asyncio.create_subprocess_exec(
-        "sh",
-        "-c",
-        f'{limit}exec "$0" -m yardlane',
-        sys.executable,
-        stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "EDGE_CONFIG": str(path)},
-    )
-
-
-def test_sigterm_ends_the_process_with_0(tmp_path: Path) -> None:
-    async def run() -> None:
-        async with Peer() as discovery:
-            door = await start(
-                tmp_path / "config.json",
-                {
-                    "listen": f"127.0.0.1:{await free_port()}",
-                    "discovery": f"127.0.0.1:{discovery.port}",
-                    "seed": "1f",
-                    "settings": settings(),
-                    "known": whole_list(member("s-1", 9)),
-                },
-            )
-            await discovery.connection()  # it has started, and listens
-            door.send_signal(signal.SIGTERM)
-            _, errors = await door.communicate()
-            assert door.returncode == 0, errors
-
-    asyncio.run(run())
-
-
-async def free_port() -> int:
-    async with Peer() as peer:
-        return peer.port
-
-
-@pytest.mark.parametrize(
-    ("told", "says"),
-    [
-        ({}, "settings are missing"),
-        ({"settings": {"rank": 0}}, "discovery is missing"),
-        ({"settings": settings(rank=7)}, "rank is 7"),
-        ({"settings": settings(), "listen": "nowhere"}, "listen is 'nowhere'"),
-        (
-            {"settings": settings(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"},
-            "seed is",
-        ),
-        ([], "wanted an object"),
-        ({"settings": settings(), "limits": [256]}, "limits are [256]"),
-        ({"settings": settings(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
-        ({"settings": settings(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
-        ({"settings": settings(permissions={"max_attempts": 0})}, "permissions.max_attempts is 0"),
-        (
-            {
-                "listen": "127.0.0.1:9",
-                "discovery": "127.0.0.1:9",
-                "settings": settings(permissions={**settings()["permissions"], "connect_timeout_us": 0}),
-            },
-            "connect_timeout_us is 0",
-        ),
-    ],
-)
-def test_a_bad_configuration_is_one_plain_line_and_exit_2(told: object, says: str, tmp_path: Path) -> None:
-    async def run() -> tuple[int | None, str]:
-        door = await start(tmp_path / "config.json", told)
-        _, errors = await door.communicate()
-        return door.returncode, errors.decode()
-
-    code, errors = asyncio.run(run())
-    assert code == 2 and errors.count("\n") == 1 and says in errors
-
-
-def test_json_nested_without_end_is_no_configuration(tmp_path: Path) -> None:
-    path = tmp_path / "config.json"
-    path.write_text("[" * 100_000)
-    with pytest.raises(ConfigError, match="no JSON"):
-        load({"EDGE_CONFIG": str(path)})
-
-
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
-    path = tmp_path / "config.json"
-    path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
-    config = load({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
-    assert (config.listen[1], config.discovery[1], config.name) == (3, 2, "n7")
-    assert (config.classes, config.plans) == (("look", "file"), ("basic", "metered"))
-    assert config.zones == ("north", "south")
-    with pytest.raises(ConfigError, match="not set"):
-        load({})
-
-
 class EarlyTimers:
     """The loop, with timers that fire 2 ms early; uvloop's do by up to 1 ms."""
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -23,7 +23,7 @@
     whole_list,
 )
 from tests.counter_calls import add, first_call
-from tests.proxy.test_proxy import free_port, start
+from tests.front_door_process import free_port, start_process
 
 WITH_COUNTER = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
@@ -133,7 +133,7 @@
         async with Peer() as old, Peer() as new, Peer() as counter:
             monkeypatch.setitem(os.environ, "EDGE_DISCOVERY", f"127.0.0.1:{old.port}")
             listen = f"127.0.0.1:{await free_port()}"
-            process = await start(path, configuration(old, counter, listen=listen))
+            process = await start_process(path, configuration(old, counter, listen=listen))
             assert process.stderr is not None
             await old.connection()  # it has started
             path.write_text("{")
--- /dev/null
+++ b/tests/test_config.py
@@ -0,0 +1,64 @@
+"""From the environment and the configuration file to `Config`."""
+
+import json
+from pathlib import Path
+
+import pytest
+
+from tests.loopback import settings
+from yardlane.config import flatten, load, parse_address
+from yardlane.errors import ConfigError
+
+
+def test_json_nested_too_deep_is_no_configuration(tmp_path: Path) -> None:
+    """The file is JSON that the parser gives up on. That is a fault of the file like any other."""
+    path = tmp_path / "config.json"
+    path.write_text("[" * 100_000)
+    with pytest.raises(ConfigError, match="no JSON"):
+        load({"EDGE_CONFIG": str(path)})
+
+
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
+    config = load({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
+    assert (config.listen[1], config.discovery[1], config.name) == (3, 2, "n7")
+    assert (config.classes, config.plans) == (("look", "file"), ("basic", "metered"))
+    assert config.zones == ("north", "south")
+    with pytest.raises(ConfigError, match="not set"):
+        load({})
+
+
+@pytest.mark.parametrize("is_reload", [False, True])
+def test_only_a_reload_takes_discovery_from_the_file(is_reload: bool, tmp_path: Path) -> None:
+    """Discovery moves: the file names its new address, the environment still has that of the start."""
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
+    config = load({"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.1:4"}, is_reload)
+    assert config.discovery[1] == (2 if is_reload else 4)
+
+
+@pytest.mark.parametrize(
+    "text", ["", "x", ":9", "x:", "x:0", "x:65536", "x:-1", "x:\u0663", "x:" + "9" * 5000, None, ["x:9"]]
+)
+def test_what_is_no_address_raises_the_typed_error(text: object) -> None:
+    with pytest.raises(ConfigError, match=r"here is .*wanted host:port"):
+        parse_address(text, "here")
+
+
+def test_nested_settings_become_the_paths_of_the_settings_text() -> None:
+    nested = {
+        "rank": 0,
+        "safety": {"fall_us": 7},
+        "zones": ["a", "b"],
+        "profiles": [{"name": "x"}],
+        "on": True,
+    }
+    assert dict(flatten(nested)) == {
+        "rank": "0",
+        "safety.fall_us": "7",
+        "zones": "a,b",
+        "profiles.count": "1",
+        "profiles.0.name": "x",
+        "on": "true",
+    }
--- /dev/null
+++ b/tests/test_main.py
@@ -0,0 +1,87 @@
+"""The command: its exit codes, and one plain line for what is wrong."""
+
+import asyncio
+import signal
+from pathlib import Path
+
+import pytest
+
+from tests.front_door_process import free_port, start_process
+from tests.loopback import Peer, member, settings, whole_list
+
+
+def test_sigterm_ends_the_process_with_0(tmp_path: Path) -> None:
+    async def run() -> None:
+        async with Peer() as discovery:
+            process = await start_process(
+                tmp_path / "config.json",
+                {
+                    "listen": f"127.0.0.1:{await free_port()}",
+                    "discovery": f"127.0.0.1:{discovery.port}",
+                    "seed": "1f",
+                    "settings": settings(),
+                    "known": whole_list(member("s-1", 9)),
+                },
+            )
+            await discovery.connection()  # it has started, and listens
+            process.send_signal(signal.SIGTERM)
+            _, errors = await process.communicate()
+            assert process.returncode == 0, errors
+
+    asyncio.run(run())
+
+
+async def run_until_exit(path: Path, configuration: object) -> tuple[int | None, str]:
+    """The exit code, and what was written to standard error."""
+    process = await start_process(path, configuration)
+    _, errors = await process.communicate()
+    return process.returncode, errors.decode()
+
+
+def test_an_address_that_cannot_be_listened_on_is_one_plain_line_and_exit_1(tmp_path: Path) -> None:
+    """The address to listen on is not one of this machine's. The process must not go on without clients."""
+    configuration = {
+        "listen": "203.0.113.1:80",
+        "discovery": "127.0.0.1:9",
+        "seed": "1f",
+        "settings": settings(),
+    }
+    code, errors = asyncio.run(run_until_exit(tmp_path / "config.json", configuration))
+    assert code == 1
+    assert errors.splitlines()[-1].startswith("yardlane: cannot listen on 203.0.113.1:80: ")
+
+
+@pytest.mark.parametrize(
+    ("configuration", "message"),
+    [
+        ({}, "settings are missing"),
+        ({"settings": {"rank": 0}}, "discovery is missing"),
+        ({"settings": settings(rank=7)}, "rank is 7"),
+        ({"settings": settings(), "listen": "nowhere"}, "listen is 'nowhere'"),
+        (
+            {"settings": settings(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"},
+            "seed is",
+        ),
+        ([], "wanted an object"),
+        ({"settings": settings(), "limits": [256]}, "limits are [256]"),
+        ({"settings": settings(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
+        ({"settings": settings(), "limits": {"sockets": "many"}}, "limits.sockets is 'many'"),
+        ({"settings": settings(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
+        ({"settings": settings(permissions={"max_attempts": 0})}, "permissions.max_attempts is 0"),
+        (
+            {
+                "listen": "127.0.0.1:9",
+                "discovery": "127.0.0.1:9",
+                "settings": settings(permissions={**settings()["permissions"], "connect_timeout_us": 0}),
+            },
+            "connect_timeout_us is 0",
+        ),
+    ],
+)
+def test_an_invalid_configuration_is_one_plain_line_and_exit_2(
+    configuration: object, message: str, tmp_path: Path
+) -> None:
+    """A value of the configuration is missing or wrong. Whoever starts the process sees which, in one line,
+    and the process does not run with another value."""
+    code, errors = asyncio.run(run_until_exit(tmp_path / "config.json", configuration))
+    assert code == 2 and errors.count("\n") == 1 and message in errors
--- a/yardlane/__main__.py
+++ b/yardlane/__main__.py
@@ -21,7 +21,7 @@
 
 EXIT_STOPPED = 0
 EXIT_CANNOT_LISTEN = 1
-EXIT_BAD_CONFIG = 2
+EXIT_INVALID_CONFIG = 2
 
 
 async def serve(config: Config) -> int:
@@ -45,7 +45,7 @@
         config = load(os.environ)
     except ConfigError as error:
         print("yardlane:", error.one_line(), file=sys.stderr)
-        return EXIT_BAD_CONFIG
+        return EXIT_INVALID_CONFIG
     return uvloop.run(serve(config))
 
 
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -55,10 +55,10 @@
     """How long an upstream keeps an idle connection, in µs."""
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Config:
+def load(environ: Mapping[str, str], is_reload: bool = False) -> Config:
     """Read the file that `EDGE_CONFIG` names; the variables of `ENVIRONMENT` override it.
 
-    Where it is read `again`, its discovery overrides `EDGE_DISCOVERY`, which still has the first address.
+    On a reload its discovery overrides `EDGE_DISCOVERY`, which still has the address of the start.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
@@ -67,7 +67,7 @@
     for key, variable in ENVIRONMENT.items():
         if not environ.get(variable):
             continue
-        if again and key == "discovery" and document.get(key):
+        if is_reload and key == "discovery" and document.get(key):
             continue
         document[key] = environ[variable]
     try:
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import math
 import zlib
 from collections.abc import Callable
 
@@ -11,9 +10,9 @@
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import CounterResult
 from yardlane.proxy.counter_connection import PING_INTERVAL_S, US_PER_S, CounterCall, CounterConnection
+from yardlane.proxy.counter_protocol import format_add
 
 CONNECTIONS = 4
-US_PER_MS = 1_000
 
 
 class CounterClient:
@@ -38,10 +37,7 @@
 
     def add(self, action: AddToCounter) -> None:
         """Start a call."""
-        lifetime_ms = max(1, math.ceil(action.lifetime_us / US_PER_MS))
-        amount = f"{action.amount:.9g}".encode()
-        line = b"tally %x %s %d\r\n" % (action.counter_key, amount, lifetime_ms)
-        self._send(CounterCall(action.counter_key, line, self.loop.time()))
+        self._send(CounterCall(action.counter_key, format_add(action), self.loop.time()))
 
     def move(self, address: Address) -> None:
         """Send new calls to another address; each call that is written ends where it was written."""
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -1,11 +1,7 @@
 """One connection to the shared quota counter, with calls in a pipeline.
 
-Calls are written without waiting for the one before; the counter answers in the same order, a line each:
-
-    tally <key> <amount> <lifetime in ms>  ->  ok <total>     it is added
-                                               busy           it is not
-                                               error <text>   it is not
-    ping                                   ->  pong
+Calls are written without waiting for the one before; the counter answers in the same order, a line each (see
+`counter_protocol`).
 
 Every call gets exactly one result, whatever the counter does. It says what may have been added:
 
@@ -22,8 +18,6 @@
 
 import asyncio
 import logging
-import math
-import re
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -32,19 +26,19 @@
 from yardlane.config import Address
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.errors import MalformedCounterReply
+from yardlane.proxy.counter_protocol import MAX_LOGGED_BYTES, PING, check_pong, parse_reply
 
 log = logging.getLogger("yardlane.proxy.counter_connection")
 
 # Calls without an answer on one connection. More would be a backlog for a silent counter that comes back.
 MAX_UNANSWERED_CALLS = 16
 MAX_LINE_BYTES = 256
-MAX_LOGGED_BYTES = 80
 # Without an answer for so many call timeouts, the connection is dead.
 DEAD_AFTER_TIMEOUTS = 10
 # The same inside a line: a line without an end hides the answers behind it.
 STALLED_LINE_AFTER_TIMEOUTS = 0.5
 MIN_CONNECT_TIMEOUT_S = 0.25
-# The counter closes a connection that is idle for longer.
+# An idle connection is pinged so often, as the counter would close it.
 PING_INTERVAL_S = 2.0
 # After a connection that brought no answer; a counter that is down must not cost the processor.
 RECONNECT_DELAY_S = 0.1
@@ -54,10 +48,6 @@
 TIMER_TOLERANCE_S = 0.0005
 US_PER_S = 1_000_000
 
-PING = b"ping\r\n"
-# float() takes more than this: 1_0, nan.
-TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,3})?")
-
 
 @dataclass(slots=True)
 class CounterCall:
@@ -75,35 +65,6 @@
         return Outcome.TIMED_OUT if self.is_written else Outcome.NOT_CONNECTED
 
 
-@dataclass(frozen=True, slots=True)
-class CounterReply:
-    """A line that answers a call. `total` counts only where the outcome is OK."""
-
-    outcome: Outcome
-    total: float = 0.0
-    is_error: bool = False
-
-
-def parse_reply(line: bytes) -> CounterReply:
-    """The answer to a `tally`. MalformedCounterReply where the line is none."""
-    words = line.split()
-    if words == [b"busy"]:
-        return CounterReply(Outcome.REJECTED)
-    if words[:1] == [b"error"]:
-        return CounterReply(Outcome.REJECTED, is_error=True)
-    if len(words) == 2 and words[0] == b"ok" and TOTAL.fullmatch(words[1]):
-        total = float(words[1])
-        if math.isfinite(total):
-            return CounterReply(Outcome.OK, total)
-    raise MalformedCounterReply(line[:MAX_LOGGED_BYTES])
-
-
-def check_pong(line: bytes) -> None:
-    """MalformedCounterReply where the line does not answer a ping."""
-    if line.split() != [b"pong"]:
-        raise MalformedCounterReply(line[:MAX_LOGGED_BYTES])
-
-
 class CounterConnection(asyncio.Protocol):
     """Connects when it gets a call, and again with the next one after it was lost."""
 
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -132,7 +132,8 @@
         if self.connection is not None and self.connection.is_usable():
             return self.connection
         async with asyncio.timeout(self.response_timeout_s):
-            self.connection = connection = DiscoveryConnection(self.address)
+            connection = DiscoveryConnection(self.address)
+            self.connection = connection  # at once, so that `refetch` and `stop` can close it
             try:
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
             except ValueError as error:  # a host that cannot be a name
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -76,7 +76,7 @@
     def reload(self) -> None:
         """Read the configuration again: discovery and the counter may have another address."""
         try:
-            config = load(os.environ, again=True)
+            config = load(os.environ, is_reload=True)
         except ConfigError as error:
             log.error("the old configuration goes on: %s", error.one_line())
             return
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -32,6 +32,7 @@
 from yardlane.decisions.settings import Settings
 from yardlane.errors import CodecError
 from yardlane.settings_reader import LOAD_REPORT_FIELDS, parse_settings
+from yardlane.simulator.record_layout import Layout
 
 T = TypeVar("T")
 
@@ -70,25 +71,6 @@
 Decoded = Event | Init | Halt
 
 
-class Layout:
-    """The fields of a record, as `name:format` of `struct`. Whole fields may be missing at its end."""
-
-    def __init__(self, *fields: str) -> None:
-        formats = [field.partition(":")[2] for field in fields]
-        self.packed = struct.Struct("<" + "".join(formats))
-        self.size = self.packed.size
-        self.field_ends = {struct.calcsize("<" + "".join(formats[:n])) for n in range(len(formats) + 1)}
-
-    def read(self, frame: memoryview, start: int, end: int) -> tuple:  # type: ignore[type-arg]
-        """The values of the fields from `start` on; the record ends at `end`."""
-        length = end - start
-        if length >= self.size:
-            return self.packed.unpack_from(frame, start)
-        if length not in self.field_ends:
-            raise CodecError(f"record cut inside a field at byte {end}")
-        return self.packed.unpack(bytes(frame[start:end]).ljust(self.size, b"\0"))
-
-
 INSTANCE = struct.Struct("<I")  # door_id, the first field of each record
 
 ATTEMPT_ENDED = Layout(
@@ -125,6 +107,7 @@
 ENDPOINT_LIST_UPDATE = Layout("door_id:I", "kind:B", "stamp:I", "rows_in count:I")
 # heft, born_us, locality, shape, mode, block, backend
 LIST_ENTRY = struct.Struct("<fQHHBH6s")
+LOAD_VALUE = struct.Struct("<f")
 
 # Bits of `attrs`.
 IS_RETRY_BIT = 2
@@ -186,7 +169,8 @@
 def _load_report(frame: memoryview, start: int, end: int, count: int, columns: Columns) -> LoadReport | None:
     if count == 0:
         return None
-    values = struct.unpack(f"<{count}f", _content(frame, start, end, 4 * count, "load report"))
+    size = count * LOAD_VALUE.size
+    values = struct.unpack(f"<{count}f", _content(frame, start, end, size, "load report"))
     reported = dict(zip(columns, values, strict=False))
     fields = {field: reported[name] for name, field in LOAD_REPORT_FIELDS.items() if name in reported}
     return LoadReport(**fields)
