--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -38,3 +38,7 @@
 
     def __init__(self, line: bytes) -> None:
         super().__init__(f"malformed reply {line!r}")
+
+
+class MalformedResponse(YardlaneError):
+    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
