--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -63,12 +63,6 @@
             decoded = DecodedList(EndpointListUpdate(UpdateKind.CACHED, 0, ()), {}, False)
         self.on_update(decoded.update, decoded.addresses)
 
-    def refetch(self) -> None:
-        """Make the next poll one for the whole list."""
-        self.version = NO_VERSION
-        if self.connection is not None:
-            self.connection.close()
-
     def start(self) -> None:
         """Watch, until `stop`."""
         self.task = asyncio.get_running_loop().create_task(self._run())
@@ -133,7 +127,7 @@
             return self.connection
         async with asyncio.timeout(self.response_timeout_s):
             connection = DiscoveryConnection(self.address)
-            self.connection = connection  # at once, so that `refetch` and `stop` can close it
+            self.connection = connection  # before it is up, so that `stop` can close it
             try:
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
             except ValueError as error:  # a host that cannot be a name
