--- a/tests/counter_calls.py
+++ b/tests/counter_calls.py
@@ -1,9 +1,16 @@
-"""Calls to the quota counter, as the decisions ask for them and as a peer reads them."""
+"""The shared quota counter in tests: its settings, and calls as they are asked for and as they arrive."""
 
-from tests.loopback import Peer, RunningProxy, Streams
+from typing import Any
+
+from tests.loopback import Peer, RunningProxy, Streams, settings
 from yardlane.decisions.actions import AddToCounter
 
 
+def settings_with_counter(**changes: Any) -> dict[str, Any]:
+    """Settings of a fleet that has a shared counter; calls time out late unless told otherwise."""
+    return settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000, **changes})
+
+
 def add(proxy: RunningProxy, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
     """Let the decisions ask for a call."""
     proxy.program.door._apply(AddToCounter(key, amount, lifetime_us))
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -5,17 +5,15 @@
 
 import pytest
 
-from tests.counter_calls import add, first_call
-from tests.loopback import Peer, Script, running, settings, socket_test
+from tests.counter_calls import add, first_call, settings_with_counter
+from tests.loopback import Peer, Script, running, socket_test
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.errors import MalformedCounterReply
 from yardlane.proxy.counter_protocol import parse_reply
 
 
 def with_counter(counter: Peer, **changes: Any) -> dict[str, Any]:
-    """Configuration with a counter; calls time out late unless told otherwise."""
-    family_info = {"shared_counter": True, "count_wait_us": 5_000_000, **changes}
-    return {"counter": f"127.0.0.1:{counter.port}", "settings": settings(family_info=family_info)}
+    return {"counter": f"127.0.0.1:{counter.port}", "settings": settings_with_counter(**changes)}
 
 
 def no_actions() -> Script:
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients that would take every descriptor while discovery is down. The program is a process."""
+"""Idle clients that would take every file descriptor while discovery is down; the front door is a process."""
 
 import asyncio
 import contextlib
@@ -21,35 +21,35 @@
     ask,
     member,
     read_message,
-    settings,
     socket_test,
     whole_list,
 )
+from tests.counter_calls import settings_with_counter
 from tests.front_door_process import free_port, start_process
 
-HELD = 128  # descriptors that the process may hold
-PLACES = divide(HELD).clients
-COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
+DESCRIPTORS = 128  # that the process may hold
+MAX_CLIENTS = divide(DESCRIPTORS).clients
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 
 
-class Crowd:
-    """Clients that connect and stay; every third has asked something before, and was answered."""
+class IdleClients:
+    """Clients that connect and stay; every third has sent a request before, and was answered."""
 
     def __init__(self, port: int) -> None:
-        self.port, self.ended = port, 0
+        self.port = port
+        self.ended = 0
         self.changed = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def come(self, count: int) -> None:
-        """Until all have been accepted: the front door has ended those for whom it has no place."""
+    async def connect(self, count: int) -> None:
+        """Until all have been accepted: the front door has closed those that are over its limit."""
         self.tasks += [asyncio.create_task(self._stay(n)) for n in range(count)]
-        while len(self.tasks) - self.ended > PLACES:
+        while len(self.tasks) - self.ended > MAX_CLIENTS:
             self.changed.clear()
             await self.changed.wait()
 
     async def _stay(self, n: int) -> None:
-        reader, writer = await self._connect()
+        reader, writer = await self._open_connection()
         with contextlib.suppress(ConnectionError):
             if n % 3 == 0:
                 writer.write(HEALTH)
@@ -59,48 +59,50 @@
         self.ended += 1
         self.changed.set()
 
-    async def _connect(self) -> Streams:
+    async def _open_connection(self) -> Streams:
         while True:  # from before the process listens
             try:
                 return await asyncio.open_connection("127.0.0.1", self.port)
             except ConnectionRefusedError:
                 await asyncio.sleep(0.01)
 
-    async def leave(self) -> None:
+    async def disconnect(self) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def serve_list(discovery: Peer, told: dict[str, Any], watched: asyncio.Event) -> None:
-    """The whole list to whoever asks for it, also to who waits already; a watch hears nothing."""
+async def serve_list(discovery: Peer, whole: dict[str, Any], watched: asyncio.Event) -> None:
+    """Answer each fetch with the whole list, also those that wait already; a watch gets no answer."""
 
-    async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while "index=" not in (await read_message(reader))[0]:
-                writer.write(answer(200, as_json(told)))
+                writer.write(answer(200, as_json(whole)))
             watched.set()
 
     async with asyncio.TaskGroup() as group:
         while True:
-            group.create_task(one(*await discovery.connection()))
+            group.create_task(serve(*await discovery.connection()))
 
 
 async def serve_counter(counter: Peer, calls: list[bytes]) -> None:
-    async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Answer each call, and note it in `calls`."""
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             calls.append(line)
             writer.write(b"ok 1\r\n" if line.startswith(b"tally") else b"pong\r\n")
 
     async with asyncio.TaskGroup() as group:
         while True:
-            group.create_task(one(*await counter.connection()))
+            group.create_task(serve(*await counter.connection()))
 
 
-async def call(port: int, *backends: Peer) -> None:
-    """A new client each; all are served, each backend has at least one of them before any is answered."""
+async def send_requests(port: int, *backends: Peer) -> None:
+    """One request of a new client for each backend; each backend gets one before any is answered."""
 
-    async def one(n: int) -> bytes:
+    async def send(n: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(ask(trace=f"t{n}", Plan="metered", Account=f"{n:016x}"))
         line, _, body = await read_message(reader)
@@ -108,30 +110,35 @@
         assert line == "HTTP/1.1 200 OK"
         return body
 
-    async def take(backend: Peer) -> None:
+    async def answer_one(backend: Peer) -> None:
         reader, writer = await backend.connection()
         await read_message(reader)
-        met.append(backend)
-        while len(met) < len(backends):
+        busy.append(backend)
+        while len(busy) < len(backends):
             await asyncio.sleep(0.01)
         writer.write(answer(200, b"first"))
 
-    met: list[Peer] = []
-    calls = asyncio.gather(*(one(n) for n in range(len(backends))))
-    await asyncio.gather(*(take(backend) for backend in backends))
-    assert await calls == [b"first"] * len(backends)
+    busy: list[Peer] = []
+    responses = asyncio.gather(*(send(n) for n in range(len(backends))))
+    await asyncio.gather(*(answer_one(backend) for backend in backends))
+    assert await responses == [b"first"] * len(backends)
 
 
-def end(door: Process) -> None:
-    if door.returncode is None:
-        door.kill()
+def kill_if_running(process: Process) -> None:
+    if process.returncode is None:
+        process.kill()
 
 
-@pytest.mark.parametrize("told", [HELD, 1024])  # by the configuration
+@pytest.mark.parametrize("configured", [DESCRIPTORS, 1024])
 @pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses while it is down
-def test_a_crowd_while_discovery_is_down_takes_no_descriptor_that_others_need(
-    is_silent: bool, told: int, tmp_path: Path
+def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(
+    is_silent: bool, configured: int, tmp_path: Path
 ) -> None:
+    """Discovery is down, and more idle clients connect than the process has descriptors, at its start and
+    again before discovery moves. Were they let have all of them, nothing could connect to discovery on its
+    return, to the counter or to a backend, and no request would ever be served again. It must not matter
+    that the configuration claims more descriptors than the process may hold."""
+
     @socket_test
     async def run() -> None:
         async with AsyncExitStack() as stack:
@@ -144,46 +151,48 @@
                 "discovery": f"127.0.0.1:{discovery.port}",
                 "seed": "1f",
                 "counter": f"127.0.0.1:{counter.port}",
-                "limits": {"sockets": told},
-                "settings": COUNTED,
+                "limits": {"sockets": configured},
+                "settings": settings_with_counter(),
             }
-            crowd = Crowd(port)
-            stack.push_async_callback(crowd.leave)
-            coming = asyncio.create_task(crowd.come(3 * HELD))
-            door = await start_process(tmp_path / "config.json", config, HELD)
-            stack.callback(end, door)
-            await coming
+            idle_clients = IdleClients(port)
+            stack.push_async_callback(idle_clients.disconnect)
+            connecting = asyncio.create_task(idle_clients.connect(3 * DESCRIPTORS))
+            process = await start_process(tmp_path / "config.json", config, DESCRIPTORS)
+            stack.callback(kill_if_running, process)
+            await connecting
             if not is_silent:
                 await stack.enter_async_context(discovery)
             calls: list[bytes] = []
             helpers = [asyncio.create_task(serve_counter(counter, calls))]
-            for place, members in ((discovery, (one, two)), (moved, (three,))):
-                if place is moved:
+            for serving, backends in ((discovery, (one, two)), (moved, (three,))):
+                if serving is moved:
                     config["discovery"] = f"127.0.0.1:{moved.port}"
                     (tmp_path / "config.json").write_text(json.dumps(config))
-                    await crowd.come(HELD)
-                    door.send_signal(signal.SIGHUP)
+                    await idle_clients.connect(DESCRIPTORS)
+                    process.send_signal(signal.SIGHUP)
                 watched = asyncio.Event()
                 helpers.append(
                     asyncio.create_task(
                         serve_list(
-                            place,
-                            whole_list(*(member(f"s-{peer.port}", peer.port) for peer in members)),
+                            serving,
+                            whole_list(*(member(f"s-{peer.port}", peer.port) for peer in backends)),
                             watched,
                         )
                     )
                 )
                 await watched.wait()
-                await crowd.come(HELD)  # all places are taken again
-                await call(port, *members)
-            door.send_signal(signal.SIGTERM)
-            _, errors = await door.communicate()
+                await idle_clients.connect(DESCRIPTORS)  # to the limit again
+                await send_requests(port, *backends)
+            process.send_signal(signal.SIGTERM)
+            _, errors = await process.communicate()
             for helper in helpers:
                 assert not helper.done(), helper
                 helper.cancel()
         log = errors.decode()
-        assert door.returncode == 0 and any(line.startswith(b"tally ") for line in calls)
+        assert process.returncode == 0 and any(line.startswith(b"tally ") for line in calls)
         assert not re.search("Traceback|Too many open files|cannot accept|dropped", log), log
-        assert log.count("limits.sockets is 1024, but this process may hold 128") == (told > HELD), log
+        assert log.count("limits.sockets is 1024, but this process may hold 128") == (
+            configured > DESCRIPTORS
+        ), log
 
     run()
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -18,15 +18,12 @@
     member,
     read_message,
     running,
-    settings,
     socket_test,
     whole_list,
 )
-from tests.counter_calls import add, first_call
+from tests.counter_calls import add, first_call, settings_with_counter
 from tests.front_door_process import free_port, start_process
 
-WITH_COUNTER = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
-
 
 def configuration(discovery: Peer, counter: Peer, **changes: Any) -> dict[str, Any]:
     return {
@@ -34,7 +31,7 @@
         "discovery": f"127.0.0.1:{discovery.port}",
         "counter": f"127.0.0.1:{counter.port}",
         "seed": "1f",
-        "settings": WITH_COUNTER,
+        "settings": settings_with_counter(),
         **changes,
     }
 
@@ -74,7 +71,7 @@
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=WITH_COUNTER, counter=f"127.0.0.1:{old.port}") as proxy,
+        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
     ):
         add(proxy)
         reader, writer = await first_call(old)
@@ -97,7 +94,7 @@
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=WITH_COUNTER, counter=f"127.0.0.1:{old.port}") as proxy,
+        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
     ):
         add(proxy)
         proxy.program.door.recount(("127.0.0.1", new.port))
@@ -115,7 +112,7 @@
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=WITH_COUNTER, counter=f"127.0.0.1:{old.port}") as proxy,
+        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
     ):
         add(proxy)
         reader, _ = await first_call(old)
