--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -33,12 +33,12 @@
     """One entry of an endpoint list, or a value in it, that cannot be read."""
 
 
+class MalformedResponse(YardlaneError):
+    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
+
+
 class MalformedCounterReply(YardlaneError):
     """A line of the counter that does not answer the call whose turn it is."""
 
     def __init__(self, line: bytes) -> None:
         super().__init__(f"malformed reply {line!r}")
-
-
-class MalformedResponse(YardlaneError):
-    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
