--- a/yardlane/proxy/upstream_pool.py
+++ b/yardlane/proxy/upstream_pool.py
@@ -25,9 +25,9 @@
     def __init__(self, config: Config, max_connections: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.max_connections = max_connections
-        self.connect_timeout_s = config.connect_timeout / MICROSECONDS
+        self.connect_timeout_s = config.connect_timeout_us / MICROSECONDS
         self.stall_timeout_s = RESPONSE_STALL_TIMEOUT_S
-        self.reuse = ReusePolicy(config.keepalive / MICROSECONDS)
+        self.reuse = ReusePolicy(config.keepalive_us / MICROSECONDS)
         self.connections: set[UpstreamConnection] = set()
         # Those of an upstream by its id, not by its address, where another upstream may stand by now. The
         # newest is last.
