--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -49,16 +49,15 @@
     plans: tuple[str, ...]
     zones: tuple[str, ...]
     hardware_kinds: tuple[str, ...]
-    connect_timeout: int
-    """In µs."""
-    keepalive: int
-    """How long an upstream keeps an idle connection, in µs."""
+    connect_timeout_us: int
+    keepalive_us: int
+    """How long an upstream keeps an idle connection."""
 
 
-def load(environ: Mapping[str, str], again: bool = False) -> Config:
+def load(environ: Mapping[str, str], is_reload: bool = False) -> Config:
     """Read the file that `EDGE_CONFIG` names; the variables of `ENVIRONMENT` override it.
 
-    Where it is read `again`, its discovery overrides `EDGE_DISCOVERY`, which still has the first address.
+    On a reload its discovery overrides `EDGE_DISCOVERY`, which still has the address of the start.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
@@ -67,7 +66,7 @@
     for key, variable in ENVIRONMENT.items():
         if not environ.get(variable):
             continue
-        if again and key == "discovery" and document.get(key):
+        if is_reload and key == "discovery" and document.get(key):
             continue
         document[key] = environ[variable]
     try:
@@ -102,8 +101,10 @@
         plans=_read_names(reader, "packages", len(settings.quota_plans)),
         zones=_parse_list(nested.get("zones")),
         hardware_kinds=_parse_list(nested.get("kinds")),
-        connect_timeout=reader.positive_integer("permissions.connect_timeout_us", DEFAULT_CONNECT_TIMEOUT_US),
-        keepalive=reader.positive_integer("permissions.keepalive_us", DEFAULT_KEEPALIVE_US),
+        connect_timeout_us=reader.positive_integer(
+            "permissions.connect_timeout_us", DEFAULT_CONNECT_TIMEOUT_US
+        ),
+        keepalive_us=reader.positive_integer("permissions.keepalive_us", DEFAULT_KEEPALIVE_US),
     )
 
 
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -14,7 +14,7 @@
 from yardlane.decisions.settings import Settings
 from yardlane.descriptors import divide, usable_descriptors
 from yardlane.errors import ConfigError
-from yardlane.proxy.client_connection import ClientSide
+from yardlane.proxy.client_server import ClientServer
 from yardlane.proxy.discovery_client import DiscoveryClient
 from yardlane.proxy.proxy import Proxy
 from yardlane.proxy.upstream_pool import UpstreamPool
@@ -49,7 +49,7 @@
         self.loop = loop
         self.pool = UpstreamPool(config, limits.upstreams, loop)
         self.door = Proxy(config, decider, self.pool, loop)
-        self.clients = ClientSide(config, self.door, limits.clients, loop)
+        self.clients = ClientServer(config, self.door, limits.clients, loop)
         self.discovery = DiscoveryClient(config, self.door.listed, self.door.unheard)
         self.stopped = asyncio.Event()
         self.shutdown_task: asyncio.Task[None] | None = None
@@ -75,7 +75,7 @@
     def reload(self) -> None:
         """Read the configuration again: discovery and the counter may have another address."""
         try:
-            config = load(os.environ, again=True)
+            config = load(os.environ, is_reload=True)
         except ConfigError as error:
             log.error("the old configuration goes on: %s", error.one_line())
             return
@@ -91,7 +91,7 @@
         """Begin the graceful shutdown: answer what is open and what still arrives, then stop."""
         if self.shutdown_task is not None:
             return
-        self.clients.draining = True
+        self.clients.is_draining = True
         self.door.drain(self.door.clock.now() + shutdown_timeout_us(self.door.settings))
         self.shutdown_task = self.loop.create_task(self._shut_down())
 
@@ -106,11 +106,11 @@
         try:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.clients.stop_listening()
-            self.clients.retire_idle()
-            await self._wait_while(self.clients.awaits_first, FIRST_REQUEST_WAIT_S)
-            self.clients.retire_silent()
+            self.clients.close_idle_served()
+            await self._wait_while(self.clients.awaits_first_request, FIRST_REQUEST_WAIT_S)
+            self.clients.close_idle()
             left_us = self.door.drain_by - self.door.clock.now()
-            await self._wait_while(self.clients.owes, left_us / 1e6)
+            await self._wait_while(self.clients.has_pending_work, left_us / 1e6)
             await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
         finally:
             self.stopped.set()
