--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -501,7 +501,8 @@
             break
     assert refusals  # in the same turn as the arrival
     assert 0 < refusals[0].retry_after_us <= desk.settings.max_retry_after_us
-    assert refusals[0].retry_after_us < desk.gateway.usual[0]  # later, the next try could not be in time
+    # Later, the next attempt could not be in time.
+    assert refusals[0].retry_after_us < desk.gateway.service_times.mean_us[0]
 
 
 def test_no_advice_where_the_settings_allow_none() -> None:
--- a/yardlane/decisions/attempt_record.py
+++ b/yardlane/decisions/attempt_record.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 from yardlane.decisions.endpoint_record import EndpointRecord
+from yardlane.decisions.events import Outcome
+
+NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
 
 
 class AttemptRecord:
@@ -19,3 +22,8 @@
         self.sent_at_us = sent_at_us
         self.in_flight = True
         self.may_have_run = True
+
+    def end(self, outcome: Outcome) -> None:
+        """Note how the attempt ended."""
+        self.in_flight = False
+        self.may_have_run = outcome not in NEVER_RAN
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -1,25 +1,35 @@
-"""The decisions of one gateway. What goes in and out is in `settings.py`, `events.py` and `actions.py`.
+"""The decisions of one gateway: events go to the rules, and what the rules decide becomes actions.
 
-The ordinary path is the demand split of Padala et al. (port allocator); see docs/design.md.
+No rule stands here; each has its module. The way of a request:
+
+1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first. 2.
+`admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`). 3. It leaves the queue once
+the tenant's concurrency bound, the hard rate (`rate_ceiling`) and the limit on all
+   attempts (`concurrency`) allow, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
+4. Its attempts end, or are overdue: `outliers` and `service_time` learn from it, and `retries` says whether
+there
+   is another attempt, or what the final answer is.
+
+See docs/design.md for why it is so.
 """
 
 from __future__ import annotations
 
-import math
 import random
-from collections.abc import Callable
-from typing import Any
 
 from yardlane.decisions import admission
 from yardlane.decisions.actions import (
     Action,
     CancelAttempt,
-    Fail,
-    Reject,
     SetTimer,
     StartAttempt,
     WatchEndpoints,
 )
+from yardlane.decisions.attempt_record import AttemptRecord
+from yardlane.decisions.concurrency import ConcurrencyLimit
+from yardlane.decisions.counter_polling import CounterPolling
+from yardlane.decisions.endpoint_record import EndpointRecord
+from yardlane.decisions.endpoints import EndpointList
 from yardlane.decisions.events import (
     AttemptEnded,
     CounterResult,
@@ -31,146 +41,112 @@
     StreamStarted,
     UpdateKind,
 )
-from yardlane.decisions.settings import DeduplicationScope, Idempotency, Settings
-from yardlane.decisions.attempt_record import AttemptRecord
-from yardlane.decisions.concurrency import ConcurrencyLimit
-from yardlane.decisions.counter_polling import CounterPolling
-from yardlane.decisions.endpoint_record import EndpointRecord
-from yardlane.decisions.endpoints import EndpointList
-from yardlane.decisions.outliers import OutlierDetection, overdue_after_us, remembered_share
+from yardlane.decisions.load_balancing import LoadBalancer
+from yardlane.decisions.outliers import OutlierDetection, overdue_after_us
+from yardlane.decisions.request import Request
+from yardlane.decisions.retries import RetryPolicy
 from yardlane.decisions.service_time import ServiceTimes
+from yardlane.decisions.settings import Settings
 from yardlane.decisions.slow_start import SlowStart
-from yardlane.decisions.timers import Timers
-from yardlane.decisions.request import Request
 from yardlane.decisions.tenant import Tenant, TenantId, forget_idle
+from yardlane.decisions.timers import Timers
 from yardlane.decisions.units import SECOND_US
 
-CROSSING_LEAN = 1.5  # how much faster a server in another zone must look, where crossing costs
-AGAIN_SHARE, AGAIN_MOST = 0.1, 10.0  # further attempts per first, and saved up: no swelling of an overload
-ADVICE = 0.25  # of the usual service time: clients told to stay away for longer come too late for the aim
-NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+WATCH_RETRY_DELAY_US = SECOND_US
+NOT_STARTED_US = -1
 
 
 class Gateway:
-    """All decisions of one front door."""
+    """All decisions of one gateway. It holds the requests and tenants; the rules hold their own state."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.random = settings, random.Random(seed)
+        self.settings = settings
+        self.random = random.Random(seed)
+        self.actions: list[Action] = []
+        self.now_us = NOT_STARTED_US
+        self.started_at_us = NOT_STARTED_US
         self.timers = Timers()
+        self.requests: dict[int, Request] = {}
+        self.tenants: dict[TenantId, Tenant] = {}  # in the order of their last requests
+        self.polling = CounterPolling(settings.has_shared_counter, settings.counter_timeout_us, self.random)
         self.endpoints = EndpointList(settings)
-        self.slow_start = SlowStart(settings, self.endpoints)
         self.service_times = ServiceTimes(settings)
-        self.now, self.born = -1, -1
-        self.concurrency = ConcurrencyLimit(settings)
+        self.slow_start = SlowStart(settings, self.endpoints)
         self.outliers = OutlierDetection(self.timers)
-        self.tenants: dict[TenantId, Tenant] = {}  # in the order of their last requests
-        self.requests: dict[int, Request] = {}
-        self.polling = CounterPolling(settings.has_shared_counter, settings.counter_timeout_us, self.random)
-        self.usual = self.service_times.mean_us
-        self.again = AGAIN_MOST
-        self.actions: list[Action] = []
-        self.handlers: dict[type, Callable[[Any], None]] = {
-            EndpointListUpdate: self._server_list,
-            RequestArrived: self._arrival,
-            AttemptEnded: self._attempt_ended,
-            StreamStarted: self._end,
-            RequestEnded: self._end,
-            CounterResult: self._counted,
-        }
-
-    def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take what happened by `now`; return what to do, in order."""
-        self.timers.detect_stall(now)
-        self.polling.decay_backoff(now - self.now)
-        self.now, self.actions = now, []
-        if self.born < 0:
-            self.born = self.slow_start.gateway_started_at_us = now
-            self.actions += [] if self.settings.endpoint_list_is_pushed else [WatchEndpoints()]
+        self.balancer = LoadBalancer(settings, self.random, self.slow_start, self.service_times)
+        self.concurrency = ConcurrencyLimit(settings)
+        self.retries = RetryPolicy(settings)
+
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
+        """Take what happened by `now_us`; return what to do, in order.
+
+        SettingsError if a request names a class or a plan that the settings do not have.
+        """
+        self.timers.detect_stall(now_us)
+        self.polling.decay_backoff(now_us - self.now_us)
+        self.now_us = now_us
+        self.actions = []
+        if self.started_at_us == NOT_STARTED_US:
+            self._start()
         for event in events:
-            self.handlers.get(type(event), lambda _: None)(event)
-        self.timers.fire_due(now)
-        delay_us = self.timers.next_delay_us(now)
+            self._dispatch(event)
+        self.timers.fire_due(now_us)
+        delay_us = self.timers.next_delay_us(now_us)
         if delay_us is not None:
             self.actions.append(SetTimer(delay_us))
         return self.actions
 
-    def _plan(self, when: int, action: Callable[[Any], None], subject: Any) -> None:
-        self.timers.schedule(when, lambda: action(subject))
+    def _start(self) -> None:
+        self.started_at_us = self.now_us
+        self.slow_start.gateway_started_at_us = self.now_us
+        if not self.settings.endpoint_list_is_pushed:
+            self._watch_endpoints()
+
+    def _dispatch(self, event: Event) -> None:
+        match event:
+            case RequestArrived():
+                self._on_request_arrived(event)
+            case AttemptEnded():
+                self._on_attempt_ended(event)
+            case StreamStarted() | RequestEnded():
+                self._on_request_ended(event.request_id)
+            case CounterResult():
+                self._on_counter_result(event)
+            case EndpointListUpdate():
+                self._on_endpoint_list_update(event)
+            case _:
+                pass  # a fired timer needs only the turn; health checks and gossip are never asked for
+
+    # Endpoints
 
-    def _server_list(self, event: EndpointListUpdate) -> None:
-        if event.kind is UpdateKind.FAILED:
-            return self._plan(self.now + SECOND_US, lambda _: self.actions.append(WatchEndpoints()), None)
-        self.endpoints.apply_update(event)
+    def _watch_endpoints(self) -> None:
+        self.actions.append(WatchEndpoints())
+
+    def _on_endpoint_list_update(self, update: EndpointListUpdate) -> None:
+        if update.kind is UpdateKind.FAILED:
+            self.timers.schedule(self.now_us + WATCH_RETRY_DELAY_US, self._watch_endpoints)
+            return
+        self.endpoints.apply_update(update)
         self.concurrency.set_endpoint_count(len(self.endpoints.ready))
 
-    def _pick(self, request: Request) -> EndpointRecord | None:
-        """The server that should finish first, failures counted as an aim lost."""
-        rule, usual = self.settings.request_classes[request.request_class], self.usual[request.request_class]
-        value = self.service_times.relative_value(request.request_class)
-        if not self.concurrency.admits(value, usual, self.now):
-            return None
-        ready, tied = (
-            self.endpoints.subset,
-            next((t.endpoint.entry for t in request.attempts if t.may_have_run), None),
-        )
-        if (
-            tied
-            and rule.idempotency is Idempotency.KEYED
-            and rule.deduplication_scope is not DeduplicationScope.ALL
-        ):  # rule 2
-            zonal = rule.deduplication_scope is DeduplicationScope.ZONE
-            ready = [
-                s
-                for s in self.endpoints.ready
-                if (s.entry.zone == tied.zone if zonal else s.entry.cell == tied.cell)
-            ]
-        tried, best, least = [t.endpoint for t in request.attempts], None, math.inf
-        for server in (s for s in ready if s not in tried):
-            warmth = self.slow_start.warm_up_factor(server, self.now)
-            if warmth < 1.0 and not self.slow_start.admits(
-                server, warmth, self.service_times.overall_mean_us, self.now
-            ):
-                continue
-            others = server.remote_in_flight * max(
-                0.0, 1.0 - (self.now - server.load_reported_at_us) / SECOND_US
-            )
-            kept = remembered_share(self.now - server.last_sent_at_us)
-            cost = (
-                usual
-                * (1.0 + (server.latency_ratio - 1.0) * kept)
-                * (1.0 + server.in_flight + others)
-                / warmth
-            )
-            cost += (
-                (server.failure_rates[None] + server.failure_rates.get(request.tenant.plan, 0.0))
-                * kept
-                * rule.latency_objective_us
-            )
-            cost *= (
-                warmth / 2 if warmth < 1.0 and usual < warmth * rule.latency_objective_us / 2 else 1.0
-            )  # turns are rare
-            if self.settings.cross_zone_cost and server.entry.zone != self.settings.zone:
-                cost *= CROSSING_LEAN
-            cost *= 1.0 + 0.05 * self.random.random()  # so that gateways do not herd
-            if cost < least:
-                best, least = server, cost
-        return best
-
-    def _arrival(self, event: RequestArrived) -> None:
+    # Requests, from their arrival until they are forwarded
+
+    def _on_request_arrived(self, event: RequestArrived) -> None:
         self.settings.require_known(event.request_class, event.quota_plan)
         tenant = self._find_tenant(event)
-        request = Request(event, tenant, self.now, self.settings.tick_us)
+        request = Request(event, tenant, self.now_us, self.settings.tick_us)
         self.requests[event.request_id] = request
-        rule, usual = self.settings.request_classes[request.request_class], self.usual[request.request_class]
-        queueing_us = admission.longest_queueing_us(rule, usual, event.time_left_us)
-        self._plan(min(request.answer_by_us, self.now + queueing_us), self._time_up, request)
+        request_class = self.settings.request_classes[request.request_class]
+        service_time_us = self._mean_service_time_us(request)
+        queueing_us = admission.longest_queueing_us(request_class, service_time_us, event.time_left_us)
+        self._schedule_answer(request, min(request.answer_by_us, self.now_us + queueing_us))
         self.service_times.record_arrival(request.request_class)
-        weight = admission.demand_weight(tenant.plan, request.units, usual)
-        capacity = admission.capacity(tenant, request.units, usual)
-        tenant.demand.add(weight, self.now)
-        forget_idle(self.tenants, self.now)
-        if self.polling.is_due(tenant.demand, weight, capacity, self.now):
-            self.actions.append(self.polling.start(request, self.now))
+        weight = admission.demand_weight(tenant.plan, request.units, service_time_us)
+        capacity = admission.capacity(tenant, request.units, service_time_us)
+        tenant.demand.add(weight, self.now_us)
+        forget_idle(self.tenants, self.now_us)
+        if self.polling.is_due(tenant.demand, weight, capacity, self.now_us):
+            self.actions.append(self.polling.start(request, self.now_us))
         else:
             self._admit(request)
 
@@ -179,14 +155,26 @@
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
         if tenant is None:
-            tenant = Tenant(event, self.settings, self.born, self.now, self.random.random())
+            tenant = Tenant(event, self.settings, self.started_at_us, self.now_us, self.random.random())
         self.tenants[tenant_id] = tenant
         return tenant
 
+    def _on_counter_result(self, result: CounterResult) -> None:
+        call = self.polling.finish(result)
+        if call is None:
+            return
+        request = call.request
+        if result.outcome is Outcome.OK:
+            service_time_us = self._mean_service_time_us(request)
+            capacity = admission.capacity(request.tenant, request.units, service_time_us)
+            request.tenant.apply_total(result.total, call.period_index, capacity, self.now_us)
+        if not request.ended:
+            self._admit(request)
+
     def _admit(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
-        if not admission.admits(tenant, request.units, self.usual[request.request_class], self.now):
+        if not admission.admits(tenant, request.units, self._mean_service_time_us(request), self.now_us):
             self._answer(request)
             return
         tenant.queue.append(request)
@@ -197,155 +185,141 @@
         """Forward queued requests, in order, while concurrency bound, hard rate and endpoints allow."""
         while tenant.queue and tenant.has_free_slot():
             request = tenant.queue[0]
-            missing_units = tenant.missing_units(request.units, self.now)
-            server = self._pick(request) if missing_units <= 0.0 else None
-            if server is None:
+            missing_units = tenant.missing_units(request.units, self.now_us)
+            endpoint = self._choose_endpoint(request) if missing_units <= 0.0 else None
+            if endpoint is None:
                 self._release_later(tenant, missing_units)
                 return
             del tenant.queue[0]
             request.queued = False
-            usual = self.usual[request.request_class]
-            weight = admission.demand_weight(tenant.plan, request.units, usual)
+            service_time_us = self._mean_service_time_us(request)
+            weight = admission.demand_weight(tenant.plan, request.units, service_time_us)
             tenant.record_first_attempt(request.units, weight)
-            self.again = min(AGAIN_MOST, self.again + AGAIN_SHARE)
-            self._send(request, server)
+            self.retries.record_first_attempt()
+            self._start_attempt(request, endpoint)
 
     def _release_later(self, tenant: Tenant, missing_units: float) -> None:
         """Look again once the hard rate may have filled by these units."""
-        if tenant.next_release_at_us <= self.now:
-            tenant.next_release_at_us = self.now + admission.release_delay_us(tenant, missing_units, self.now)
-            self._plan(tenant.next_release_at_us, self._release, tenant)
+        if tenant.next_release_at_us > self.now_us:
+            return
+        delay_us = admission.release_delay_us(tenant, missing_units, self.now_us)
+        tenant.next_release_at_us = self.now_us + delay_us
+        self.timers.schedule(tenant.next_release_at_us, lambda: self._release(tenant))
 
-    def _send(self, request: Request, server: EndpointRecord) -> None:
+    # Attempts
+
+    def _choose_endpoint(self, request: Request) -> EndpointRecord | None:
+        value = self.service_times.relative_value(request.request_class)
+        if not self.concurrency.admits(value, self._mean_service_time_us(request), self.now_us):
+            return None
+        candidates = self.retries.candidates(request, self.endpoints)
+        return self.balancer.choose(request, candidates, self.now_us)
+
+    def _start_attempt(self, request: Request, endpoint: EndpointRecord) -> None:
+        begin_within_us = self.retries.begin_within_us(request, self.now_us)
+        attempt = AttemptRecord(endpoint, self.now_us)
+        request.attempts.append(attempt)
         request.tenant.in_flight += 1
-        within = self._left_to_repeat(request)
-        request.attempts.append(attempt := AttemptRecord(server, self.now))
-        server.in_flight += 1
-        server.last_sent_at_us = self.now
-        self.concurrency.record_sent(self.now)
-        usual = self.usual[request.request_class]
-        if self.slow_start.warm_up_factor(server, self.now) < 1.0:
-            self.slow_start.record_sent(server, self.service_times.overall_mean_us, self.now)
-        self.actions.append(StartAttempt(request.id, server.entry.endpoint_id, begin_within_us=within))
-        self._plan(self.now + overdue_after_us(usual), self._overdue, (request, attempt))
-
-    def _left_to_repeat(self, request: Request) -> int:
-        """Microseconds in which a copy must be sent, as a key holds only so long (rule 2); 0: no bound."""
-        rule = self.settings.request_classes[request.request_class]
-        if rule.idempotency is not Idempotency.KEYED:
-            return 0
-        first = next((t for t in request.attempts if t.may_have_run), None)
-        return max(1, first.sent_at_us + rule.idempotency_window_us - self.now) if first else 0
-
-    def _another(self, request: Request) -> EndpointRecord | None:
-        """Where a further attempt may go: rule 2, and the limits that keep retries few."""
-        rule = self.settings.request_classes[request.request_class]
-        late = self.now + self.usual[request.request_class] > min(
-            request.gives_up_at_us, request.arrived_at_us + rule.latency_objective_us
+        endpoint.in_flight += 1
+        endpoint.last_sent_at_us = self.now_us
+        self.concurrency.record_sent(self.now_us)
+        self.slow_start.record_sent(endpoint, self.service_times.overall_mean_us, self.now_us)
+        self.actions.append(
+            StartAttempt(request.id, endpoint.entry.endpoint_id, begin_within_us=begin_within_us)
         )
-        risky = [t for t in request.attempts if t.may_have_run]
-        if request.ended or late or len(request.attempts) >= self.settings.max_attempts or self.again < 1.0:
-            return None
-        if risky and (
-            rule.idempotency is Idempotency.NON_IDEMPOTENT
-            or (
-                rule.idempotency is Idempotency.KEYED
-                and self.now - risky[0].sent_at_us >= rule.idempotency_window_us
-            )
-        ):
-            return None
-        return self._pick(request)
-
-    def _try_again(self, request: Request) -> bool:
-        if server := self._another(request):
-            self.again -= 1.0
-            self._send(request, server)
-        return server is not None
-
-    def _overdue(self, subject: tuple[Request, AttemptRecord]) -> None:
-        """Out for much longer than usual: a mark against the server long before the time-out."""
-        request, attempt = subject
-        if attempt.in_flight:
-            self.outliers.record_overdue(attempt)
-            if self.settings.may_hedge:
-                self._try_again(request)
-            elif self.settings.may_cancel and self._another(request):
-                self.actions.append(
-                    CancelAttempt(request.id, request.attempts.index(attempt))
-                )  # its end sends anew
-
-    def _attempt_ended(self, event: AttemptEnded) -> None:
+        overdue_at_us = self.now_us + overdue_after_us(self._mean_service_time_us(request))
+        self.timers.schedule(overdue_at_us, lambda: self._on_attempt_overdue(request, attempt))
+
+    def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
+        """Hedge, or cancel: the end of a cancelled attempt causes the retry."""
+        if not attempt.in_flight:
+            return
+        self.outliers.record_overdue(attempt)
+        if self.settings.may_hedge:
+            self._retry(request)
+        elif self.settings.may_cancel and self._choose_endpoint_for_retry(request) is not None:
+            self.actions.append(CancelAttempt(request.id, request.attempts.index(attempt)))
+
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
-        if (
-            request is None
-            or event.attempt_index >= len(request.attempts)
-            or not request.attempts[event.attempt_index].in_flight
-        ):
+        if request is None:
+            return
+        attempt = request.attempt_in_flight(event.attempt_index)
+        if attempt is None:
             return
-        tenant, attempt = request.tenant, request.attempts[event.attempt_index]
-        server, usual = attempt.endpoint, self.usual[request.request_class]
-        tenant.in_flight -= 1
-        attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        server.in_flight -= 1
+        self._record_end(request, attempt, event)
+        if event.request_ended or request.ended:
+            self._end(request)
+        elif not request.has_attempt_in_flight() and not self._retry(request):
+            self._answer(request)
+        self._release(request.tenant)
+
+    def _record_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
+        """Let the rules learn from the end of an attempt."""
+        endpoint = attempt.endpoint
+        attempt.end(event.outcome)
+        request.tenant.in_flight -= 1
+        endpoint.in_flight -= 1
         self.concurrency.record_ended()
+        plan = request.tenant.plan
+        service_time_us = self._mean_service_time_us(request)
         if event.outcome is Outcome.OK:
-            server.last_success_at_us = self.now
-            objective_us = self.settings.request_classes[request.request_class].latency_objective_us
-            self.concurrency.record_answer(event.elapsed_us, objective_us)
-            self.outliers.record_answer(attempt, tenant.plan, event.elapsed_us, usual)
+            endpoint.last_success_at_us = self.now_us
+            request_class = self.settings.request_classes[request.request_class]
+            self.concurrency.record_answer(event.elapsed_us, request_class.latency_objective_us)
+            self.outliers.record_answer(attempt, plan, event.elapsed_us, service_time_us)
             self.service_times.record_answer(request.request_class, event.elapsed_us)
         else:
-            self.outliers.record_failure(attempt, tenant.plan, event.outcome, event.elapsed_us, usual)
-        if event.load:
-            server.record_load(event.load, self.now)
-        if event.request_ended or request.ended:
-            self._end(request)
-        elif not (any(t.in_flight for t in request.attempts) or self._try_again(request)):
+            self.outliers.record_failure(attempt, plan, event.outcome, event.elapsed_us, service_time_us)
+        if event.load is not None:
+            endpoint.record_load(event.load, self.now_us)
+
+    def _choose_endpoint_for_retry(self, request: Request) -> EndpointRecord | None:
+        if not self.retries.may_retry(request, self._mean_service_time_us(request), self.now_us):
+            return None
+        return self._choose_endpoint(request)
+
+    def _retry(self, request: Request) -> bool:
+        """Send a further attempt if one may go; whether it did."""
+        endpoint = self._choose_endpoint_for_retry(request)
+        if endpoint is None:
+            return False
+        self.retries.record_retry()
+        self._start_attempt(request, endpoint)
+        return True
+
+    # The end of requests
+
+    def _schedule_answer(self, request: Request, at_us: int) -> None:
+        self.timers.schedule(at_us, lambda: self._on_answer_due(request))
+
+    def _on_answer_due(self, request: Request) -> None:
+        """Answer a request that is still queued; one that is in flight when it must be answered at last."""
+        if request.ended:
+            return
+        if request.queued or self.now_us >= request.answer_by_us:
             self._answer(request)
-        self._release(tenant)
+        else:
+            self._schedule_answer(request, request.answer_by_us)
 
     def _answer(self, request: Request) -> None:
-        """The final answer: a refusal where rule 2 lets us promise, else a failure."""
-        rule = self.settings.request_classes[request.request_class]
-        free = rule.idempotency is Idempotency.IDEMPOTENT or (
-            rule.idempotency is Idempotency.KEYED and rule.deduplication_scope is DeduplicationScope.ALL
-        )
-        promise = free or not any(t.may_have_run for t in request.attempts)
-        self.actions.append(Reject(request.id, self._advice(request)) if promise else Fail(request.id))
+        self.actions.append(self.retries.final_answer(request, self._mean_service_time_us(request)))
         self._end(request)
 
-    def _advice(self, request: Request) -> int:
-        """When to come back: once some of what is out is answered, soon enough to be served in time."""
-        if not self.settings.may_send_retry_after:
-            return 0
-        return int(min(ADVICE * self.usual[request.request_class], self.settings.max_retry_after_us))
+    def _on_request_ended(self, request_id: int) -> None:
+        """The client disconnected, or its answer flows: nothing more is to be sent or answered."""
+        request = self.requests.get(request_id)
+        if request is not None:
+            self._end(request)
 
-    def _end(self, event: Request | RequestEnded | StreamStarted) -> None:
-        """Answered, or the client left, or its answer flows: nothing more is owed."""
-        request = event if isinstance(event, Request) else self.requests.get(event.request_id)
-        if request is None:
-            return
+    def _end(self, request: Request) -> None:
+        """End a request; it is kept while an attempt of it is in flight."""
         request.ended = True
         if request.queued:
             request.tenant.queue.remove(request)
             request.queued = False
-        if not any(t.in_flight for t in request.attempts):
+        if not request.has_attempt_in_flight():
             self.requests.pop(request.id, None)
 
-    def _time_up(self, request: Request) -> None:
-        if not request.ended and (request.queued or self.now >= request.answer_by_us):
-            self._answer(request)
-        elif not request.ended:
-            self._plan(request.answer_by_us, self._time_up, request)
-
-    def _counted(self, event: CounterResult) -> None:
-        call = self.polling.finish(event)
-        if call is None:
-            return
-        request = call.request
-        if event.outcome is Outcome.OK:
-            usual = self.usual[request.request_class]
-            capacity = admission.capacity(request.tenant, request.units, usual)
-            request.tenant.apply_total(event.total, call.period_index, capacity, self.now)
-        if not request.ended:
-            self._admit(request)
+    def _mean_service_time_us(self, request: Request) -> float:
+        return self.service_times.mean_us[request.request_class]
--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -44,3 +44,20 @@
         self.attempts: list[AttemptRecord] = []
         self.ended = False
         self.queued = False
+
+    def first_attempt_that_may_have_run(self) -> AttemptRecord | None:
+        """The first attempt that may have taken effect: an idempotency key counts from it."""
+        for attempt in self.attempts:
+            if attempt.may_have_run:
+                return attempt
+        return None
+
+    def attempt_in_flight(self, index: int) -> AttemptRecord | None:
+        """The attempt of this index, unless it has ended or never was."""
+        if index < len(self.attempts) and self.attempts[index].in_flight:
+            return self.attempts[index]
+        return None
+
+    def has_attempt_in_flight(self) -> bool:
+        """Whether any attempt has not ended."""
+        return any(attempt.in_flight for attempt in self.attempts)
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -105,5 +105,6 @@
         return endpoint.last_sent_at_us < now_us - max(since_ours_us, half_round_us)
 
     def record_sent(self, endpoint: EndpointRecord, mean_service_time_us: float, now_us: int) -> None:
-        """Count a request that is sent to a warming endpoint."""
-        endpoint.sent_work.add(int(max(mean_service_time_us, self.default_service_time_us)), now_us)
+        """Count a request that is sent; an endpoint that is warm has no budget to take it off."""
+        if self.warm_up_factor(endpoint, now_us) < 1.0:
+            endpoint.sent_work.add(int(max(mean_service_time_us, self.default_service_time_us)), now_us)
