--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -10,7 +10,7 @@
     from yardlane.decisions.attempt_record import AttemptRecord
     from yardlane.decisions.tenant import Tenant
 
-LATEST_ANSWER_TICKS = 2  # ticks before the client gives up: one for a late timer, one to write the answer
+ANSWER_MARGIN_TICKS = 2  # before the client gives up, as a timer may fire a tick late
 
 
 class Request:
@@ -33,14 +33,31 @@
         "units",
     )
 
-    def __init__(self, event: RequestArrived, tenant: Tenant, now: int, tick_us: int) -> None:
+    def __init__(self, event: RequestArrived, tenant: Tenant, now_us: int, tick_us: int) -> None:
         self.id = event.request_id
         self.request_class = event.request_class
         self.units = event.units
         self.tenant = tenant
-        self.arrived_at_us = now
-        self.gives_up_at_us = now + event.time_left_us
-        self.answer_by_us = max(now, self.gives_up_at_us - LATEST_ANSWER_TICKS * tick_us)
+        self.arrived_at_us = now_us
+        self.gives_up_at_us = now_us + event.time_left_us
+        self.answer_by_us = max(now_us, self.gives_up_at_us - ANSWER_MARGIN_TICKS * tick_us)
         self.attempts: list[AttemptRecord] = []
         self.ended = False
         self.queued = False
+
+    def first_attempt_that_may_have_run(self) -> AttemptRecord | None:
+        """The first attempt that may have taken effect: an idempotency key counts from it."""
+        for attempt in self.attempts:
+            if attempt.may_have_run:
+                return attempt
+        return None
+
+    def attempt_in_flight(self, index: int) -> AttemptRecord | None:
+        """The attempt of this index, unless it has ended or never was."""
+        if index < len(self.attempts) and self.attempts[index].in_flight:
+            return self.attempts[index]
+        return None
+
+    def has_attempt_in_flight(self) -> bool:
+        """Whether any attempt has not ended."""
+        return any(attempt.in_flight for attempt in self.attempts)
