--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -46,7 +46,8 @@
     and no gateway got a total any more.
     """
     driver = GatewayDriver(gateway_count=250)
-    driver.counter_answers, driver.refusal = False, failure
+    driver.counter_answers = False
+    driver.counter_failure = failure
     for number in range(400):
         driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
         driver.run(50 * MS)
@@ -70,9 +71,10 @@
 def test_demand_that_was_surely_not_added_is_reported_later() -> None:
     """After a time-out the counter may have added it; reported again, it would count twice."""
     driver = GatewayDriver()
-    driver.counter_answers, driver.refusal = False, Outcome.REJECTED
+    driver.counter_answers = False
+    driver.counter_failure = Outcome.REJECTED
     assert find_tenant(driver, 5, RATED).demand.unreported_demand == 1.0
-    driver.refusal = Outcome.TIMED_OUT
+    driver.counter_failure = Outcome.TIMED_OUT
     assert find_tenant(driver, 6, RATED).demand.unreported_demand == 0.0
 
 
@@ -94,7 +96,7 @@
     driver = GatewayDriver(gateway_count=2)
 
     def polls(answer_us: int) -> int:
-        driver.counter_takes = answer_us
+        driver.counter_answer_us = answer_us
         log_start = len(driver.log)
         for number in range(200):
             driver.serve(tenant=number % 5, quota_plan=RATED, gateway_count=40)
@@ -110,7 +112,8 @@
 
 def test_unreported_demand_is_not_multiplied_by_polls_that_added_nothing() -> None:
     driver = GatewayDriver(gateway_count=2)
-    driver.counter_answers, driver.refusal = False, Outcome.NOT_CONNECTED
+    driver.counter_answers = False
+    driver.counter_failure = Outcome.NOT_CONNECTED
     for _ in range(400):
         driver.serve(tenant=9, quota_plan=RATED, gateway_count=2)
         driver.run(10 * MS)
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -18,10 +18,10 @@
 from yardlane.decisions.quota import TenantDemand, concurrency_bound
 
 
-def bound_after(demand_of_others: float) -> int:
+def bound_after(remote_demand: float) -> int:
     """The bound after requests here, while the other gateways have added so much to the same count."""
     driver = GatewayDriver()
-    driver.others = demand_of_others
+    driver.remote_demand = remote_demand
     for _ in range(20):
         driver.serve(tenant=4, quota_plan=CAPPED)
         driver.run(200 * MS)
--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -177,14 +177,14 @@
     assert used >= least_used  # not kept by rejecting all
 
 
-def forwarded_at_start(demand_of_others: float, counter_answers: bool = True) -> int:
+def forwarded_at_start(remote_demand: float, counter_answers: bool = True) -> int:
     """How many of ten requests are forwarded at once right after a start, with a share of ten units."""
     plan = make_quota_plan(
         rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
     )
     driver = GatewayDriver(quota_plans=(plan,))
     driver.counter_answers = counter_answers
-    driver.others = demand_of_others
+    driver.remote_demand = remote_demand
     forwarded = [of_type(StartAttempt, driver.ask(tenant=4, quota_plan=0)[1]) for _ in range(10)]
     return sum(bool(attempts) for attempts in forwarded)
 
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -1,30 +1,25 @@
 """What a rejected client learns about when to come back."""
 
-from tests.gateway_driver import (
-    GatewayDriver,
-    make_quota_plan,
-    of_type,
-)
+from tests.gateway_driver import GatewayDriver, make_quota_plan, of_type
 from yardlane.decisions.actions import Reject
 
+SMALL_PLAN = make_quota_plan(rate_per_s=1.0, burst=2.0)
 
-def test_a_refusal_goes_out_at_once_and_tells_when_to_return() -> None:
-    """Lost: no refusal said when to come back, so clients came again at once, to be refused again."""
-    desk = GatewayDriver(quota_plans=(make_quota_plan(rate_per_s=1.0, burst=2.0),))
+
+def test_a_rejection_goes_out_at_once_and_says_when_to_return() -> None:
+    """No rejection said when to come back, so clients came again at once, to be rejected again."""
+    driver = GatewayDriver(quota_plans=(SMALL_PLAN,))
     for _ in range(40):
-        _, actions = desk.ask(quota_plan=0)
-        if refusals := of_type(Reject, actions):
+        _, actions = driver.ask(quota_plan=0)
+        if rejections := of_type(Reject, actions):
             break
-    assert refusals  # in the same turn as the arrival
-    assert 0 < refusals[0].retry_after_us <= desk.settings.max_retry_after_us
-    assert (
-        refusals[0].retry_after_us < desk.gateway.service_times.mean_us[0]
-    )  # later, the next try could not be in time
+    assert rejections  # in the same turn as the arrival
+    retry_after_us = rejections[0].retry_after_us
+    assert 0 < retry_after_us <= driver.settings.max_retry_after_us
+    assert retry_after_us < driver.gateway.service_times.mean_us[0]  # later, the retry could not be in time
 
 
-def test_no_advice_where_the_settings_allow_none() -> None:
-    desk = GatewayDriver(
-        quota_plans=(make_quota_plan(rate_per_s=1.0, burst=2.0),), may_send_retry_after=False
-    )
-    refusals = [r for _ in range(40) for r in of_type(Reject, desk.ask(quota_plan=0)[1])]
-    assert refusals and all(r.retry_after_us == 0 for r in refusals)
+def test_no_retry_after_where_the_settings_allow_none() -> None:
+    driver = GatewayDriver(quota_plans=(SMALL_PLAN,), may_send_retry_after=False)
+    rejections = [r for _ in range(40) for r in of_type(Reject, driver.ask(quota_plan=0)[1])]
+    assert rejections and all(rejection.retry_after_us == 0 for rejection in rejections)
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -1,4 +1,4 @@
-"""A front door's desk for tests: settings, events and a gateway with its clock."""
+"""Settings, events and a gateway with its clock, for tests of the decisions."""
 
 from __future__ import annotations
 
@@ -118,8 +118,10 @@
         self.wakes: list[int] = []
         self.log: list[tuple[int, Action]] = []
         self.counts: dict[int, float] = {}
-        self.counter_answers, self.counter_takes, self.refusal = True, MS, Outcome.TIMED_OUT
-        self.others: float = 0.0  # what other gateways add to each name before it is read
+        self.counter_answers = True
+        self.counter_answer_us = MS
+        self.counter_failure = Outcome.TIMED_OUT  # while it does not answer
+        self.remote_demand = 0.0  # what other gateways add to each count before it is read
         self.next_request = 1
         self.attempts: dict[int, int] = {}
         self.give(EndpointListUpdate(UpdateKind.CACHED, 1, tuple(make_endpoint(n) for n in range(servers))))
@@ -137,11 +139,11 @@
     def _count(self, call: AddToCounter) -> list[Action]:
         if not self.counter_answers:
             return self.give(
-                CounterResult(call.counter_key, self.refusal, 0.0, self.settings.counter_timeout_us)
+                CounterResult(call.counter_key, self.counter_failure, 0.0, self.settings.counter_timeout_us)
             )
-        total = self.counts.get(call.counter_key, self.others) + call.amount
+        total = self.counts.get(call.counter_key, self.remote_demand) + call.amount
         self.counts[call.counter_key] = total
-        return self.give(CounterResult(call.counter_key, Outcome.OK, total, self.counter_takes))
+        return self.give(CounterResult(call.counter_key, Outcome.OK, total, self.counter_answer_us))
 
     def run(self, duration: int) -> list[Action]:
         """Let time pass; only wakes happen."""
