--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -82,6 +82,22 @@
         ]
 
 
+@socket_test
+async def test_changes_in_place_of_the_whole_list_are_not_taken_over() -> None:
+    """Discovery answers a fetch of the whole list with changes. There is nothing that they could change:
+    taken over, they would stand for a whole list and hide all other endpoints."""
+    script = no_actions()
+    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}"):
+        _, writer = await first_poll(discovery)
+        writer.write(delta(41, member("s-1", 9)))
+        reader, writer = await discovery.connection()
+        assert (await read_message(reader))[0].startswith(FETCH)
+        writer.write(snapshot(42, member("s-1", 9), member("s-2", 9)))
+        assert "index=42&" in (await read_message(reader))[0]
+        kinds = [update.kind for update in await script.wait_for(EndpointListUpdate, 2)]
+        assert kinds == [UpdateKind.CACHED, UpdateKind.SNAPSHOT]
+
+
 @socket_test
 async def test_a_watch_that_was_reset_goes_on_from_its_version() -> None:
     """The connection of a watch is reset. What we have is still good, so only later changes are asked for."""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -86,6 +86,17 @@
         assert path.is_file() and path.parent == PACKAGE / "decisions"
 
 
+def test_the_node_of_the_deploy_file_is_the_front_door_without_its_decisions() -> None:
+    """A module of the front door that the deploy file does not list would not be looked at as one."""
+    listed = [ROOT / path for path in DEPLOY["node"]]
+    assert all(path.exists() for path in listed)
+    elsewhere = {PACKAGE / "decisions", PACKAGE / "simulator"}
+    for module in MODULES:
+        if module == PACKAGE / "__init__.py" or elsewhere & set(module.parents):
+            continue
+        assert module in listed or set(module.parents) & set(listed), module
+
+
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT)))
 def test_imports_point_down_only(path: Path) -> None:
     names = {name.split(".")[1] for name in imported(path) if name.startswith("yardlane.")}
