--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -23,7 +23,7 @@
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
     config = load({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
     assert (config.listen[1], config.discovery[1], config.name) == (3, 2, "n7")
-    assert (config.classes, config.plans) == (("look", "file"), ("basic", "metered"))
+    assert (config.request_class_names, config.quota_plan_names) == (("look", "file"), ("basic", "metered"))
     assert config.zones == ("north", "south")
     with pytest.raises(ConfigError, match="not set"):
         load({})
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -44,9 +44,9 @@
     cached_endpoint_list: object | None
     """The endpoint list as an earlier process had it, in discovery's JSON."""
     settings: Settings
-    classes: tuple[str, ...]
-    """The names of the request classes, in the order of the settings; so are the three below."""
-    plans: tuple[str, ...]
+    request_class_names: tuple[str, ...]
+    """In the order of the settings, whose indices stand for them; so are the three below."""
+    quota_plan_names: tuple[str, ...]
     zones: tuple[str, ...]
     hardware_kinds: tuple[str, ...]
     connect_timeout_us: int
@@ -97,8 +97,8 @@
         descriptors=descriptors,
         cached_endpoint_list=document.get("known"),
         settings=settings,
-        classes=_read_names(reader, "profiles", len(settings.request_classes)),
-        plans=_read_names(reader, "packages", len(settings.quota_plans)),
+        request_class_names=_read_names(reader, "profiles", len(settings.request_classes)),
+        quota_plan_names=_read_names(reader, "packages", len(settings.quota_plans)),
         zones=_parse_list(nested.get("zones")),
         hardware_kinds=_parse_list(nested.get("kinds")),
         connect_timeout_us=reader.positive_integer(
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -102,11 +102,11 @@
         return cls(
             classes={
                 name.encode(): _class_rule(index, settings.request_classes[index])
-                for index, name in enumerate(config.classes)
+                for index, name in enumerate(config.request_class_names)
             },
             plans={
                 name.encode(): PlanRule(index, max_units(settings.quota_plans[index]))
-                for index, name in enumerate(config.plans)
+                for index, name in enumerate(config.quota_plan_names)
             },
             gateway_count=settings.gateway_count,
         )
