--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -171,3 +171,19 @@
     counter.connection.data_received(b"ok 2\r\n")
     assert transport.is_closed
     assert [result.total for result in counter.results] == [1.0]
+
+
+def test_a_connection_that_is_closed_gracefully_ends_with_its_last_answer() -> None:
+    """The counter moves. A written call is answered where it was written, and the connection closes with that
+    answer; an idle one closes at once. Otherwise each move would leave connections open for a while."""
+    counter = ConnectionOnManualClock()
+    counter.call()
+    transport = counter.connect()
+    assert counter.connection.close_gracefully() == [] and not transport.is_closed
+    counter.connection.data_received(b"ok 1\r\n")
+    assert transport.is_closed
+    assert counter.outcomes() == [Outcome.OK]
+    idle = ConnectionOnManualClock()
+    transport = idle.connect()
+    idle.connection.close_gracefully()
+    assert transport.is_closed
