--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,255 +1,151 @@
-"""Malformed input of clients ends with a plain 4xx at the front door."""
+"""Answers of a connection: in order, one for each request, and not lost at the connection's end."""
 
 import asyncio
-import logging
-import re
-from pathlib import Path
+import gc
+import weakref
 
 import pytest
-import uvloop
 
-from yardlane.decisions.actions import Reject
-from yardlane.decisions.events import RequestArrived
-from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S, ClientConnection
-from yardlane.proxy.client_request import ClientRequest
-from yardlane.proxy.client_state import ConnectionEvent, State
-from tests.loopback import Script, answer, ask, read_message, running, socket_test
-
-GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
-
-
-def post(length: str, body: bytes = b"") -> bytes:
-    return ask("file", Content_Length=length) + body
-
-
-@pytest.mark.parametrize(
-    ("request_bytes", "status"),
-    [
-        (GET + b"\r\n", 400),
-        (ask(X_Qos="unheard-of"), 400),
-        (ask(Plan="unheard-of"), 400),
-        (ask(X_Trace_Id=None), 400),
-        (ask(X_Trace_Id="a b"), 400),
-        (ask(Account="b4d65521"), 400),
-        (ask(Account="ffffffffffffffff"), 400),
-        (ask(Account="000000000000000g"), 400),
-        (ask(X_Expires_In="480"), 400),
-        (ask(X_Expires_In="-5m"), 400),
-        (ask(X_Expires_In="0m"), 400),
-        (ask(X_Expires_In="nanm"), 400),
-        (ask(Quota_Info="units=2,spread=1"), 400),
-        (ask(Quota_Info="units=0,spread=1,first=0"), 400),
-        (ask(Quota_Info="units=2,spread=9,first=0"), 400),
-        (ask(Quota_Info="units=2,spread=1,first=1"), 400),
-        (ask(Quota_Info="units=inf,spread=1,first=0"), 400),
-        (ask("file", Idempotency_Key=None), 400),
-        (ask().replace(b"GET", b"POST"), 405),
-        (ask("file").replace(b"POST", b"GET"), 405),
-        (ask().replace(b"Host: svc\r\n", b""), 400),
-        (ask().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
-        (ask(Content_Length="3") + b"abc", 400),
-        (post("70000", b"x" * 70_000), 413),
-        (post("-1"), 400),
-        (post("4x", b"1234"), 400),
-        (ask("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
-        (ask("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
-        (
-            ask("file", Content_Length=None, Transfer_Encoding="chunked").replace(
-                b"g: chunked", b"g: chunked\r\nContent-Length: 4"
-            )
-            + b"0\r\n\r\n",
-            400,
-        ),
-        *(
-            (ask("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
-            for odd in (
-                "gzip, chunked",
-                "chunked, identity",
-                "identity",
-                "xchunked",
-                "chunked;a=1",
-                "\x0bchunked",
-                "",
-            )
-        ),
-        *(
-            (ask("file", Content_Length=odd) + b"aa", 400)
-            for odd in (
-                "+2",
-                "-2",
-                "0x2",
-                "2 2",
-                "2, 2",
-                "",
-                "2\r\nContent-Length: 2",
-                "2\r\nContent-Length: 3",
-            )
-        ),
-        (post("12345678901", b""), 413),
-        (post("9" * 30, b""), 400),
-        (ask(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
-        (ask(Quota_Info="units=999999999,spread=1,first=0"), 400),
-        (ask(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
-        (b"hello\r\n\r\n", 400),
-        (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
-        (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
-        (GET + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
-    ],
+from yardlane.decisions.actions import Action, Reject
+from yardlane.decisions.events import Event, RequestArrived
+from yardlane.proxy.client_connection import MAX_PIPELINED, MAX_REJECTED_PIPELINED, REQUEST_TIMEOUT_S
+from yardlane.proxy.client_state import State
+from tests.client_side import (
+    HEALTH_CHECK,
+    ManualClock,
+    connect,
+    hold_all,
+    only_connection,
+    pipeline,
+    read_status,
+    read_to_end,
+    reject_each,
 )
-def test_malformed_input_never_reaches_the_module(request_bytes: bytes, status: int) -> None:
-    async def run() -> None:
-        script = Script(lambda event: [])
-        async with running(script) as door:
-            line, _, _ = await door.call(request_bytes)
-            assert line.split()[1] == str(status)
-            assert not [e for e in script.seen if isinstance(e, RequestArrived)]
-
-    async def limited() -> None:
-        async with asyncio.timeout(20):
-            await run()
-
-    uvloop.run(limited())
+from tests.loopback import Script, answer, ask, read_message, running, socket_test
 
+TOO_LARGE = ask("file", Content_Length="4000000") + b"x" * 4_000_000
 
-@socket_test
-async def test_a_whole_chunked_body_is_taken() -> None:
-    script = Script(lambda event: [Reject(event.request_id)] if isinstance(event, RequestArrived) else [])
-    async with running(script) as door:
-        request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
-        line, _, _ = await door.call(request + b"3\r\nabc\r\n0\r\n\r\n")
-        assert line.split()[1] == "429"
 
-
-@socket_test
-async def test_a_connection_outlives_a_well_framed_mistake() -> None:
-    script = Script(
-        lambda event: [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
-    )
-    async with running(script) as door:
-        reader, writer = await door.client()
-        writer.write(ask(Plan="unheard-of") + ask())
-        assert (await read_message(reader))[0].split()[1] == "400"
-        line, headers, _ = await read_message(reader)
-        assert (line.split()[1], headers["retry-after"]) == ("429", "0.250")
+def test_the_test_peers_write_the_response_they_are_asked_for() -> None:
+    assert answer(204, b"", "A: b\r\n") == b"HTTP/1.1 204 X\r\nContent-Length: 0\r\nA: b\r\n\r\n"
 
 
 @socket_test
-async def test_pipelined_answers_keep_their_order_and_each_comes_once() -> None:
-    held: list[int] = []
+async def test_pipelined_requests_are_answered_once_and_in_order() -> None:
+    """The decisions answer three requests in the reverse order, and each answer waits for its turn."""
+    arrived: list[int] = []
 
-    def last_first(event: object) -> list[Reject]:
+    def reject_last_first(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
-            held.append(event.request_id)
-        return [Reject(n, n * 1000) for n in reversed(held)] if len(held) == 3 else []
+            arrived.append(event.request_id)
+        return [Reject(n, n * 1000) for n in reversed(arrived)] if len(arrived) == 3 else []
 
-    async with running(Script(last_first)) as door:  # type: ignore[arg-type]
-        reader, writer = await door.client()
+    async with running(Script(reject_last_first)) as proxy:
+        reader, writer = await proxy.client()
         writer.write(ask(trace="1") + ask(trace="2") + ask(trace="3"))
-        told = [(await read_message(reader))[1]["retry-after"] for _ in range(3)]
-        assert told == ["0.001", "0.002", "0.003"]
-        writer.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")  # nothing stands between
-        assert (await read_message(reader))[0].split()[1] == "503"
-
-
-def test_the_peers_of_these_tests_write_what_they_mean() -> None:
-    assert answer(204, b"", "A: b\r\n") == b"HTTP/1.1 204 X\r\nContent-Length: 0\r\nA: b\r\n\r\n"
+        retry_after = [(await read_message(reader))[1]["retry-after"] for _ in range(3)]
+        assert retry_after == ["0.001", "0.002", "0.003"]
+        writer.write(HEALTH_CHECK)  # nothing stands between
+        assert await read_status(reader) == "503"
 
 
 @socket_test
-async def test_a_client_still_sending_can_read_why_it_was_turned_away() -> None:
-    # A close with bytes unread resets the connection and may take the answer along.
-    async with running(Script(lambda event: [])) as door:
-        reader, writer = await door.client()
-        writer.write(ask("file", Content_Length="4000000") + b"x" * 4_000_000)
-        assert (await read_message(reader))[0].split()[1] == "413"
-        assert await reader.read() == b""
-
-
-@socket_test
-async def test_a_client_is_not_slow_while_the_front_door_stood_still() -> None:
-    script = Script(lambda event: [Reject(event.request_id)] if isinstance(event, RequestArrived) else [])
-    async with running(script) as door:
-        side = door.program.clients
-        reader, writer = await door.client()
-        writer.write(ask()[:-4])
-        while not side.has_pending_work():
-            await asyncio.sleep(0)
-        stood = side.now() + 100.0
-        side.now = lambda: stood
-        side._reap_on_time()  # the rest may be here, and unread
-        writer.write(ask()[-4:])
-        assert (await read_message(reader))[0].split()[1] == "429"
-        writer.write(ask()[:-4])
-        while not side.has_pending_work():
+async def test_the_pipelining_limit_holds_within_one_read() -> None:
+    """More requests come in one read than a connection may have pending: the others are rejected at once."""
+    script = Script(hold_all)
+    async with running(script) as proxy:
+        reader, writer = await proxy.client()
+        writer.write(pipeline(MAX_PIPELINED + 20))
+        await script.wait_for(RequestArrived, MAX_PIPELINED)
+        connection = only_connection(proxy)
+        while len(connection.pending) < MAX_PIPELINED + 20:
             await asyncio.sleep(0)
-        side.reap_due_s = stood + REQUEST_TIMEOUT_S
-        side.now = lambda: stood + REQUEST_TIMEOUT_S + 0.1
-        side._reap_on_time()
-        assert (await read_message(reader))[0].split()[1] == "408"
+        assert len(proxy.program.door.requests) == MAX_PIPELINED
+        for request_id in list(proxy.program.door.requests):
+            proxy.program.door._apply(Reject(request_id))
+        statuses = [await read_status(reader) for _ in range(MAX_PIPELINED + 20)]
+        assert statuses == ["429"] * MAX_PIPELINED + ["503"] * 20
 
 
-# The table of docs/design.md: the state after each change; a dot is a change that the state never meets.
-DESIGN = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
-STATES = re.search(r"^\| \| (ACCEPTED .*) \|$", DESIGN, re.M)
-ROWS = {name: row.split(" | ") for name, row in re.findall(r"^\| .* \((\w+)\) \| (.*) \|$", DESIGN, re.M)}
+@socket_test
+async def test_hundreds_of_pipelined_requests_end_the_connection() -> None:
+    """A client writes hundreds of requests without reading: their answers must not fill the memory."""
+    async with running(Script(reject_each)) as proxy:
+        reader, writer = await proxy.client()
+        writer.write(pipeline(600))
+        answers = await read_to_end(reader)
+        assert 0 < answers.count(b"HTTP/1.1 ") <= 2 * (MAX_PIPELINED + MAX_REJECTED_PIPELINED)
 
 
 @socket_test
-async def test_a_connection_meets_only_what_its_table_names() -> None:
-    assert STATES is not None and STATES[1].split(" | ") == [state.name for state in State]
-    assert list(ROWS) == [event.name for event in ConnectionEvent]
-    faults: list[str] = []
-    handler = logging.Handler()
-    handler.emit = lambda record: faults.append(record.getMessage())  # type: ignore[method-assign]
-    logging.getLogger("yardlane.proxy.client_connection").addHandler(handler)
-    async with running(Script(lambda event: [])) as door:
-        side = door.program.clients
-        for event, row in zip(ConnectionEvent, ROWS.values(), strict=True):
-            for state, told in zip(State, row, strict=True):
-                client, after = ClientConnection(side), State[told] if told != "." else state
-                client.state, side.connections[client] = state, None
-                client.pending.append(ClientRequest(client))
-                assert client._apply(event) is (after is not state)
-                assert client.state is after
-                wrong = [f"a client connection in state {state.name} met event {event.name}"] * (told == ".")
-                assert faults == wrong  # never in silence
-                faults.clear()
-                ends = after is not state and after in (State.CLOSING, State.CLOSED)
-                assert bool(client.pending) is not ends
-                assert (client in side.connections) is not (ends and after is State.CLOSED)
-                side.connections.pop(client, None)
-    logging.getLogger("yardlane.proxy.client_connection").removeHandler(handler)
+async def test_a_client_still_sending_can_read_why_it_was_rejected() -> None:
+    """A close with bytes unread resets the connection and may take the answer along."""
+    async with running(Script(hold_all)) as proxy:
+        reader, writer = await proxy.client()
+        writer.write(TOO_LARGE)
+        assert await read_status(reader) == "413"
+        assert await reader.read() == b""
 
 
 @socket_test
-async def test_a_client_that_reads_its_last_answer_is_not_closed_once_more_at_the_end() -> None:
-    # A close with bytes unread resets the connection.
-    async with running(Script(lambda event: [])) as door:
-        side = door.program.clients
-        reader, writer = await door.client()
-        writer.write(ask("file", Content_Length="4000000") + b"x" * 4_000_000)
-        while not any(client.state is State.CLOSING for client in side.connections):
+async def test_draining_does_not_close_a_connection_that_is_already_closing() -> None:
+    """A client still sends as its last answer is written, and the proxy closes idle connections.
+
+    A second close with bytes unread would reset the connection, and the answer would be lost.
+    """
+    async with running(Script(hold_all)) as proxy:
+        server = proxy.program.clients
+        reader, writer = await proxy.client()
+        writer.write(TOO_LARGE)
+        while not any(connection.state is State.CLOSING for connection in server.connections):
             await asyncio.sleep(0)
-        side.close_idle()
-        [client] = side.connections
-        assert client.transport is not None and not client.transport.is_closing()
-        assert (await read_message(reader))[0].split()[1] == "413"
+        server.close_idle()
+        connection = only_connection(proxy)
+        assert connection.transport is not None and not connection.transport.is_closing()
+        assert await read_status(reader) == "413"
         assert await reader.read() == b""
 
 
 @socket_test
-async def test_what_comes_behind_the_last_request_ends_none_ahead_of_it() -> None:
-    script = Script(lambda event: [])
-    async with running(script) as door:
-        side = door.program.clients
-        reader, writer = await door.client()
+async def test_a_partial_request_behind_the_last_one_does_not_end_those_ahead() -> None:
+    """While draining, the answer to the second request is to be the last, with half a third one behind it.
+
+    The half is never completed. Its timeout must not end the first request, which is still pending.
+    """
+    script = Script(hold_all)
+    async with running(script) as proxy:
+        server = proxy.program.clients
+        reader, writer = await proxy.client()
         writer.write(ask(trace="a") + ask(trace="b") + ask(trace="c")[:-4])
         await script.wait_for(RequestArrived, 2)
-        side.is_draining = True
-        door.program.door._apply(Reject(2))  # the newest that is whole: nothing is read behind it
-        late = side.now() + REQUEST_TIMEOUT_S + 0.1
-        side.now = lambda: late
-        side.reap()
-        door.program.door._apply(Reject(1))
-        assert [(await read_message(reader))[0].split()[1] for _ in range(2)] == ["429", "429"]
+        server.is_draining = True
+        proxy.program.door._apply(Reject(2))
+        ManualClock(server, server.now()).advance(REQUEST_TIMEOUT_S + 0.1)
+        proxy.program.door._apply(Reject(1))
+        assert [await read_status(reader) for _ in range(2)] == ["429", "429"]
         assert await reader.read() == b""
+
+
+@pytest.mark.parametrize("sent", [b"", ask()[:40], b"noise\r\n\r\n", ask(Plan="unheard-of") + ask()[:40]])
+def test_a_closed_connection_leaves_nothing_for_the_garbage_collector(sent: bytes) -> None:
+    """Parser, connection and errors refer to each other.
+
+    Left as a cycle they stay until the collector runs, whose pauses grow with all that waits for it.
+    """
+
+    @socket_test
+    async def run() -> None:
+        async with running(Script(hold_all)) as proxy:
+            gc.disable()
+            try:
+                [(_, writer)] = await connect(proxy, 1)
+                connection = weakref.ref(only_connection(proxy))
+                writer.write(sent)
+                await asyncio.sleep(0.01)  # the proxy reads it
+                writer.transport.abort()
+                while connection() is not None:
+                    await asyncio.sleep(0)
+            finally:
+                gc.enable()
+
+    run()
--- /dev/null
+++ b/tests/proxy/test_client_server.py
@@ -0,0 +1,83 @@
+"""Who makes room where all connections are taken, and what happens where descriptors run out."""
+
+import asyncio
+
+from yardlane.decisions.events import RequestArrived
+from yardlane.proxy.listener import Listener
+from tests.client_side import ManualClock, connect, hold_all, read_to_end, reject_each
+from tests.loopback import Script, ask, read_message, running, socket_test
+
+
+@socket_test
+async def test_silent_connections_make_room_and_busy_ones_do_not() -> None:
+    """Silent clients take all connections: each new one ends a silent one, until all are busy."""
+    script = Script(hold_all)
+    async with running(script) as proxy:
+        server = proxy.program.clients
+        server.max_connections = 4
+        first, *_ = await connect(proxy, 4)
+        _, to_proxy = await proxy.client()  # ends the one that has been silent for longest
+        to_proxy.write(ask(trace="a0"))
+        assert await read_to_end(first[0]) == b""
+        await script.wait_for(RequestArrived)
+        for n in range(1, 4):
+            _, to_proxy = await proxy.client()
+            to_proxy.write(ask(trace=f"a{n}"))
+            await script.wait_for(RequestArrived, n + 1)
+        newest, _ = await proxy.client()
+        assert await read_to_end(newest) == b""
+        assert len(server.connections) == 4 and all(c.pending for c in server.connections)
+
+
+@socket_test
+async def test_a_full_server_ends_the_longest_idle_but_not_before_two_seconds() -> None:
+    """A client that was answered a moment ago may have its next request on the way."""
+    async with running(Script(reject_each)) as proxy:
+        server = proxy.program.clients
+        clock = ManualClock(server)
+        readers = []
+        for n in range(2):
+            reader, writer = await proxy.client()
+            writer.write(ask(trace=f"a{n}"))
+            await read_message(reader)
+            readers.append(reader)
+            clock.time_s += 0.1
+        server.max_connections = 2
+        clock.time_s += 1.75
+        newest, _ = await proxy.client()
+        assert await read_to_end(newest) == b""
+        clock.time_s += 0.1
+        await proxy.client()
+        assert await read_to_end(readers[0]) == b""
+        while len(server.connections) < 2:
+            await asyncio.sleep(0)
+
+
+@socket_test
+async def test_accepting_resumes_after_descriptors_ran_out() -> None:
+    """The kernel refuses a descriptor once: the waiting connection is accepted after a pause."""
+    loop = asyncio.get_running_loop()
+    async with running(Script(hold_all)) as proxy:
+        listener: Listener = proxy.program.clients.listener
+        assert listener.socket is not None
+        real = listener.socket
+        accepts = 0
+
+        class SocketWithoutDescriptors:
+            """The listening socket; its first accept fails."""
+
+            def __getattr__(self, name: str) -> object:
+                return getattr(real, name)
+
+            def accept(self) -> object:
+                nonlocal accepts
+                accepts += 1
+                if accepts == 1:
+                    raise OSError(24, "Too many open files")
+                return real.accept()
+
+        loop.remove_reader(real)
+        listener.socket = SocketWithoutDescriptors()  # type: ignore[assignment]
+        loop.add_reader(real, listener._accept)
+        await connect(proxy, 1)
+        assert accepts >= 2
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients that would take every descriptor while discovery is down. The program is a process."""
+"""The descriptors of a process are divided so that no kind of connection can take those of another."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,8 @@
 
 import pytest
 
-from yardlane.descriptors import divide
+from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
+from tests.client_side import HEALTH_CHECK
 from tests.loopback import (
     Peer,
     Streams,
@@ -27,58 +28,58 @@
 )
 from tests.proxy.test_proxy import free_port, start
 
-HELD = 128  # descriptors that the process may hold
-PLACES = divide(HELD).clients
-COUNTED = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
-HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
+DESCRIPTORS = 128  # that the process may hold
+MAX_CLIENTS = divide(DESCRIPTORS).clients
+WITH_COUNTER = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
 
-class Crowd:
-    """Clients that connect and stay; every third has asked something before, and was answered."""
+class IdleClients:
+    """Clients that connect and stay; every third has sent a health check before, and was answered."""
 
     def __init__(self, port: int) -> None:
-        self.port, self.ended = port, 0
+        self.port = port
+        self.ended_count = 0
         self.changed = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def come(self, count: int) -> None:
-        """Until all have been accepted: the front door has ended those for whom it has no place."""
+    async def connect(self, count: int) -> None:
+        """Until all have been accepted: the proxy has ended those for whom it has no connection left."""
         self.tasks += [asyncio.create_task(self._stay(n)) for n in range(count)]
-        while len(self.tasks) - self.ended > PLACES:
+        while len(self.tasks) - self.ended_count > MAX_CLIENTS:
             self.changed.clear()
             await self.changed.wait()
 
     async def _stay(self, n: int) -> None:
-        reader, writer = await self._connect()
+        reader, writer = await self._open()
         with contextlib.suppress(ConnectionError):
             if n % 3 == 0:
-                writer.write(HEALTH)
+                writer.write(HEALTH_CHECK)
             while await reader.read(1000):
                 pass
         writer.transport.abort()
-        self.ended += 1
+        self.ended_count += 1
         self.changed.set()
 
-    async def _connect(self) -> Streams:
+    async def _open(self) -> Streams:
         while True:  # from before the process listens
             try:
                 return await asyncio.open_connection("127.0.0.1", self.port)
             except ConnectionRefusedError:
                 await asyncio.sleep(0.01)
 
-    async def leave(self) -> None:
+    async def cancel(self) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def serve_list(discovery: Peer, told: dict[str, Any], watched: asyncio.Event) -> None:
-    """The whole list to whoever asks for it, also to who waits already; a watch hears nothing."""
+async def serve_list(discovery: Peer, endpoint_list: dict[str, Any], watched: asyncio.Event) -> None:
+    """Answer polls with the endpoint list, also those that wait already; a watch gets no answer."""
 
     async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while "index=" not in (await read_message(reader))[0]:
-                writer.write(answer(200, as_json(told)))
+                writer.write(answer(200, as_json(endpoint_list)))
             watched.set()
 
     async with asyncio.TaskGroup() as group:
@@ -87,6 +88,8 @@
 
 
 async def serve_counter(counter: Peer, calls: list[bytes]) -> None:
+    """Answer each line, and keep it."""
+
     async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             calls.append(line)
@@ -97,10 +100,10 @@
             group.create_task(one(*await counter.connection()))
 
 
-async def call(port: int, *backends: Peer) -> None:
-    """A new client each; all are served, each backend has at least one of them before any is answered."""
+async def send_requests(port: int, *backends: Peer) -> None:
+    """A new client for each backend; no backend responds before all have a request."""
 
-    async def one(n: int) -> bytes:
+    async def send(n: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(ask(trace=f"t{n}", Plan="metered", Account=f"{n:016x}"))
         line, _, body = await read_message(reader)
@@ -108,35 +111,50 @@
         assert line == "HTTP/1.1 200 OK"
         return body
 
-    async def take(backend: Peer) -> None:
+    async def serve(backend: Peer) -> None:
         reader, writer = await backend.connection()
         await read_message(reader)
-        met.append(backend)
-        while len(met) < len(backends):
+        reached.append(backend)
+        while len(reached) < len(backends):
             await asyncio.sleep(0.01)
         writer.write(answer(200, b"first"))
 
-    met: list[Peer] = []
-    calls = asyncio.gather(*(one(n) for n in range(len(backends))))
-    await asyncio.gather(*(take(backend) for backend in backends))
-    assert await calls == [b"first"] * len(backends)
+    reached: list[Peer] = []
+    responses = asyncio.gather(*(send(n) for n in range(len(backends))))
+    await asyncio.gather(*(serve(backend) for backend in backends))
+    assert await responses == [b"first"] * len(backends)
+
+
+def kill(process: Process) -> None:
+    if process.returncode is None:
+        process.kill()
 
 
-def end(door: Process) -> None:
-    if door.returncode is None:
-        door.kill()
+def test_the_connection_limits_stay_within_the_descriptors() -> None:
+    for descriptors in (256, 384, 512, 1024):
+        limits = divide(descriptors)
+        assert limits.clients + limits.upstreams + RESERVED_DESCRIPTORS <= descriptors
+        assert limits.clients >= descriptors // 3 and limits.upstreams >= descriptors // 3
 
 
-@pytest.mark.parametrize("told", [HELD, 1024])  # by the configuration
-@pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses while it is down
-def test_a_crowd_while_discovery_is_down_takes_no_descriptor_that_others_need(
-    is_silent: bool, told: int, tmp_path: Path
+@pytest.mark.parametrize("configured", [DESCRIPTORS, 1024])
+@pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses connections while it is down
+def test_idle_clients_take_no_descriptor_that_others_need_while_discovery_is_down(
+    is_silent: bool, configured: int, tmp_path: Path
 ) -> None:
+    """Idle clients fill the proxy while it cannot reach discovery; then discovery returns, and later moves.
+
+    Were the clients to hold every descriptor, the proxy could reach neither discovery nor counter nor any
+    backend, and would stay so: each descriptor that becomes free is taken by the next client. That holds too
+    where the configuration names more descriptors than the process may hold.
+    """
+
     @socket_test
     async def run() -> None:
         async with AsyncExitStack() as stack:
             one, two, three, counter, moved = [await stack.enter_async_context(Peer()) for _ in range(5)]
-            discovery, port = Peer(), await free_port()
+            discovery = Peer()
+            port = await free_port()
             if is_silent:
                 await stack.enter_async_context(discovery)
             config = {
@@ -144,46 +162,40 @@
                 "discovery": f"127.0.0.1:{discovery.port}",
                 "seed": "1f",
                 "counter": f"127.0.0.1:{counter.port}",
-                "limits": {"sockets": told},
-                "settings": COUNTED,
+                "limits": {"sockets": configured},
+                "settings": WITH_COUNTER,
             }
-            crowd = Crowd(port)
-            stack.push_async_callback(crowd.leave)
-            coming = asyncio.create_task(crowd.come(3 * HELD))
-            door = await start(tmp_path / "config.json", config, HELD)
-            stack.callback(end, door)
-            await coming
+            idle_clients = IdleClients(port)
+            stack.push_async_callback(idle_clients.cancel)
+            connecting = asyncio.create_task(idle_clients.connect(3 * DESCRIPTORS))
+            process = await start(tmp_path / "config.json", config, DESCRIPTORS)
+            stack.callback(kill, process)
+            await connecting
             if not is_silent:
                 await stack.enter_async_context(discovery)
             calls: list[bytes] = []
-            helpers = [asyncio.create_task(serve_counter(counter, calls))]
-            for place, members in ((discovery, (one, two)), (moved, (three,))):
-                if place is moved:
+            peers = [asyncio.create_task(serve_counter(counter, calls))]
+            for serving, backends in ((discovery, (one, two)), (moved, (three,))):
+                if serving is moved:
                     config["discovery"] = f"127.0.0.1:{moved.port}"
                     (tmp_path / "config.json").write_text(json.dumps(config))
-                    await crowd.come(HELD)
-                    door.send_signal(signal.SIGHUP)
+                    await idle_clients.connect(DESCRIPTORS)
+                    process.send_signal(signal.SIGHUP)
+                endpoint_list = whole_list(*(member(f"s-{peer.port}", peer.port) for peer in backends))
                 watched = asyncio.Event()
-                helpers.append(
-                    asyncio.create_task(
-                        serve_list(
-                            place,
-                            whole_list(*(member(f"s-{peer.port}", peer.port) for peer in members)),
-                            watched,
-                        )
-                    )
-                )
+                peers.append(asyncio.create_task(serve_list(serving, endpoint_list, watched)))
                 await watched.wait()
-                await crowd.come(HELD)  # all places are taken again
-                await call(port, *members)
-            door.send_signal(signal.SIGTERM)
-            _, errors = await door.communicate()
-            for helper in helpers:
-                assert not helper.done(), helper
-                helper.cancel()
+                await idle_clients.connect(DESCRIPTORS)  # all connections are taken again
+                await send_requests(port, *backends)
+            process.send_signal(signal.SIGTERM)
+            _, errors = await process.communicate()
+            for peer in peers:
+                assert not peer.done(), peer
+                peer.cancel()
         log = errors.decode()
-        assert door.returncode == 0 and any(line.startswith(b"tally ") for line in calls)
+        assert process.returncode == 0 and any(line.startswith(b"tally ") for line in calls)
         assert not re.search("Traceback|Too many open files|cannot accept|dropped", log), log
-        assert log.count("limits.sockets is 1024, but this process may hold 128") == (told > HELD), log
+        warnings = log.count("limits.sockets is 1024, but this process may hold 128")
+        assert warnings == (configured > DESCRIPTORS), log
 
     run()
--- /dev/null
+++ b/tests/proxy/test_late_connections.py
@@ -0,0 +1,190 @@
+"""A connection to a backend that comes up late carries only what may still be sent.
+
+While a connection comes up, the request may get its final answer from elsewhere, its endpoint may drain, or
+the time in which it may be sent may pass. Sent after that, it would run twice or against the promise given.
+"""
+
+import asyncio
+
+import pytest
+
+from yardlane.decisions.actions import Action, Fail, StartAttempt
+from yardlane.decisions.events import AttemptEnded, Event, Outcome
+from tests.client_side import (
+    HEALTH_CHECK,
+    PATIENT_CLASSES,
+    all_released,
+    attempt_each,
+    read_status,
+    running_with_backend,
+)
+from tests.loopback import (
+    LIMIT,
+    DelayedConnections,
+    Peer,
+    Script,
+    answer,
+    as_json,
+    ask,
+    member,
+    read_message,
+    running,
+    send_all,
+    settings,
+    socket_test,
+    whole_list,
+)
+
+
+@socket_test
+async def test_a_hedged_request_still_connecting_when_the_first_is_answered_is_never_written() -> None:
+    """Two attempts run at once, and the second still connects as the first brings the answer."""
+    script = Script(attempt_each(b"s-1", b"s-2"))
+    async with (
+        Peer() as first,
+        Peer() as second,
+        running(script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as proxy,
+    ):
+        delayed = DelayedConnections(proxy, second.port)
+        client, to_proxy = await proxy.client()
+        to_proxy.write(ask())
+        reader, writer = await first.connection()
+        await read_message(reader)
+        writer.write(answer())
+        assert await read_status(client) == "200"
+        delayed.may_connect.set()
+        ends = await script.wait_for(AttemptEnded, 2)
+        assert {e.attempt_index: (e.outcome, e.request_ended) for e in ends} == {
+            0: (Outcome.OK, True),
+            1: (Outcome.NOT_SENT, True),
+        }
+        await proxy.call(HEALTH_CHECK)
+        assert second.accepted.empty()
+
+
+@socket_test
+async def test_an_attempt_still_connecting_at_the_final_answer_is_never_written() -> None:
+    """The decisions give the request up while its one attempt still connects."""
+    script = Script(send_all)
+    async with running_with_backend(script) as (proxy, backend):
+        delayed = DelayedConnections(proxy, backend.port)
+        client, to_proxy = await proxy.client()
+        to_proxy.write(ask())
+        await delayed.requested.wait()
+        proxy.program.door._apply(Fail(1))
+        assert await read_status(client) == "502"
+        delayed.may_connect.set()
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
+        await all_released(proxy)
+        assert backend.accepted.empty()
+
+
+@socket_test
+async def test_an_endpoint_that_begins_to_drain_gets_nothing_that_still_connects() -> None:
+    """An endpoint begins to drain while an attempt connects to it: the attempt goes to another one."""
+
+    def retry_at_the_next(event: Event) -> list[Action]:
+        if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_CONNECTED:
+            return [StartAttempt(event.request_id, b"s-2")]
+        return send_all(event)
+
+    script = Script(retry_at_the_next)
+    async with Peer() as one, Peer() as two, Peer() as discovery:
+        first, second = member("s-1", one.port), member("s-2", two.port)
+        async with running(
+            script, known=whole_list(first, second), discovery=f"127.0.0.1:{discovery.port}"
+        ) as proxy:
+            proxy.program.pool.connect_timeout_s = LIMIT
+            from_proxy, to_discovery_client = await discovery.connection()
+            await read_message(from_proxy)
+            delayed = DelayedConnections(proxy, one.port)
+            client, to_proxy = await proxy.client()
+            to_proxy.write(ask())
+            await delayed.requested.wait()
+            update = whole_list({**first, "phase": "Terminating"}, second)
+            to_discovery_client.write(answer(200, as_json(update)))
+            reader, writer = await two.connection()
+            await read_message(reader)
+            writer.write(answer())
+            assert await read_status(client) == "200"
+            delayed.may_connect.set()
+            await proxy.call(HEALTH_CHECK)
+            assert one.accepted.empty()
+
+
+@socket_test
+async def test_a_connection_up_as_its_timeout_ends_serves_what_was_written() -> None:
+    """A connection comes up and is used, but the loop says so only after the time to connect is over.
+
+    The timeout must not end the attempt: its request has been written.
+    """
+    script = Script(send_all)
+    async with running_with_backend(script) as (proxy, backend):
+        pool = proxy.program.pool
+        pool.connect_timeout_s = 0.05
+        delayed = DelayedConnections(proxy, backend.port)
+        delayed.may_connect.set()
+        delayed.may_return = asyncio.Event()
+        client, to_proxy = await proxy.client()
+        to_proxy.write(ask())
+        reader, writer = await backend.connection()
+        await read_message(reader)
+        timed_out_at = delayed.loop.time() + 2 * pool.connect_timeout_s
+        while delayed.loop.time() < timed_out_at:
+            await asyncio.sleep(0)
+        writer.write(answer())
+        assert await read_status(client) == "200"
+        delayed.may_return.set()
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.OK]
+
+
+@pytest.mark.parametrize("has_timer", [True, False])  # else the proxy stalled, and the timer is not due yet
+def test_a_retry_whose_idempotency_window_is_over_is_never_written(has_timer: bool) -> None:
+    """An idempotency key holds for a time from the first attempt; this connection takes longer."""
+
+    async def run() -> None:
+        script = Script(attempt_each(b"s-1", begin_within_us=30_000))
+        async with running_with_backend(script, settings=settings(profiles=PATIENT_CLASSES)) as (
+            proxy,
+            backend,
+        ):
+            proxy.program.pool.connect_timeout_s = LIMIT
+            delayed = DelayedConnections(proxy, backend.port)
+            _, to_proxy = await proxy.client()
+            to_proxy.write(ask("file", X_Expires_In="60000m"))
+            await delayed.requested.wait()
+            if has_timer:
+                [ended] = await script.wait_for(AttemptEnded)
+                assert not ended.request_ended
+            else:
+                [request] = proxy.program.door.requests.values()
+                assert request.attempts[0].send_by_timer is not None
+                request.attempts[0].send_by_timer.cancel()
+                proxy.program.door.clock.offset += 10**9
+            delayed.may_connect.set()
+            assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
+            proxy.program.door._apply(Fail(1))
+            await all_released(proxy)
+            assert backend.accepted.empty() or not await (await backend.connection())[0].read()
+
+    socket_test(run)()
+
+
+@socket_test
+async def test_a_retry_written_within_its_window_keeps_its_whole_timeout() -> None:
+    """The bound is for the writing alone: an attempt that is written in time waits for its response."""
+    script = Script(send_all)
+    async with running_with_backend(script) as (proxy, backend):
+        proxy.program.pool.reuse.quarantine_s = 0.0
+        client, to_proxy = await proxy.client()
+        to_proxy.write(ask("file"))
+        reader, writer = await backend.connection()
+        await read_message(reader)
+        writer.write(answer())
+        await read_message(client)
+        script.reply = attempt_each(b"s-1", begin_within_us=1)
+        to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
+        await read_message(reader)
+        proxy.program.door.requests[2].attempts[0].on_send_by()  # as its timer comes
+        writer.write(answer())
+        assert await read_status(client) == "200"
--- /dev/null
+++ b/tests/proxy/test_request_parser.py
@@ -0,0 +1,166 @@
+"""What a client's bytes are read as, and the answer to those that are no valid request."""
+
+import pytest
+
+from yardlane.decisions.actions import Action, Reject
+from yardlane.decisions.events import Event, RequestArrived
+from tests.client_side import attempt_each, hold_all, read_status, reject_each, running_with_backend
+from tests.loopback import Script, answer, ask, read_message, running, socket_test
+
+GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
+
+
+def post(length: str, body: bytes = b"") -> bytes:
+    return ask("file", Content_Length=length) + body
+
+
+@pytest.mark.parametrize(
+    ("request_bytes", "status"),
+    [
+        (GET + b"\r\n", 400),
+        (ask(X_Qos="unheard-of"), 400),
+        (ask(Plan="unheard-of"), 400),
+        (ask(X_Trace_Id=None), 400),
+        (ask(X_Trace_Id="a b"), 400),
+        (ask(Account="b4d65521"), 400),
+        (ask(Account="ffffffffffffffff"), 400),
+        (ask(Account="000000000000000g"), 400),
+        (ask(X_Expires_In="480"), 400),
+        (ask(X_Expires_In="-5m"), 400),
+        (ask(X_Expires_In="0m"), 400),
+        (ask(X_Expires_In="nanm"), 400),
+        (ask(Quota_Info="units=2,spread=1"), 400),
+        (ask(Quota_Info="units=0,spread=1,first=0"), 400),
+        (ask(Quota_Info="units=2,spread=9,first=0"), 400),
+        (ask(Quota_Info="units=2,spread=1,first=1"), 400),
+        (ask(Quota_Info="units=inf,spread=1,first=0"), 400),
+        (ask("file", Idempotency_Key=None), 400),
+        (ask().replace(b"GET", b"POST"), 405),
+        (ask("file").replace(b"POST", b"GET"), 405),
+        (ask().replace(b"Host: svc\r\n", b""), 400),
+        (ask().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
+        (ask(Content_Length="3") + b"abc", 400),
+        (post("70000", b"x" * 70_000), 413),
+        (post("-1"), 400),
+        (post("4x", b"1234"), 400),
+        (ask("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
+        (ask("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
+        (
+            ask("file", Content_Length=None, Transfer_Encoding="chunked").replace(
+                b"g: chunked", b"g: chunked\r\nContent-Length: 4"
+            )
+            + b"0\r\n\r\n",
+            400,
+        ),
+        *(
+            (ask("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
+            for odd in (
+                "gzip, chunked",
+                "chunked, identity",
+                "identity",
+                "xchunked",
+                "chunked;a=1",
+                "\x0bchunked",
+                "",
+            )
+        ),
+        *(
+            (ask("file", Content_Length=odd) + b"aa", 400)
+            for odd in (
+                "+2",
+                "-2",
+                "0x2",
+                "2 2",
+                "2, 2",
+                "",
+                "2\r\nContent-Length: 2",
+                "2\r\nContent-Length: 3",
+            )
+        ),
+        (post("12345678901", b""), 413),
+        (post("9" * 30, b""), 400),
+        (ask(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
+        (ask(Quota_Info="units=999999999,spread=1,first=0"), 400),
+        (ask(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
+        (b"hello\r\n\r\n", 400),
+        (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
+        (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
+        (GET + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
+    ],
+)
+def test_malformed_requests_never_reach_the_decisions(request_bytes: bytes, status: int) -> None:
+    """A client sends what the protocol does not allow, or what two readers could read in two ways."""
+
+    @socket_test
+    async def run() -> None:
+        script = Script(hold_all)
+        async with running(script) as proxy:
+            line, _, _ = await proxy.call(request_bytes)
+            assert line.split()[1] == str(status)
+            assert not [e for e in script.seen if isinstance(e, RequestArrived)]
+
+    run()
+
+
+@socket_test
+async def test_a_complete_chunked_body_is_accepted() -> None:
+    async with running(Script(reject_each)) as proxy:
+        request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
+        line, _, _ = await proxy.call(request + b"3\r\nabc\r\n0\r\n\r\n")
+        assert line.split()[1] == "429"
+
+
+@socket_test
+async def test_trailers_are_not_read_as_headers() -> None:
+    """A trailer behind a chunked body names another trace id: it must not replace that of the head."""
+    async with running_with_backend(Script(attempt_each(b"s-1"))) as (proxy, backend):
+        _, to_proxy = await proxy.client()
+        to_proxy.write(
+            ask("file", Content_Length=None, Transfer_Encoding="chunked")
+            + b"3\r\nabc\r\n0\r\nX-Trace-Id: other\r\nX-More: 1\r\n\r\n"
+        )
+        reader, _ = await backend.connection()
+        _, headers, body = await read_message(reader)
+        assert (headers["x-trace-id"], body, "x-more" in headers) == ("ab12", b"abc", False)
+
+
+@socket_test
+async def test_the_time_left_is_bounded_by_the_deadline_of_the_class() -> None:
+    script = Script(hold_all)
+    async with running(script) as proxy:
+        _, to_proxy = await proxy.client()
+        to_proxy.write(ask(X_Expires_In="3000000m"))
+        [arrival] = await script.wait_for(RequestArrived)
+        assert arrival.time_left_us <= 10_000_000
+
+
+@socket_test
+async def test_the_trace_id_of_a_pending_request_is_rejected() -> None:
+    """Two clients use one trace id: with both pending, the answers could not be told apart."""
+    script = Script(attempt_each(b"s-1"))
+    async with running_with_backend(script) as (proxy, backend):
+        client, to_proxy = await proxy.client()
+        to_proxy.write(ask(trace="a1"))
+        reader, writer = await backend.connection()
+        await read_message(reader)
+        assert (await proxy.call(ask(trace="a1")))[0].split()[1] == "409"
+        writer.write(answer(200, b"mine"))
+        assert (await read_message(client))[2] == b"mine"
+        assert len(await script.wait_for(RequestArrived)) == 1
+        to_proxy.write(ask(trace="a1"))  # answered: the id may be used again
+        await script.wait_for(RequestArrived, 2)
+
+
+@socket_test
+async def test_a_connection_survives_a_well_framed_malformed_request() -> None:
+    """The client names an unknown plan, but where its next request begins is certain."""
+
+    def reject_for_a_quarter_second(event: Event) -> list[Action]:
+        return [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
+
+    async with running(Script(reject_for_a_quarter_second)) as proxy:
+        reader, writer = await proxy.client()
+        writer.write(ask(Plan="unheard-of") + ask())
+        assert await read_status(reader) == "400"
+        line, headers, _ = await read_message(reader)
+        assert (line.split()[1], headers["retry-after"]) == ("429", "0.250")
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -83,12 +83,12 @@
 
     __slots__ = (
         "_has_framing",
-        "_head_bytes",
         "_http",
         "_is_in_trailer",
         "_receiver",
         "body_bytes",
         "body_parts",
+        "head_bytes",
         "header_lines",
         "headers",
         "is_in_message",
@@ -107,7 +107,7 @@
         self.header_lines: list[bytes] = []  # those that are forwarded, as they came
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
-        self._head_bytes = 0
+        self.head_bytes = 0
         self._has_framing = False
         self._is_in_trailer = False
 
@@ -168,14 +168,14 @@
     def on_url(self, url: bytes) -> None:
         """A part of the target."""
         self.url += url
-        self._head_bytes += len(url)
-        if self._head_bytes > MAX_HEAD_BYTES:
+        self.head_bytes += len(url)
+        if self.head_bytes > MAX_HEAD_BYTES:
             raise _head_too_long()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A whole header, or one of the trailer of a chunked body."""
-        self._head_bytes += len(name) + len(value) + HEADER_LINE_EXTRA_BYTES
-        if self._head_bytes > MAX_HEAD_BYTES:
+        self.head_bytes += len(name) + len(value) + HEADER_LINE_EXTRA_BYTES
+        if self.head_bytes > MAX_HEAD_BYTES:
             raise _head_too_long()
         if self._is_in_trailer:
             return
