--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""The descriptors of a process are divided so that no kind of connection can take those of another."""
+"""File descriptors are divided so that no kind of connection takes those of another."""
 
 import asyncio
 import contextlib
@@ -22,86 +22,85 @@
     ask,
     member,
     read_message,
-    settings,
     socket_test,
     whole_list,
 )
-from tests.proxy.test_proxy import free_port, start
+from tests.counter_calls import settings_with_counter
+from tests.front_door_process import free_port, start_process
 
 DESCRIPTORS = 128  # that the process may hold
 MAX_CLIENTS = divide(DESCRIPTORS).clients
-WITH_COUNTER = settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000})
 
 
 class IdleClients:
-    """Clients that connect and stay; every third has sent a health check before, and was answered."""
+    """Clients that connect and stay; every third has sent a request before, and was answered."""
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.ended_count = 0
+        self.ended = 0
         self.changed = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
     async def connect(self, count: int) -> None:
-        """Until all have been accepted: the proxy has ended those for whom it has no connection left."""
+        """Until all have been accepted: the front door has closed those that are over its limit."""
         self.tasks += [asyncio.create_task(self._stay(n)) for n in range(count)]
-        while len(self.tasks) - self.ended_count > MAX_CLIENTS:
+        while len(self.tasks) - self.ended > MAX_CLIENTS:
             self.changed.clear()
             await self.changed.wait()
 
     async def _stay(self, n: int) -> None:
-        reader, writer = await self._open()
+        reader, writer = await self._open_connection()
         with contextlib.suppress(ConnectionError):
             if n % 3 == 0:
                 writer.write(HEALTH_CHECK)
             while await reader.read(1000):
                 pass
         writer.transport.abort()
-        self.ended_count += 1
+        self.ended += 1
         self.changed.set()
 
-    async def _open(self) -> Streams:
+    async def _open_connection(self) -> Streams:
         while True:  # from before the process listens
             try:
                 return await asyncio.open_connection("127.0.0.1", self.port)
             except ConnectionRefusedError:
                 await asyncio.sleep(0.01)
 
-    async def cancel(self) -> None:
+    async def disconnect(self) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def serve_list(discovery: Peer, endpoint_list: dict[str, Any], watched: asyncio.Event) -> None:
-    """Answer polls with the endpoint list, also those that wait already; a watch gets no answer."""
+async def serve_list(discovery: Peer, whole: dict[str, Any], watched: asyncio.Event) -> None:
+    """Answer each fetch with the whole list, also those that wait already; a watch gets no answer."""
 
-    async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while "index=" not in (await read_message(reader))[0]:
-                writer.write(answer(200, as_json(endpoint_list)))
+                writer.write(answer(200, as_json(whole)))
             watched.set()
 
     async with asyncio.TaskGroup() as group:
         while True:
-            group.create_task(one(*await discovery.connection()))
+            group.create_task(serve(*await discovery.connection()))
 
 
 async def serve_counter(counter: Peer, calls: list[bytes]) -> None:
-    """Answer each line, and keep it."""
+    """Answer each call, and note it in `calls`."""
 
-    async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             calls.append(line)
             writer.write(b"ok 1\r\n" if line.startswith(b"tally") else b"pong\r\n")
 
     async with asyncio.TaskGroup() as group:
         while True:
-            group.create_task(one(*await counter.connection()))
+            group.create_task(serve(*await counter.connection()))
 
 
 async def send_requests(port: int, *backends: Peer) -> None:
-    """A new client for each backend; no backend responds before all have a request."""
+    """One request of a new client for each backend; each backend gets one before any is answered."""
 
     async def send(n: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -111,21 +110,21 @@
         assert line == "HTTP/1.1 200 OK"
         return body
 
-    async def serve(backend: Peer) -> None:
+    async def answer_one(backend: Peer) -> None:
         reader, writer = await backend.connection()
         await read_message(reader)
-        reached.append(backend)
-        while len(reached) < len(backends):
+        busy.append(backend)
+        while len(busy) < len(backends):
             await asyncio.sleep(0.01)
         writer.write(answer(200, b"first"))
 
-    reached: list[Peer] = []
+    busy: list[Peer] = []
     responses = asyncio.gather(*(send(n) for n in range(len(backends))))
-    await asyncio.gather(*(serve(backend) for backend in backends))
+    await asyncio.gather(*(answer_one(backend) for backend in backends))
     assert await responses == [b"first"] * len(backends)
 
 
-def kill(process: Process) -> None:
+def kill_if_running(process: Process) -> None:
     if process.returncode is None:
         process.kill()
 
@@ -138,23 +137,20 @@
 
 
 @pytest.mark.parametrize("configured", [DESCRIPTORS, 1024])
-@pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses connections while it is down
-def test_idle_clients_take_no_descriptor_that_others_need_while_discovery_is_down(
+@pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses while it is down
+def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(
     is_silent: bool, configured: int, tmp_path: Path
 ) -> None:
-    """Idle clients fill the proxy while it cannot reach discovery; then discovery returns, and later moves.
-
-    Were the clients to hold every descriptor, the proxy could reach neither discovery nor counter nor any
-    backend, and would stay so: each descriptor that becomes free is taken by the next client. That holds too
-    where the configuration names more descriptors than the process may hold.
-    """
+    """Discovery is down, and more idle clients connect than the process has descriptors, at its start and
+    again before discovery moves. Were they let have all of them, nothing could connect to discovery on its
+    return, to the counter or to a backend, and no request would ever be served again. It must not matter
+    that the configuration claims more descriptors than the process may hold."""
 
     @socket_test
     async def run() -> None:
         async with AsyncExitStack() as stack:
             one, two, three, counter, moved = [await stack.enter_async_context(Peer()) for _ in range(5)]
-            discovery = Peer()
-            port = await free_port()
+            discovery, port = Peer(), await free_port()
             if is_silent:
                 await stack.enter_async_context(discovery)
             config = {
@@ -163,39 +159,47 @@
                 "seed": "1f",
                 "counter": f"127.0.0.1:{counter.port}",
                 "limits": {"sockets": configured},
-                "settings": WITH_COUNTER,
+                "settings": settings_with_counter(),
             }
             idle_clients = IdleClients(port)
-            stack.push_async_callback(idle_clients.cancel)
+            stack.push_async_callback(idle_clients.disconnect)
             connecting = asyncio.create_task(idle_clients.connect(3 * DESCRIPTORS))
-            process = await start(tmp_path / "config.json", config, DESCRIPTORS)
-            stack.callback(kill, process)
+            process = await start_process(tmp_path / "config.json", config, DESCRIPTORS)
+            stack.callback(kill_if_running, process)
             await connecting
             if not is_silent:
                 await stack.enter_async_context(discovery)
             calls: list[bytes] = []
-            peers = [asyncio.create_task(serve_counter(counter, calls))]
+            helpers = [asyncio.create_task(serve_counter(counter, calls))]
             for serving, backends in ((discovery, (one, two)), (moved, (three,))):
                 if serving is moved:
                     config["discovery"] = f"127.0.0.1:{moved.port}"
                     (tmp_path / "config.json").write_text(json.dumps(config))
                     await idle_clients.connect(DESCRIPTORS)
                     process.send_signal(signal.SIGHUP)
-                endpoint_list = whole_list(*(member(f"s-{peer.port}", peer.port) for peer in backends))
                 watched = asyncio.Event()
-                peers.append(asyncio.create_task(serve_list(serving, endpoint_list, watched)))
+                helpers.append(
+                    asyncio.create_task(
+                        serve_list(
+                            serving,
+                            whole_list(*(member(f"s-{peer.port}", peer.port) for peer in backends)),
+                            watched,
+                        )
+                    )
+                )
                 await watched.wait()
-                await idle_clients.connect(DESCRIPTORS)  # all connections are taken again
+                await idle_clients.connect(DESCRIPTORS)  # to the limit again
                 await send_requests(port, *backends)
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
-            for peer in peers:
-                assert not peer.done(), peer
-                peer.cancel()
+            for helper in helpers:
+                assert not helper.done(), helper
+                helper.cancel()
         log = errors.decode()
         assert process.returncode == 0 and any(line.startswith(b"tally ") for line in calls)
         assert not re.search("Traceback|Too many open files|cannot accept|dropped", log), log
-        warnings = log.count("limits.sockets is 1024, but this process may hold 128")
-        assert warnings == (configured > DESCRIPTORS), log
+        assert log.count("limits.sockets is 1024, but this process may hold 128") == (
+            configured > DESCRIPTORS
+        ), log
 
     run()
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -63,12 +63,6 @@
             decoded = DecodedList(EndpointListUpdate(UpdateKind.CACHED, 0, ()), {}, False)
         self.on_update(decoded.update, decoded.addresses)
 
-    def refetch(self) -> None:
-        """Make the next poll one for the whole list."""
-        self.version = NO_VERSION
-        if self.connection is not None:
-            self.connection.close()
-
     def start(self) -> None:
         """Watch, until `stop`."""
         self.task = asyncio.get_running_loop().create_task(self._run())
@@ -132,7 +126,8 @@
         if self.connection is not None and self.connection.is_usable():
             return self.connection
         async with asyncio.timeout(self.response_timeout_s):
-            self.connection = connection = DiscoveryConnection(self.address)
+            connection = DiscoveryConnection(self.address)
+            self.connection = connection  # before it is up, so that `stop` can close it
             try:
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
             except ValueError as error:  # a host that cannot be a name
