--- /dev/null
+++ b/tests/proxy/test_client_response.py
@@ -0,0 +1,19 @@
+"""The bytes of a response to a client."""
+
+from yardlane.proxy.client_response import encode_response, retry_after_line
+
+
+def test_retry_after_is_rounded_up_to_whole_milliseconds() -> None:
+    """Rounded down, it would let a client come back too early."""
+    assert retry_after_line(0) == b""
+    assert retry_after_line(1) == b"Retry-After: 0.001\r\n"
+    assert retry_after_line(1_234_001) == b"Retry-After: 1.235\r\n"
+
+
+def test_a_response_names_its_length_and_the_connections_end() -> None:
+    assert encode_response(200, b"done", b"A: b\r\n", False) == (
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: b\r\n\r\ndone"
+    )
+    assert encode_response(299, b"", b"", True) == (
+        b"HTTP/1.1 299 Other\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+    )
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -22,9 +22,9 @@
 
 
 class ClientProtocolError(YardlaneError):
-    """A client broke the protocol; the fault is the client's. `status` and `text` make up its answer.
+    """A client broke the protocol; the fault is the client's. `status` and `text` make up its response.
 
-    `header_lines` holds whole header lines for that answer, each with its line end.
+    `header_lines` holds whole header lines for that response, each with its line end.
     """
 
     def __init__(self, status: int, text: str, header_lines: bytes = b"") -> None:
@@ -39,7 +39,7 @@
 
 
 class UnreadableStream(ClientProtocolError):
-    """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the answer."""
+    """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the response."""
 
 
 class DiscoveryError(YardlaneError):
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: requests in, one answer each out, in order.
+"""One connection of a client: requests in, one response each out, in order.
 
 `client_state` has the table of its states. The state changes in `ClientConnection._apply` alone, and
 `ClientConnection._update_reading` alone decides whether the socket is read.
@@ -26,7 +26,7 @@
 MAX_PIPELINED = 4  # requests of one connection in flight; beyond them it is not read
 MAX_REJECTED_PIPELINED = 64  # further ones that came in the same read; beyond them the connection ends
 REQUEST_TIMEOUT_S = 1.5  # for all bytes of a request, and for the first byte on a connection
-LINGER_TIMEOUT_S = 1.0  # for a client to read why its connection ends
+LINGERING_CLOSE_TIMEOUT_S = 1.0  # for a client to read why its connection ends
 HEALTH_PATH = b"/_health"
 
 # A module's name is found faster than an enum's member, and these are asked for at each request.
@@ -49,25 +49,25 @@
         """Seconds of the event loop's clock."""
 
     def is_crowded(self) -> bool:
-        """Whether connections are so many that answers should end them."""
+        """Whether connections are so many that responses should end them."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
         """The connection has gone, and its place is free."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Reads requests, keeps their answers in order, and ends what takes too long."""
+    """Reads requests, keeps their responses in order, and ends what takes too long."""
 
     def __init__(self, server: ConnectionOwner) -> None:
         self.server = server
         self.parser = RequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.probe: SocketProbe | None = None  # made at the first look
-        self.pending: deque[ClientRequest] = deque()  # in the order of their answers
+        self.pending: deque[ClientRequest] = deque()  # in the order of their responses
         self.state = State.ACCEPTED
         self.is_write_buffer_full = False
         self.has_sent_request = False
-        self.last_active_s = server.now()  # of the last request or answer, or of the begin of CLOSING
+        self.last_active_s = server.now()  # when a request or a response ended, or CLOSING began
         self.request_started_s = self.last_active_s
 
     # The state
@@ -94,7 +94,7 @@
         released = self.pending
         self.pending = deque()
         for request in released:
-            if not request.answer:
+            if not request.response:
                 self._free_trace_id(request)
                 self.server.handler.on_client_disconnected(request)
 
@@ -105,7 +105,7 @@
             self.transport.abort()
 
     def _update_reading(self) -> None:
-        """Read unless nothing more could be handled: too much is in flight, or answers are not read.
+        """Read unless nothing more could be handled: too much is in flight, or responses are not read.
 
         A connection that ends is read on, as unread bytes would reset it.
         """
@@ -164,12 +164,12 @@
         return False
 
     def pause_writing(self) -> None:
-        """The client does not read its answers."""
+        """The client does not read its responses."""
         self.is_write_buffer_full = True
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """The client reads its answers again."""
+        """The client reads its responses again."""
         self.is_write_buffer_full = False
         self._update_reading()
 
@@ -180,12 +180,12 @@
         self.request_started_s = self.server.now()
 
     def on_expect_continue(self) -> None:
-        """Ask for the body, unless that would come ahead of answers that are still pending."""
+        """Ask for the body, unless that would come ahead of responses that are still pending."""
         if self.transport is not None and not self.pending:
             self.transport.write(CONTINUE)
 
     def on_request(self) -> None:
-        """Queue a whole request for its answer, then answer it or hand it to the handler."""
+        """Queue a whole request for its response, then answer it or hand it to the handler."""
         if self.state is not OPEN:
             return  # pipelined behind the last request of this connection
         self.last_active_s = self.server.now()
@@ -220,36 +220,36 @@
             request.reply(error.status, error.text.encode() + b"\n", error.header_lines)
         except Exception:  # a fault of ours in one request must not end the others of the connection
             log.exception("a request could not be handled")
-            if not request.answer:
+            if not request.response:
                 request.reply(HTTPStatus.INTERNAL_SERVER_ERROR, b"failed\n")
 
-    # Answers
+    # Responses
 
     def reply(self, request: ClientRequest, status: int, body: bytes, header_lines: bytes) -> None:
-        """Answer `request` in its turn. Only the first answer counts, and none once the client has left."""
+        """Answer `request` in its turn. Only the first response counts, and none once the client has left."""
         transport = self.transport
-        if request.answer or transport is None or transport.is_closing():
+        if request.response or transport is None or transport.is_closing():
             return
         server = self.server
         if (server.is_draining or server.is_crowded()) and request is self.pending[-1]:
-            self._close_after(request)  # ahead of others it would take their answers along
+            self._close_after(request)  # ahead of others it would take their responses along
         self._free_trace_id(request)
-        request.answer = encode_response(status, body, header_lines, request.closes_connection)
-        if self._write_ready_answers(transport):
-            self._linger()
+        request.response = encode_response(status, body, header_lines, request.closes_connection)
+        if self._write_ready_responses(transport):
+            self._begin_lingering_close()
             return
         self.last_active_s = server.now()
-        if server.is_draining and self.is_idle():  # the answer was encoded before the draining began
+        if server.is_draining and self.is_idle():  # the response was encoded before the draining began
             self.close_idle()
             return
         self._update_reading()
 
-    def _write_ready_answers(self, transport: asyncio.Transport) -> bool:
-        """Write answers up to the first that is missing; whether the last of the connection is written."""
+    def _write_ready_responses(self, transport: asyncio.Transport) -> bool:
+        """Write responses up to the first that is missing; whether the last of the connection is written."""
         pending = self.pending
-        while pending and pending[0].answer:
+        while pending and pending[0].response:
             request = pending.popleft()
-            transport.write(request.answer)
+            transport.write(request.response)
             if request.closes_connection:
                 return True
         return False
@@ -259,7 +259,7 @@
             self.server.open_trace_ids.discard(request.parsed.trace_id)
 
     def _close_after(self, request: ClientRequest) -> None:
-        """`request`, the newest, is the last: its answer ends the connection."""
+        """`request`, the newest, is the last: its response ends the connection."""
         if not request.closes_connection:
             request.closes_connection = True
             self._apply(ConnectionEvent.LAST_REQUEST_READ)
@@ -271,17 +271,17 @@
         else:
             self.close_idle()
 
-    def _linger(self) -> None:
-        """The last answer is written: close for sending only, and read on to the client's end.
+    def _begin_lingering_close(self) -> None:
+        """The last response is written: close for sending only, and read on to the client's end.
 
-        Closed with bytes unread, the connection would be reset, and the reset may overtake the answer.
+        Closed with bytes unread, the connection would be reset, and the reset may overtake the response.
         """
-        if self._apply(ConnectionEvent.LAST_ANSWER_WRITTEN) and self.transport is not None:
+        if self._apply(ConnectionEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
             self.transport.write_eof()
             self._update_reading()
 
     def _reject_stream(self, error: UnreadableStream) -> None:
-        """Answer the error behind the answers that are pending, then close."""
+        """Answer the error behind the responses that are pending, then close."""
         if not self._apply(ConnectionEvent.STREAM_BROKEN):
             return
         self.parser.abandon_message()
@@ -297,7 +297,7 @@
         return not (self.pending or self.parser.is_in_message)
 
     def has_pending_work(self) -> bool:
-        """Whether a request is unanswered or being read, or the last answer is still to be sent."""
+        """Whether a request is unanswered or being read, or the last response is still to be sent."""
         if self.state is CLOSING:
             return self.transport is not None and self.transport.get_write_buffer_size() > 0
         return not self.is_idle()
@@ -340,7 +340,7 @@
     def check_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
         """End what takes too long, and what a client that is not read has left behind."""
         if self.state is CLOSING:
-            self._check_lingering(now_s)
+            self._check_lingering_close(now_s)
             return
         is_read = self.transport is None or self.transport.is_reading()
         if not is_read and self.close_if_client_left():
@@ -350,9 +350,9 @@
         elif self.is_idle():
             self._check_idle_time(now_s, idle_timeout_s)
 
-    def _check_lingering(self, now_s: float) -> None:
-        """A client that neither reads its last answer nor closes must not keep the descriptor."""
-        if now_s - self.last_active_s > LINGER_TIMEOUT_S:
+    def _check_lingering_close(self, now_s: float) -> None:
+        """A client that neither reads its last response nor closes must not keep the descriptor."""
+        if now_s - self.last_active_s > LINGERING_CLOSE_TIMEOUT_S:
             self.abort()
 
     def _check_request_time(self, now_s: float) -> None:
@@ -360,7 +360,7 @@
         if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
             return
         self._reject_stream(UnreadableStream(HTTPStatus.REQUEST_TIMEOUT, "request came too slowly"))
-        for request in [request for request in self.pending if not request.answer]:
+        for request in [request for request in self.pending if not request.response]:
             self.server.handler.abandon_request(request)
 
     def _check_idle_time(self, now_s: float, idle_timeout_s: float) -> None:
--- a/yardlane/proxy/client_request.py
+++ b/yardlane/proxy/client_request.py
@@ -18,19 +18,19 @@
 
 
 class ClientRequest:
-    """A client's request in its place among the answers of its connection."""
+    """A client's request in its place among the responses of its connection."""
 
-    __slots__ = ("answer", "closes_connection", "connection", "parsed", "request_id")
+    __slots__ = ("closes_connection", "connection", "parsed", "request_id", "response")
 
     def __init__(self, connection: RequestConnection) -> None:
         self.connection = connection
         self.parsed: ParsedRequest | None = None  # stays so where it is not valid
         self.request_id = -1  # given by the handler
-        self.answer = b""
+        self.response = b""
         self.closes_connection = False
 
     def reply(self, status: int, body: bytes, header_lines: bytes = b"") -> None:
-        """The final answer; any further one is dropped. `header_lines` holds whole lines."""
+        """The final response; any further one is dropped. `header_lines` holds whole lines."""
         self.connection.reply(self, status, body, header_lines)
 
 
--- a/yardlane/proxy/client_response.py
+++ b/yardlane/proxy/client_response.py
@@ -1,4 +1,4 @@
-"""How an answer to a client is written."""
+"""How a response to a client is encoded."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def encode_response(status: int, body: bytes, header_lines: bytes, closes_connection: bool) -> bytes:
-    """The bytes of a final answer. `header_lines` holds whole header lines, each with its line end."""
+    """The bytes of a final response. `header_lines` holds whole header lines, each with its line end."""
     reason = REASONS.get(status, UNKNOWN_REASON)
     return b"".join(
         (
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -13,7 +13,7 @@
 from yardlane.proxy.request_validation import RequestRules
 
 IDLE_TIMEOUT_S = 15.0  # between requests
-# From this share of the connections on, answers end their connections, and an idle one gets less time.
+# From this share of the connections on, responses end their connections, and an idle one gets less time.
 CROWDED_SHARE = 0.85
 CROWDED_IDLE_TIMEOUT_S = 2.0
 REAP_INTERVAL_S = 0.2
@@ -67,7 +67,7 @@
         self.connections.pop(connection, None)
 
     def is_crowded(self) -> bool:
-        """Whether connections are so many that answers should end them."""
+        """Whether connections are so many that responses should end them."""
         return len(self.connections) > CROWDED_SHARE * self.max_connections
 
     def _make_room(self) -> bool:
@@ -147,5 +147,5 @@
         )
 
     def has_pending_work(self) -> bool:
-        """Whether any request is unanswered or being read, or a last answer still to be sent."""
+        """Whether any request is unanswered or being read, or a last response still to be sent."""
         return any(connection.has_pending_work() for connection in self.connections)
--- a/yardlane/proxy/client_state.py
+++ b/yardlane/proxy/client_state.py
@@ -11,7 +11,7 @@
     ACCEPTED = auto()  # its transport is not up yet
     OPEN = auto()  # requests are read and handled
     LAST_REQUEST = auto()  # no further request is handled, and not all that were are answered
-    BROKEN = auto()  # what came cannot be read on: the error waits for its turn among the answers
+    BROKEN = auto()  # what came cannot be read on: the error waits for its turn among the responses
     CLOSING = auto()  # no request is pending; what is written may still be read, for a limited time
     CLOSED = auto()  # the transport is lost, or aborted
 
@@ -22,7 +22,7 @@
     CONNECTED = auto()  # its transport is up
     LAST_REQUEST_READ = auto()  # no request is handled after the newest
     STREAM_BROKEN = auto()  # its bytes are no requests, or come too slowly
-    LAST_ANSWER_WRITTEN = auto()
+    LAST_RESPONSE_WRITTEN = auto()
     IDLE_CLOSED = auto()  # closed by us between requests
     CLIENT_LEFT = auto()  # the client has closed its side, or reset the connection
     ABORTED = auto()  # ended by us at once
@@ -33,9 +33,9 @@
 # logged and changes nothing. docs/design.md shows the same table, and a test holds both together.
 #
 # - LAST_REQUEST ignores a broken stream: what follows the last request is not read, whatever it is, so it
-#   must not take away the answers ahead of it.
+#   must not take away the responses ahead of it.
 # - CLOSING is never closed a second time. Closing a socket with unread bytes resets the connection, and the
-#   reset would take the last answer from a client that is still reading it. Only ABORTED ends it early.
+#   reset would take the last response from a client that is still reading it. Only ABORTED ends it early.
 # - CLOSED may still see its transport come up: one accepted connection may be aborted to make room for
 #   another before that.
 TRANSITIONS: dict[State, dict[ConnectionEvent, State]] = {
@@ -56,14 +56,14 @@
     State.LAST_REQUEST: {
         ConnectionEvent.LAST_REQUEST_READ: State.LAST_REQUEST,
         ConnectionEvent.STREAM_BROKEN: State.LAST_REQUEST,
-        ConnectionEvent.LAST_ANSWER_WRITTEN: State.CLOSING,
+        ConnectionEvent.LAST_RESPONSE_WRITTEN: State.CLOSING,
         ConnectionEvent.CLIENT_LEFT: State.CLOSING,
         ConnectionEvent.ABORTED: State.CLOSED,
         ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
     },
     State.BROKEN: {
         ConnectionEvent.STREAM_BROKEN: State.BROKEN,
-        ConnectionEvent.LAST_ANSWER_WRITTEN: State.CLOSING,
+        ConnectionEvent.LAST_RESPONSE_WRITTEN: State.CLOSING,
         ConnectionEvent.CLIENT_LEFT: State.CLOSING,
         ConnectionEvent.ABORTED: State.CLOSED,
         ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -18,7 +18,7 @@
 log = logging.getLogger("yardlane.proxy.listener")
 
 BACKLOG = 1024
-MAX_ACCEPTS_PER_TURN = 16  # the other connections wait for the loop's next turn
+MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop; the other connections wait for the next
 ACCEPT_BACKOFF_S = 0.05  # once descriptors have run out
 OUT_OF_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
@@ -74,7 +74,7 @@
             self.socket.close()
             self.socket = None
 
-    def _accept(self, max_accepts: int = MAX_ACCEPTS_PER_TURN) -> None:
+    def _accept(self, max_accepts: int = MAX_ACCEPTS_PER_ITERATION) -> None:
         for _ in range(max_accepts):
             if self.socket is None:
                 return
