--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -23,3 +23,15 @@
 
 class MalformedResponse(YardlaneError):
     """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
+
+
+class DiscoveryError(YardlaneError):
+    """A poll of discovery that brought no endpoint list, though the connection held."""
+
+
+class MalformedEndpointList(DiscoveryError):
+    """A response that cannot be read as an endpoint list, or does not follow the one before."""
+
+
+class MalformedEndpoint(YardlaneError):
+    """One entry of an endpoint list, or a value in it, that cannot be read."""
