--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,6 +16,9 @@
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
 from yardlane.config import Config, parse
+from yardlane.proxy.client_connection import ClientRequest
+from yardlane.proxy.request_in_flight import RequestInFlight
+from yardlane.proxy.request_validation import ParsedRequest
 from yardlane.server import Server
 
 E = TypeVar("E")
@@ -190,11 +193,25 @@
 
 
 class RunningProxy:
-    """The whole program, running in this test's loop."""
+    """The whole program, running in this test's loop; it counts the requests that have not ended yet."""
 
     def __init__(self, program: Server) -> None:
         self.program = program
         self.writers: list[asyncio.StreamWriter] = []
+        self.unanswered = 0  # each request ends exactly once: fewer ends leave it above 0, more below
+        handle_request = program.proxy.handle_request
+        end = program.proxy._end
+
+        def count_request(client_request: ClientRequest, parsed: ParsedRequest) -> None:
+            self.unanswered += 1
+            handle_request(client_request, parsed)
+
+        def count_end(request: RequestInFlight) -> None:
+            end(request)
+            self.unanswered -= 1
+
+        program.proxy.handle_request = count_request  # type: ignore[method-assign]
+        program.proxy._end = count_end  # type: ignore[method-assign]
 
     async def client(self) -> Streams:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.program.clients.port())
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -245,10 +245,10 @@
         writer.write(ask(trace="a") + ask(trace="b") + ask(trace="c")[:-4])
         await script.wait_for(RequestArrived, 2)
         side.is_draining = True
-        door.program.door._apply(Reject(2))  # the newest that is whole: nothing is read behind it
+        door.program.proxy.apply(Reject(2))  # the newest that is whole: nothing is read behind it
         late = side.now() + REQUEST_TIMEOUT_S + 0.1
         side.now = lambda: late
         side.reap()
-        door.program.door._apply(Reject(1))
+        door.program.proxy.apply(Reject(1))
         assert [(await read_message(reader))[0].split()[1] for _ in range(2)] == ["429", "429"]
         assert await reader.read() == b""
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -37,9 +37,9 @@
 
 async def nothing_open(door: RunningProxy) -> None:
     """All that the request held is given back: its place in the books, its attempts, its descriptors."""
-    while door.program.door.requests or door.program.pool.connections:
+    while door.program.proxy.requests or door.program.pool.connections:
         await asyncio.sleep(0)
-    assert door.program.door.unanswered == 0 and not door.program.clients.open_trace_ids
+    assert door.unanswered == 0 and not door.program.clients.open_trace_ids
 
 
 @socket_test
@@ -82,7 +82,7 @@
         client, to_door = await door.client()
         to_door.write(ask())
         await delayed.requested.wait()
-        door.program.door._apply(Fail(1))  # the module's time is up
+        door.program.proxy.apply(Fail(1))  # the module's time is up
         assert (await read_message(client))[0].split()[1] == "502"
         delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
@@ -142,7 +142,7 @@
         Peer() as backend,
         running(settings=settings(packages=CAPPED), known=whole_list(member("s-1", backend.port))) as door,
     ):
-        gateway = cast(Gateway, door.program.door.decider)
+        gateway = cast(Gateway, door.program.proxy.decisions.decider)
         first, to_first = await door.client()
         to_first.write(ask(trace="first"))
         reader, writer = await backend.connection()
@@ -152,7 +152,7 @@
         while not any(c.queue for c in gateway.tenants.values()):
             await asyncio.sleep(0)
         leave(to_door)
-        while len(door.program.door.requests) > 1:
+        while len(door.program.proxy.requests) > 1:
             await asyncio.sleep(0)
         third, to_third = await door.client()
         to_third.write(ask(trace="third"))
@@ -171,7 +171,7 @@
         assert message[1]["x-trace-id"] == "third"
         writer.write(answer())
         assert (await read_message(third))[0].split()[1] == "200"
-        while door.program.door.requests:
+        while door.program.proxy.requests:
             await asyncio.sleep(0)
         [tenant] = gateway.tenants.values()
         assert (tenant.in_flight, tenant.queue, gateway.out, gateway.requests) == (0, [], 0, {})
@@ -184,7 +184,7 @@
         Peer() as two,
         running(known=whole_list(member("s-1", one.port), member("s-2", two.port))) as door,
     ):
-        gateway = cast(Gateway, door.program.door.decider)
+        gateway = cast(Gateway, door.program.proxy.decisions.decider)
         _, to_door = await door.client()
         to_door.write(ask())
         arrived = {asyncio.ensure_future(p.connection()): p for p in (one, two)}
@@ -240,7 +240,7 @@
     """A client with so much open that its connection is read no further."""
     _, to_door = await door.client()
     to_door.write(b"".join(ask(trace=f"t{n}") for n in range(MAX_PIPELINED)))
-    while len(door.program.door.requests) < MAX_PIPELINED:
+    while len(door.program.proxy.requests) < MAX_PIPELINED:
         await asyncio.sleep(0)
     return to_door
 
@@ -259,7 +259,7 @@
         begun = unswept(door)
         leave(await pipelined(door))
         await has_left(door)
-        door.program.door._apply(StartAttempt(1, b"s-1"))  # the others of the connection end with it
+        door.program.proxy.apply(StartAttempt(1, b"s-1"))  # the others of the connection end with it
         assert not begun
         await script.wait_for(RequestEnded, MAX_PIPELINED)
         await nothing_open(door)
@@ -278,10 +278,10 @@
         leave(to_door)
         await has_left(door)
         writer.write(answer())
-        while door.program.door.requests and len(begun) < 2:
+        while door.program.proxy.requests and len(begun) < 2:
             await asyncio.sleep(0)
         assert [attempt.request_id for attempt in begun] == [1]
-        gateway = cast(Gateway, door.program.door.decider)
+        gateway = cast(Gateway, door.program.proxy.decisions.decider)
         while gateway.requests or gateway.out:
             await asyncio.sleep(0)
 
@@ -304,7 +304,7 @@
         await has_left(door)
         for _, writer in streams:
             writer.write(answer(503, extra="X-Never-Ran: 1\r\n"))
-        while door.program.door.requests and len(begun) == MAX_PIPELINED:
+        while door.program.proxy.requests and len(begun) == MAX_PIPELINED:
             await asyncio.sleep(0)
         assert [attempt.attempt_index for attempt in begun] == [0] * MAX_PIPELINED
         await script.wait_for(RequestEnded, MAX_PIPELINED)
@@ -349,7 +349,7 @@
     reader, to_door = await asyncio.open_connection(sock=made)
     cast(asyncio.Transport, to_door.transport).pause_reading()
     to_door.write(b"".join(ask(trace=f"t{n}") for n in range(requests)))
-    while len(door.program.door.requests) < requests:
+    while len(door.program.proxy.requests) < requests:
         await asyncio.sleep(0)
     [client] = door.program.clients.connections
     assert client.transport is not None
@@ -378,7 +378,7 @@
         begun = unswept(door)
         leave(to_door)
         await has_left(door)
-        door.program.door._apply(StartAttempt(4, b"s-1"))
+        door.program.proxy.apply(StartAttempt(4, b"s-1"))
         assert not begun
         await script.wait_for(RequestEnded)
 
@@ -397,7 +397,7 @@
         half_close(to_door)
         await script.wait_for(RequestEnded)  # while the transport still holds the answer
         assert held.transport is not None and held.transport.get_write_buffer_size() > 0
-        door.program.door._apply(StartAttempt(2, b"s-1"))
+        door.program.proxy.apply(StartAttempt(2, b"s-1"))
         assert not begun
         cast(asyncio.Transport, to_door.transport).resume_reading()
         assert (await read_message(client))[2] == b"y" * 60_000  # what was answered before is not taken back
@@ -502,7 +502,7 @@
             ) as door,
         ):
             door.program.pool.connect_timeout_s = LIMIT
-            delayed, clock = DelayedConnections(door, backend.port), door.program.door.clock
+            delayed, clock = DelayedConnections(door, backend.port), door.program.proxy.clock
             _, to_door = await door.client()
             to_door.write(ask("file", X_Expires_In="60000m"))
             await delayed.requested.wait()
@@ -510,13 +510,13 @@
                 [ended] = await script.wait_for(AttemptEnded)
                 assert not ended.request_ended
             else:
-                [request] = door.program.door.requests.values()
+                [request] = door.program.proxy.requests.values()
                 assert request.attempts[0].send_by_timer is not None
                 request.attempts[0].send_by_timer.cancel()
-                clock.offset += 10**9
+                clock.offset_ns += 10**9
             delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
-            door.program.door._apply(Fail(1))
+            door.program.proxy.apply(Fail(1))
             await nothing_open(door)
             assert backend.accepted.empty() or not await (await backend.connection())[0].read()
 
@@ -544,6 +544,6 @@
         script.reply = copy
         to_door.write(ask("file", trace="again"))  # at once on the connection that rests
         await read_message(reader)
-        door.program.door.requests[2].attempts[0].on_send_by()  # as its timer comes
+        door.program.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -102,7 +102,7 @@
             hand.on(0.75)
             answers = await ended(reader)
             assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
-            assert not door.program.clients.open_trace_ids and not door.program.door.unanswered
+            assert not door.program.clients.open_trace_ids and not door.unanswered
 
     run()
 
@@ -131,9 +131,9 @@
         client = next(iter(door.program.clients.connections))
         while len(client.pending) < MAX_PIPELINED + 20:
             await asyncio.sleep(0)
-        assert len(door.program.door.requests) == MAX_PIPELINED
-        for number in list(door.program.door.requests):
-            door.program.door._apply(Reject(number))
+        assert len(door.program.proxy.requests) == MAX_PIPELINED
+        for number in list(door.program.proxy.requests):
+            door.program.proxy.apply(Reject(number))
         statuses = [(await read_message(reader))[0].split()[1] for _ in range(MAX_PIPELINED + 20)]
         assert statuses == ["429"] * MAX_PIPELINED + ["503"] * 20
 
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -23,7 +23,7 @@
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
         for amount in (2.5, -1.0, 0.0, 7.0):
-            door.program.door._apply(AddToCounter(0xAB, amount, 4_000_000))
+            door.program.proxy.apply(AddToCounter(0xAB, amount, 4_000_000))
         reader, writer = await counter.connection()
         lines = [await reader.readuntil(b"\r\n") for _ in range(4)]
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
@@ -42,7 +42,7 @@
 async def test_a_break_after_writing_may_have_added() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
         writer.transport.abort()
@@ -55,7 +55,7 @@
     async with Peer() as counter:
         told = counting(counter)
     async with running(script, **told) as door:  # nobody listens any more
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
 
 
@@ -63,11 +63,11 @@
 async def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter, count_wait_us=300_000)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
         assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\nok 2\r\n")
         told = await script.wait_for(CounterResult, 2)
@@ -79,7 +79,7 @@
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
         for _ in range(100):
-            door.program.door._apply(AddToCounter(1, 1.0, 1000))
+            door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         told = await script.wait_for(CounterResult, 84)
         assert {a.outcome for a in told} == {Outcome.NOT_CONNECTED}
         reader, writer = await counter.connection()
@@ -93,7 +93,7 @@
 async def test_a_connection_without_answers_is_given_up() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter, count_wait_us=20_000)) as door:
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         reader, _ = await counter.connection()
         await reader.read()  # the door closes it by itself
         assert len(await script.wait_for(CounterResult)) == 1
@@ -106,7 +106,7 @@
     for odd in (*odd_totals, b"what\r\n", b"x" * 1000, b"pong\r\n", b"\xff\xfe\r\n"):
         script = quiet()
         async with Peer() as counter, running(script, **counting(counter)) as door:
-            door.program.door._apply(AddToCounter(1, 1.0, 1000))
+            door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
             reader, writer = await counter.connection()
             await reader.readuntil(b"\r\n")
             writer.write(odd)
@@ -117,7 +117,7 @@
 async def test_after_an_odd_line_the_next_call_is_heard_on_a_new_connection() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter)) as door:
-        count = door.program.door._apply
+        count = door.program.proxy.apply
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
@@ -139,15 +139,15 @@
 async def test_a_line_without_an_end_costs_one_call_its_time_and_no_other_line() -> None:
     script = quiet()
     async with Peer() as counter, running(script, **counting(counter, count_wait_us=200_000)) as door:
-        count = door.program.door._apply
+        count = door.program.proxy.apply
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await counter.connection()
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1")  # and nothing more
         assert [a.outcome for a in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
         assert await reader.read() == b""  # given up: answers behind it could not be told apart
-        assert door.program.door.counter is not None
-        line = next(line for line in door.program.door.counter.lines if line.not_before)
+        assert door.program.proxy.counter is not None
+        line = next(line for line in door.program.proxy.counter.lines if line.not_before)
         while asyncio.get_running_loop().time() < line.not_before:
             await asyncio.sleep(0.01)
         count(AddToCounter(1, 1.0, 1000))
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -226,6 +226,6 @@
             await read_message(reader)
             to_client.write(response(6, member("s-1", backend.port, host_port="?")))
             await read_message(polls)
-            assert proxy.program.door.places == {b"s-1": ("127.0.0.1", backend.port)}
+            assert proxy.program.proxy.addresses == {b"s-1": ("127.0.0.1", backend.port)}
             writer.write(answer())
             assert (await read_message(client))[2] == b"done"
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -354,16 +354,16 @@
                 poll_ended.set()
 
             client.on_poll_failed = note_failure
-            assert not proxy.program.door.can_serve()
+            assert not proxy.program.proxy.can_serve()
             await loop.connecting.wait()
             await misbehave(discovery, loop, behaviour, client.response_timeout_s)
             await poll_ended.wait()
-            grace_us = proxy.program.door.settings.drain_grace_us
+            grace_us = proxy.program.proxy.settings.drain_grace_us
             assert loop.now <= worst_notification_delays_us(grace_us)["start"] / 1e6 <= 10
             loop.refuses = False
             loop.may_connect.set()
             is_ready = bool(cached_list and cached_list["members"])
-            assert proxy.program.door.can_serve() is is_ready
+            assert proxy.program.proxy.can_serve() is is_ready
             assert (await proxy.call(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
 
     on_manual_clock(body)
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -41,9 +41,9 @@
         await read_message(reader)
         to_door.transport.abort()
         writer.write(answer())
-        while door.program.door.requests:
+        while door.program.proxy.requests:
             await asyncio.sleep(0)
-        assert door.program.door.unanswered == 0
+        assert door.unanswered == 0
 
 
 @socket_test
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -60,7 +60,7 @@
         while not door.program.clients.has_pending_work():
             await asyncio.sleep(0)
         door.program.shut_down()
-        door.program.door._end_all()
+        door.program.proxy._end_all()
         await closed_to_new(door)
         to_door.write(ask()[40:])  # the whole request comes after all has been answered once
         await backend.connection()  # and hangs there
@@ -146,9 +146,9 @@
         reader, writer = await door.client()
         writer.write(ask(trace="a") + ask(trace="b"))
         await script.wait_for(RequestArrived, 2)
-        door.program.door._apply(Reject(2))  # waits behind the first one's
+        door.program.proxy.apply(Reject(2))  # waits behind the first one's
         door.program.clients.is_draining = True
-        door.program.door._apply(Reject(1))
+        door.program.proxy.apply(Reject(1))
         for _ in range(2):
             assert (await read_message(reader))[0].split()[1] == "429"
         side = door.program.clients
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -81,7 +81,7 @@
         await backend.connection()
         client, to_door = await door.client()
         to_door.write(ask(trace="held", X_Expires_In="100m"))
-        gateway = cast(Gateway, door.program.door.decider)
+        gateway = cast(Gateway, door.program.proxy.decisions.decider)
         while not any(c.queue for c in gateway.tenants.values()):
             await asyncio.sleep(0)
         time.sleep(0.2)
@@ -92,7 +92,7 @@
 async def test_what_the_module_never_answers_the_door_does() -> None:
     async with running(Script(lambda event: [])) as door:
         assert (await door.call(ask(X_Expires_In="50m")))[0].split()[1] == "500"
-        assert not door.program.door.requests
+        assert not door.program.proxy.requests
 
 
 @socket_test
@@ -247,7 +247,7 @@
     # Woken early it has nothing to do yet, and counts on being woken when it asked to be.
     script = Script(lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else [])
     async with running(script) as door:
-        door.program.door.loop = cast(asyncio.AbstractEventLoop, EarlyTimers(asyncio.get_running_loop()))
+        door.program.proxy.loop = cast(asyncio.AbstractEventLoop, EarlyTimers(asyncio.get_running_loop()))
         at: dict[type[Event], int] = {}
         handle = script.handle
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -50,7 +50,7 @@
         for _ in range(3):  # several in a row
             door.program.discovery.move(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch there is dropped at once
-        assert door.program.door.places == {b"s-1": ("127.0.0.1", 9)}  # the list stands meanwhile
+        assert door.program.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}  # the list stands meanwhile
         while True:  # the connections of moves that were overtaken only end
             to_new, agent = await new.connection()
             if line := await to_new.readline():
@@ -72,11 +72,11 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        count = door.program.door._apply
+        count = door.program.proxy.apply
         count(AddToCounter(1, 1.0, 1000))
         reader, writer = await old.connection()
         await reader.readuntil(b"\r\n")
-        door.program.door.recount(("127.0.0.1", new.port))
+        door.program.proxy.move_counter(("127.0.0.1", new.port))
         count(AddToCounter(1, 2.0, 1000))
         to_new, counter = await new.connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"  # the first is not said again
@@ -95,8 +95,8 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
-        door.program.door.recount(("127.0.0.1", new.port))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.move_counter(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -111,10 +111,10 @@
         Peer() as new,
         running(script, settings=COUNTED, counter=f"127.0.0.1:{old.port}") as door,
     ):
-        door.program.door._apply(AddToCounter(1, 1.0, 1000))
+        door.program.proxy.apply(AddToCounter(1, 1.0, 1000))
         reader, _ = await old.connection()
         await reader.readuntil(b"\r\n")
-        door.program.door.recount(("127.0.0.1", new.port))
+        door.program.proxy.move_counter(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [e.outcome for e in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -213,7 +213,7 @@
         ]
         to_door.write(b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n")
         assert (await read_message(client))[2] == b"ready\n"  # the loser's body was never written
-        assert not door.program.door.requests
+        assert not door.program.proxy.requests
 
 
 @socket_test
@@ -390,7 +390,9 @@
         reader, writer = await backend.connection()
         await read_message(reader)
         decoded = door.program.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
-        door.program.door.listed(decoded.update, decoded.addresses)  # while the old one still has a request
+        door.program.proxy.apply_update(
+            decoded.update, decoded.addresses
+        )  # while the old one still has a request
         writer.write(answer(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
@@ -565,7 +567,7 @@
 def by_cancel(
     door: Proxy, connection: UpstreamConnection, peer: socket.socket, buffers: SmallBuffers
 ) -> None:
-    door._apply(CancelAttempt(1, 0))
+    door.apply(CancelAttempt(1, 0))
 
 
 def by_client(
@@ -608,7 +610,7 @@
             door.program.pool.drain_endpoint(b"s-1")  # a drain: its first byte had left before
             got = b"" if is_half else await take(peer, connection)
             unsent = left(connection)
-            end(door.program.door, connection, peer, buffers)
+            end(door.program.proxy, connection, peer, buffers)
             if end is by_reset:
                 return await ended_as(script, half if is_half else whole)
             if end is by_client:
--- /dev/null
+++ b/yardlane/proxy/decision_loop.py
@@ -0,0 +1,110 @@
+"""The loop round the decisions: all events of one turn of the event loop go to them together.
+
+A fault in the decisions must not stop the requests beside it. It shows as an exception of `Decider.handle`.
+Then the request of the event that was being handled fails, what was decided before that event stands, and
+the events behind it come once more in the next turn. So a request that always raises costs only itself.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Iterator
+from typing import Protocol
+
+from yardlane.decisions.actions import Action
+from yardlane.decisions.decider import Decider
+from yardlane.decisions.events import Event, TimerFired
+from yardlane.proxy.clock import Clock, call_after
+
+log = logging.getLogger("yardlane.proxy.decision_loop")
+
+RECOVERY_DELAY_US = 10_000  # between a failed decision and the next look at what is due: no busy loop
+
+
+class EventBatch(list[Event]):
+    """The events of one turn; `handled` counts those that the decisions have begun to handle."""
+
+    handled = 0
+
+    def __iter__(self) -> Iterator[Event]:
+        for index in range(len(self)):
+            self.handled = index + 1
+            yield self[index]
+
+
+class ActionHandler(Protocol):
+    """What carries out the decisions."""
+
+    def apply(self, action: Action) -> None:
+        """Carry out one action."""
+
+    def fail_request(self, request_id: int) -> None:
+        """Give the request its final answer: the decisions have failed on it."""
+
+    def forget_request(self, request_id: int) -> None:
+        """The decisions have been notified of its end, and refer to it no more."""
+
+
+class DecisionLoop:
+    """Hands events to one `Decider`, and its actions to one handler."""
+
+    def __init__(
+        self, decider: Decider, handler: ActionHandler, clock: Clock, loop: asyncio.AbstractEventLoop
+    ) -> None:
+        self.decider = decider
+        self.handler = handler
+        self.clock = clock
+        self.loop = loop
+        self.events = EventBatch()
+        self.ended_requests: list[int] = []
+        self.is_scheduled = False
+
+    def post(self, event: Event) -> None:
+        """Queue an event for the next turn."""
+        self.events.append(event)
+        if not self.is_scheduled:
+            self.is_scheduled = True
+            self.loop.call_soon(self._run_turn)
+
+    def forget_after_turn(self, request_id: int) -> None:
+        """Forget a request whose end is posted next, once the decisions have been notified.
+
+        No sooner: an attempt that they start in the same turn, before they read of the end, is owed an
+        `AttemptEnded` as well.
+        """
+        self.ended_requests.append(request_id)
+
+    def _run_turn(self) -> None:
+        events = self.events
+        ended_requests = self.ended_requests
+        self.events = EventBatch()
+        self.ended_requests = []
+        self.is_scheduled = False
+        try:
+            actions = self.decider.handle(self.clock.now_us(), events)
+        except Exception:
+            log.exception("a decision failed")
+            actions = self._recover(events)
+            # The decisions may not have read of these ends; they do so in the next turn.
+            self.ended_requests = ended_requests + self.ended_requests
+            ended_requests = []
+        for action in actions:
+            try:
+                self.handler.apply(action)
+            except Exception:  # one action's failure must not stop the others
+                log.exception("%r failed", action)
+        for request_id in ended_requests:
+            self.handler.forget_request(request_id)
+
+    def _recover(self, events: EventBatch) -> list[Action]:
+        """Fail the request of the event that raised, post the events behind it; what was decided before."""
+        if events.handled:
+            request_id = getattr(events[events.handled - 1], "request_id", None)
+            if request_id is not None:
+                self.handler.fail_request(request_id)
+        for event in events[events.handled :]:
+            self.post(event)
+        # Work that was due in this turn may be undone, and no timer is left to ask for it.
+        call_after(self.loop, RECOVERY_DELAY_US, self.post, TimerFired(0))
+        return list(self.decider.actions)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -1,14 +1,20 @@
-"""The loop round the decision module: events in, actions out, and the books of what is open."""
+"""Serves the clients' requests: notifies the decisions, and carries out what they decide.
+
+A request ends in one place, `Proxy._end`: by a response, by `Reject` or `Fail`, by its client's leaving, or,
+where the decisions let its time pass, by its deadline guard. It is forgotten once all its attempts have
+ended and the decisions have been notified of that.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import time
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from functools import partial
+from http import HTTPStatus
 from typing import Any
 
+from yardlane.config import Address, Config
 from yardlane.decisions.actions import (
     Action,
     AddToCounter,
@@ -25,7 +31,6 @@
     CounterResult,
     EndpointListUpdate,
     EndpointState,
-    Event,
     Outcome,
     RequestArrived,
     RequestEnded,
@@ -33,137 +38,78 @@
     UpdateKind,
 )
 from yardlane.proxy.attempt import Attempt
-from yardlane.proxy.response import UpstreamResponse
-from yardlane.proxy.upstream_pool import UpstreamPool
 from yardlane.proxy.client_connection import ClientRequest
 from yardlane.proxy.client_response import retry_after_line
-from yardlane.config import Address, Config
+from yardlane.proxy.clock import Clock, call_after
 from yardlane.proxy.counter_client import Counter
+from yardlane.proxy.decision_loop import DecisionLoop
+from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
+from yardlane.proxy.response import UpstreamResponse
+from yardlane.proxy.upstream_pool import UpstreamPool
 
 log = logging.getLogger("yardlane.proxy.proxy")
 
-RESCUE_PAUSE = 10_000  # µs after a failed decision: one that fails each time must not spin
-
-
-class Clock:
-    """Whole microseconds that never go back and agreed with Unix time at the start."""
-
-    def __init__(self) -> None:
-        self.offset = time.time_ns() - time.monotonic_ns()
+Addresses = dict[bytes, Address]
 
-    def now(self) -> int:
-        return (time.monotonic_ns() + self.offset) // 1000
-
-
-class Batch(list[Event]):
-    """Events that tell how far a reader got, so that one that fails does not take the others along."""
-
-    read = 0
-
-    def __iter__(self) -> Iterator[Event]:
-        for n in range(len(self)):
-            self.read = n + 1
-            yield self[n]
-
-
-class Open:
-    """A request in the books: until it has ended, none of its attempts is out and the module knows."""
-
-    __slots__ = ("attempts", "client", "final", "gives_up", "guard", "out", "parsed")
-
-    def __init__(self, client: ClientRequest, parsed: ParsedRequest, gives_up: int) -> None:
-        self.client, self.parsed, self.gives_up = client, parsed, gives_up
-        self.attempts: list[Attempt] = []
-        self.out = 0
-        self.final = False
-        self.guard: asyncio.TimerHandle | None = None
+FAILED_BODY = b"failed\n"
+REJECTED_BODY = b"refused: try again\n"
+SHUTDOWN_BODY = b"shutting down\n"
+MIN_TIME_LEFT_US = 1
 
 
 class Proxy:
-    """Transport for one `Decider`."""
+    """Transport for one `Decider`: it decides nothing itself."""
 
     def __init__(
         self, config: Config, decider: Decider, pool: UpstreamPool, loop: asyncio.AbstractEventLoop
     ) -> None:
-        self.config, self.decider, self.pool, self.loop = config, decider, pool, loop
         self.settings = config.settings
+        self.pool = pool
+        self.loop = loop
         self.clock = Clock()
+        self.decisions = DecisionLoop(decider, self, self.clock, loop)
+        self.post = self.decisions.post
         self.counter: Counter | None = None
         if config.counter is not None:
             self.counter = Counter(config.counter, self.settings.counter_timeout_us, self.post, loop)
-        self.requests: dict[int, Open] = {}
-        self.unanswered = 0
-        self.closed: list[int] = []  # requests whose end the module hears of in the next turn
-        self.last_number = 0
-        self.places: dict[bytes, Address] = {}
-        self.events = Batch()
-        self.scheduled = self.list_known = False
-        self.drain_by = 0  # when all must be answered; 0 while in service
-        self.actions: dict[type, Callable[[Any], None]] = {
-            StartAttempt: self._send,
-            CancelAttempt: self._cancel,
-            Reject: self._refuse,
+        self.requests: dict[int, RequestInFlight] = {}
+        self.last_request_id = 0
+        self.addresses: Addresses = {}
+        self.has_endpoint_list = False
+        self.drain_deadline_us = 0  # when all must be answered; 0 while in service
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
+            StartAttempt: self._start_attempt,
+            CancelAttempt: self._cancel_attempt,
+            Reject: self._reject,
             Fail: self._fail,
-            AddToCounter: self._count,
-            SetTimer: self._wake,
+            AddToCounter: self._add_to_counter,
+            SetTimer: self._set_timer,
             WatchEndpoints: lambda _: None,  # the watch always runs
         }
 
-    # Events in
-
-    def post(self, event: Event) -> None:
-        """Queue an event for the next turn."""
-        self.events.append(event)
-        if not self.scheduled:
-            self.scheduled = True
-            self.loop.call_soon(self._turn)
-
-    def _turn(self) -> None:
-        events, self.events = self.events, Batch()
-        closed, self.closed = self.closed, []
-        self.scheduled = False
-        try:
-            actions = self.decider.handle(self.clock.now(), events)
-        except Exception:
-            log.exception("a decision failed")
-            actions = self._rescue(events)
-            closed, self.closed = [], closed + self.closed  # it may not have read so far
-        for action in actions:
-            try:
-                self._apply(action)
-            except Exception:  # guards the others: one action's failure is its own
-                log.exception("%r failed", action)
-        for number in closed:  # not before: what it sends before it hears of the end is owed an end too
-            self.requests.pop(number, None)
-
-    def _rescue(self, events: Batch) -> list[Action]:
-        """One event failed: its request fails, what was decided before it stands, the rest goes on."""
-        if events.read and (number := getattr(events[events.read - 1], "request_id", None)) is not None:
-            self._leave(number, lambda client: client.reply(500, b"failed\n"))
-        for event in events[events.read :]:
-            self.post(event)
-        self._after(RESCUE_PAUSE, self.post, TimerFired(0))  # what was due may have been left undone
-        return list(self.decider.actions)
-
-    def handle_request(self, client: ClientRequest, parsed: ParsedRequest) -> None:
-        """A well-formed request of a client."""
-        now = self.clock.now()
-        left = parsed.time_left_us
-        if self.drain_by:
-            left = max(1, min(left, self.drain_by - now))
-        self.last_number += 1
-        client.request_id = number = self.last_number
-        request = self.requests[number] = Open(client, parsed, now + left)
-        self.unanswered += 1
-        request.guard = self._after(left + self.settings.answer_grace_us, self._overdue, number)
+    # From the clients
+
+    def handle_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
+        """A valid request of a client."""
+        now_us = self.clock.now_us()
+        time_left_us = parsed.time_left_us
+        if self.drain_deadline_us:
+            time_left_us = max(MIN_TIME_LEFT_US, min(time_left_us, self.drain_deadline_us - now_us))
+        self.last_request_id += 1
+        request_id = self.last_request_id
+        client_request.request_id = request_id
+        request = RequestInFlight(client_request, parsed, now_us + time_left_us)
+        self.requests[request_id] = request
+        guard_delay_us = time_left_us + self.settings.answer_grace_us
+        request.deadline_guard = call_after(self.loop, guard_delay_us, self._on_overdue, request_id)
         self.post(
             RequestArrived(
-                number,
+                request_id,
                 parsed.tenant,
                 parsed.quota_plan,
                 parsed.request_class,
-                left,
+                time_left_us,
                 parsed.units,
                 parsed.first_gateway,
                 parsed.gateway_count,
@@ -172,203 +118,248 @@
             )
         )
 
-    def on_client_disconnected(self, client: ClientRequest) -> None:
-        """The client left; attempts that are written go on and still count as out."""
-        self._leave(client.request_id)
+    def on_client_disconnected(self, client_request: ClientRequest) -> None:
+        """The client has left; attempts that may have run go on and still count as in flight."""
+        self._end_undecided(client_request.request_id)
 
-    def abandon_request(self, client: ClientRequest) -> None:
-        """Its connection ends and cannot wait for it; what is written goes on and counts, as above."""
-        self._leave(client.request_id, lambda client: client.reply(502, b"failed\n"))
+    def abandon_request(self, client_request: ClientRequest) -> None:
+        """The connection ends and cannot wait for the answer; attempts go on as above."""
+        self._end_undecided(client_request.request_id, HTTPStatus.BAD_GATEWAY, FAILED_BODY)
 
     def can_serve(self) -> bool:
-        return self.list_known
-
-    def listed(self, told: EndpointListUpdate, places: dict[bytes, Address]) -> None:
-        """News of the list."""
-        if told.kind is not UpdateKind.CACHED:
-            self.list_known = True
-        old = self.places
-        whole = told.kind is not UpdateKind.DELTA
-        self.places = dict(places) if whole else {**old, **places}
-        for entry in told.endpoints:
-            if entry.state is EndpointState.REMOVED:
-                self.places.pop(entry.endpoint_id, None)
-            elif (
-                entry.endpoint_id not in places and entry.endpoint_id in old
-            ):  # no address that can be read: it drains
-                self.places[entry.endpoint_id] = old[entry.endpoint_id]  # and what is open there goes on
-        self.post(told)  # before what ends by it, so that nothing turns to another that drains as well
-        for server, place in old.items():
-            if self.places.get(server) != place:  # moved or gone
-                self.pool.remove_endpoint(server)
-        for entry in told.endpoints:
-            if entry.state is not EndpointState.READY:
-                self.pool.drain_endpoint(entry.endpoint_id)
-
-    def unheard(self) -> None:
-        """Discovery is silent: what is remembered must do. Until then it may name what has long gone."""
-        self.list_known = self.list_known or bool(self.places)
-
-    def recount(self, address: Address | None) -> None:
-        """The counter has another address."""
+        """Whether the health check passes: not before there is an endpoint list."""
+        return self.has_endpoint_list
+
+    # From discovery and the configuration
+
+    def apply_update(self, update: EndpointListUpdate, addresses: Addresses) -> None:
+        """A change of the endpoint list, with the addresses that could be read."""
+        if update.kind is not UpdateKind.CACHED:
+            self.has_endpoint_list = True
+        old_addresses = self.addresses
+        self.addresses = self._updated_addresses(update, addresses)
+        # Posted before the attempts that end by it, so that no retry goes to an endpoint that drains as well.
+        self.post(update)
+        for endpoint_id, address in old_addresses.items():
+            if self.addresses.get(endpoint_id) != address:
+                self.pool.remove_endpoint(endpoint_id)
+        for endpoint in update.endpoints:
+            if endpoint.state is not EndpointState.READY:
+                self.pool.drain_endpoint(endpoint.endpoint_id)
+
+    def _updated_addresses(self, update: EndpointListUpdate, addresses: Addresses) -> Addresses:
+        """An endpoint whose address cannot be read drains; it keeps the old one for attempts in flight."""
+        updated = dict(addresses)
+        if update.kind is UpdateKind.DELTA:
+            updated = {**self.addresses, **addresses}
+        for endpoint in update.endpoints:
+            endpoint_id = endpoint.endpoint_id
+            if endpoint.state is EndpointState.REMOVED:
+                updated.pop(endpoint_id, None)
+            elif endpoint_id not in addresses and endpoint_id in self.addresses:
+                updated[endpoint_id] = self.addresses[endpoint_id]
+        return updated
+
+    def on_poll_failed(self) -> None:
+        """Discovery is silent: the cached list must do, though it may name what has long gone."""
+        self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
+
+    def move_counter(self, address: Address | None) -> None:
+        """The counter has another address; None changes nothing."""
         if self.counter is not None and address is not None:
             self.counter.move(address)
 
-    def _overdue(self, number: int) -> None:
-        """Its time is over. If we stood still the module was not yet told so: it has the first word."""
-        self.post(TimerFired(0))
-        self.loop.call_soon(self._unanswered, number)  # behind the turn
-
-    def _unanswered(self, number: int) -> None:
-        """The module has let a request's time pass: it is still owed an answer."""
-        request = self.requests.get(number)
-        if request is not None and not request.final:
-            log.error("request %d was left unanswered", number)
-            self._leave(number, lambda client: client.reply(500, b"failed\n"))
-
-    def _leave(self, number: int, answer: Callable[[ClientRequest], None] = lambda _: None) -> None:
-        """Its end is not the module's doing, so the module hears of it."""
-        request = self.requests.get(number)
-        if request is not None and not request.final:
-            answer(request.client)
-            self._final(request)
-            if not request.out:
-                self.closed.append(number)
-            self.post(RequestEnded(number))
-
-    def _final(self, request: Open) -> None:
-        """The one place where a request ends. What is written goes on and counts; nothing new is written."""
-        request.final = True
-        if request.guard is not None:
-            request.guard.cancel()
+    def drain(self, deadline_us: int) -> None:
+        """Answer by then all requests in flight, and all that still come."""
+        self.drain_deadline_us = deadline_us
+        call_after(self.loop, deadline_us - self.clock.now_us(), self._end_all)
+
+    def _end_all(self) -> None:
+        for request_id in list(self.requests):
+            self._end_undecided(request_id, HTTPStatus.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
+
+    # The end of a request
+
+    def _end(self, request: RequestInFlight) -> None:
+        """The one place where a request ends. Attempts that may have run go on; the others are not sent."""
+        request.has_ended = True
+        if request.deadline_guard is not None:
+            request.deadline_guard.cancel()
         for attempt in request.attempts:
-            if not attempt.may_have_run():  # its connection still comes up, or takes no more for now
+            if not attempt.may_have_run():
                 attempt.finish(Outcome.NOT_SENT)
-        self.unanswered -= 1
 
-    def drain(self, by: int) -> None:
-        """Answer all that is open, and all that still comes, until then."""
-        self.drain_by = by
-        self._after(by - self.clock.now(), self._end_all)
-
-    def _end_all(self) -> None:
-        for number in list(self.requests):
-            self._leave(number, lambda client: client.reply(500, b"shutting down\n"))
+    def _end_undecided(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
+        """End a request without a decision, and notify the decisions. Without a status it gets no answer."""
+        request = self.requests.get(request_id)
+        if request is None or request.has_ended:
+            return
+        if status:
+            request.client_request.reply(status, body)
+        self._end(request)
+        if not request.attempts_in_flight:
+            self.decisions.forget_after_turn(request_id)
+        self.post(RequestEnded(request_id))
+
+    def _end_decided(self, request_id: int, request: RequestInFlight) -> None:
+        """End a request by a decision, of which the decisions need no notice."""
+        self._end(request)
+        if not request.attempts_in_flight:
+            self.forget_request(request_id)
+
+    def _on_overdue(self, request_id: int) -> None:
+        """A request's time and its grace are over. The decisions have the first word.
+
+        Where the process stood still, their own timer is due only now, and a rejection of theirs tells the
+        client more than a failure. So they get a turn, and the guard answers behind it.
+        """
+        self.post(TimerFired(0))
+        self.loop.call_soon(self._on_unanswered, request_id)
 
-    def _after(self, delay: int, call: Callable[..., None], *args: object) -> asyncio.TimerHandle:
-        """A timer that is never early by its rounding: the loop's timers count whole milliseconds."""
-        return self.loop.call_later(-(-max(0, delay) // 1000) / 1000, call, *args)
+    def _on_unanswered(self, request_id: int) -> None:
+        """The decisions have let the request's time pass; its client is still owed an answer."""
+        request = self.requests.get(request_id)
+        if request is not None and not request.has_ended:
+            log.error("request %d was left unanswered", request_id)
+            self.fail_request(request_id)
 
-    # Actions out
+    # For the decision loop
 
-    def _apply(self, action: Action) -> None:
-        apply = self.actions.get(type(action))
-        if apply is None:  # one that the gateway never asks for
+    def apply(self, action: Action) -> None:
+        """Carry out one action."""
+        handler = self.action_handlers.get(type(action))
+        if handler is None:  # one that the gateway never asks for
             log.warning("no handler for action %s", type(action).__name__)
         else:
-            apply(action)
+            handler(action)
+
+    def fail_request(self, request_id: int) -> None:
+        """Give the request its final answer where the decisions do not."""
+        self._end_undecided(request_id, HTTPStatus.INTERNAL_SERVER_ERROR, FAILED_BODY)
+
+    def forget_request(self, request_id: int) -> None:
+        """The decisions refer to the request no more."""
+        self.requests.pop(request_id, None)
 
-    def _send(self, action: StartAttempt) -> None:
+    # Attempts
+
+    def _start_attempt(self, action: StartAttempt) -> None:
         request = self.requests.get(action.request_id)
         if request is None:
-            return log.error("an attempt for request %d, which is not open", action.request_id)
-        now = self.clock.now()
-        attempt = Attempt(action.request_id, len(request.attempts), action.endpoint_id, now, self._ended)
+            return log.error("an attempt for request %d, which is not in flight", action.request_id)
+        now_us = self.clock.now_us()
+        attempt_index = len(request.attempts)
+        attempt = Attempt(
+            action.request_id, attempt_index, action.endpoint_id, now_us, self._on_attempt_finished
+        )
         request.attempts.append(attempt)
-        request.out += 1
-        if not request.final:
-            request.client.connection.close_if_client_left()
-        place = self.places.get(action.endpoint_id)
-        left = request.gives_up - now
+        request.attempts_in_flight += 1
+        if not request.has_ended:
+            request.client_request.connection.close_if_client_left()  # ends the request if so
+        address = self.addresses.get(action.endpoint_id)
+        time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
-            left = min(left, action.timeout_us)
-        if request.final or place is None or left <= 0 or attempt.attempt_index >= self.settings.max_attempts:
+            time_left_us = min(time_left_us, action.timeout_us)
+        is_allowed = time_left_us > 0 and attempt_index < self.settings.max_attempts
+        if request.has_ended or address is None or not is_allowed:
             return attempt.finish(Outcome.NOT_SENT)
-        client = request.client
-        attempt.address, attempt.on_connected = place, client.connection.close_if_client_left
-        parsed = request.parsed
-        length = b"Content-Length: %d\r\n" % len(parsed.body) if parsed.is_write else b""
-        attempt.request_bytes = b"".join(
-            (parsed.head, length, b"X-Expires-In: %dm\r\n\r\n" % max(1, left // 1000), parsed.body)
-        )
-        attempt.deadline_timer = self._after(left, attempt.on_deadline)
-        if action.begin_within_us:
-            attempt.on_connected = partial(self._begin, attempt, client, now + action.begin_within_us)
-            attempt.send_by_timer = self._after(action.begin_within_us, attempt.on_send_by)
+        attempt.address = address
+        attempt.request_bytes = request.encode(time_left_us)
+        attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
+        self._check_on_connected(attempt, request.client_request, action.begin_within_us)
         self.pool.send(attempt)
 
-    def _begin(self, attempt: Attempt, client: ClientRequest, latest: int) -> None:
-        """Its connection has come up. If we stood still, the timer may still be due."""
-        if self.clock.now() > latest:
+    def _check_on_connected(
+        self, attempt: Attempt, client_request: ClientRequest, send_within_us: int
+    ) -> None:
+        """A connection may come up long after the attempt's start: what held then is asked once more.
+
+        The client must still be there, and the last byte must not be sent after the time that an
+        idempotency key leaves (`send_within_us`; 0 for no such time).
+        """
+        close_if_client_left = client_request.connection.close_if_client_left
+        if not send_within_us:
+            attempt.on_connected = close_if_client_left
+            return
+        send_by_us = attempt.started_at_us + send_within_us
+        attempt.on_connected = partial(self._on_connected, attempt, send_by_us, close_if_client_left)
+        attempt.send_by_timer = call_after(self.loop, send_within_us, attempt.on_send_by)
+
+    def _on_connected(
+        self, attempt: Attempt, send_by_us: int, close_if_client_left: Callable[[], object]
+    ) -> None:
+        """The clock is asked too: where the process stood still, the timer is over and has not fired yet."""
+        if self.clock.now_us() > send_by_us:
             attempt.on_send_by()
         else:
-            client.connection.close_if_client_left()
-
-    def _ended(self, attempt: Attempt, result: Outcome, answer: UpstreamResponse | None) -> None:
-        """An attempt's one end. The first good answer goes to the client and is final."""
-        number = attempt.request_id
-        request = self.requests[number]
-        request.out -= 1
-        if result is Outcome.OK and answer is not None and not request.final:
-            kind = answer.content_type
-            request.client.reply(200, answer.body, b"Content-Type: " + kind + b"\r\n" if kind else b"")
-            self._final(request)
-        if request.final and not request.out:
-            self.closed.append(number)
+            close_if_client_left()
+
+    def _on_attempt_finished(
+        self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
+    ) -> None:
+        """An attempt's one end. The first good response goes to the client and is final."""
+        request = self.requests[attempt.request_id]
+        request.attempts_in_flight -= 1
+        if outcome is Outcome.OK and response is not None and not request.has_ended:
+            content_type = response.content_type
+            header_line = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
+            request.client_request.reply(HTTPStatus.OK, response.body, header_line)
+            self._end(request)
+        if request.has_ended and not request.attempts_in_flight:
+            self.decisions.forget_after_turn(attempt.request_id)
         self.post(
             AttemptEnded(
-                number,
+                attempt.request_id,
                 attempt.attempt_index,
                 attempt.endpoint_id,
-                result,
-                self.clock.now() - attempt.started_at_us,
-                request.final,
-                answer.usage_percent if answer else None,
-                answer.load_report if answer else None,
+                outcome,
+                self.clock.now_us() - attempt.started_at_us,
+                request.has_ended,
+                response.usage_percent if response else None,
+                response.load_report if response else None,
             )
         )
 
-    def _cancel(self, action: CancelAttempt) -> None:
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
         request = self.requests.get(action.request_id)
         if request is not None and 0 <= action.attempt_index < len(request.attempts):
             request.attempts[action.attempt_index].cancel()
 
-    def _refuse(self, action: Reject) -> None:
+    # Answers without a response
+
+    def _reject(self, action: Reject) -> None:
         request = self.requests.get(action.request_id)
-        if request is not None and not request.final:
-            delay = (
-                min(action.retry_after_us, self.settings.max_retry_after_us)
-                if self.settings.may_send_retry_after
-                else 0
-            )
-            status = 503 if request.attempts else 429
-            request.client.reply(status, b"refused: try again\n", retry_after_line(delay))
-            self._decided(action.request_id, request)
+        if request is None or request.has_ended:
+            return
+        retry_after_us = 0
+        if self.settings.may_send_retry_after:
+            retry_after_us = min(action.retry_after_us, self.settings.max_retry_after_us)
+        was_attempted = bool(request.attempts)
+        status = HTTPStatus.SERVICE_UNAVAILABLE if was_attempted else HTTPStatus.TOO_MANY_REQUESTS
+        request.client_request.reply(status, REJECTED_BODY, retry_after_line(retry_after_us))
+        self._end_decided(action.request_id, request)
 
     def _fail(self, action: Fail) -> None:
         request = self.requests.get(action.request_id)
-        if request is not None and not request.final:
-            request.client.reply(502, b"failed\n")
-            self._decided(action.request_id, request)
+        if request is None or request.has_ended:
+            return
+        request.client_request.reply(HTTPStatus.BAD_GATEWAY, FAILED_BODY)
+        self._end_decided(action.request_id, request)
 
-    def _decided(self, number: int, request: Open) -> None:
-        """Its end is the module's own doing."""
-        self._final(request)
-        if not request.out:
-            self.requests.pop(number, None)
+    # Counter and timers
 
-    def _count(self, action: AddToCounter) -> None:
+    def _add_to_counter(self, action: AddToCounter) -> None:
         if self.counter is None:
             return self.post(CounterResult(action.counter_key, Outcome.NOT_CONNECTED, 0.0, 0))
         self.counter.count(action)
 
-    def _wake(self, action: SetTimer) -> None:
-        self._woken(self.clock.now() + action.delay_us, TimerFired(action.token))
+    def _set_timer(self, action: SetTimer) -> None:
+        self._fire_at(self.clock.now_us() + action.delay_us, TimerFired(action.token))
 
-    def _woken(self, due: int, event: TimerFired) -> None:
-        """The loop's timers may be a millisecond early, and one who is woken early does not ask again."""
-        left = due - self.clock.now()
-        if left > 0:
-            self._after(left, self._woken, due, event)
+    def _fire_at(self, due_us: int, event: TimerFired) -> None:
+        """Early by up to a millisecond, as the loop's timers may be, the decisions would find nothing due."""
+        left_us = due_us - self.clock.now_us()
+        if left_us > 0:
+            call_after(self.loop, left_us, self._fire_at, due_us, event)
         else:
             self.post(event)
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -48,9 +48,9 @@
         limits = share(held(config.sockets))
         self.loop = loop
         self.pool = UpstreamPool(config, limits.backends, loop)
-        self.door = Proxy(config, decider, self.pool, loop)
-        self.clients = ClientServer(config, self.door, limits.clients, loop)
-        self.discovery = DiscoveryClient(config, self.door.listed, self.door.unheard)
+        self.proxy = Proxy(config, decider, self.pool, loop)
+        self.clients = ClientServer(config, self.proxy, limits.clients, loop)
+        self.discovery = DiscoveryClient(config, self.proxy.apply_update, self.proxy.on_poll_failed)
         self.stopped = asyncio.Event()
         self.shutdown_task: asyncio.Task[None] | None = None
 
@@ -85,14 +85,14 @@
             *(config.counter or ("none", 0)),
         )
         self.discovery.move(config.discovery)
-        self.door.recount(config.counter)
+        self.proxy.move_counter(config.counter)
 
     def shut_down(self) -> None:
         """Begin the graceful shutdown: answer what is open and what still arrives, then stop."""
         if self.shutdown_task is not None:
             return
         self.clients.is_draining = True
-        self.door.drain(self.door.clock.now() + shutdown_timeout_us(self.door.settings))
+        self.proxy.drain(self.proxy.clock.now_us() + shutdown_timeout_us(self.proxy.settings))
         self.shutdown_task = self.loop.create_task(self._shut_down())
 
     async def _shut_down(self) -> None:
@@ -109,7 +109,7 @@
             self.clients.close_idle_served()
             await self._wait_while(self.clients.awaits_first_request, FIRST_REQUEST_WAIT_S)
             self.clients.close_idle()
-            left_us = self.door.drain_by - self.door.clock.now()
+            left_us = self.proxy.drain_deadline_us - self.proxy.clock.now_us()
             await self._wait_while(self.clients.has_pending_work, left_us / 1e6)
             await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
         finally:
