--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -7,7 +7,7 @@
 from yardlane.decisions.events import RequestArrived
 
 if TYPE_CHECKING:
-    from yardlane.decisions.endpoints import AttemptRecord
+    from yardlane.decisions.attempt_record import AttemptRecord
     from yardlane.decisions.tenant import Tenant
 
 LATEST_ANSWER_TICKS = 2  # ticks before the client gives up: one for a late timer, one to write the answer
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -41,8 +41,9 @@
 from yardlane.proxy.client_connection import ClientRequest
 from yardlane.proxy.client_response import retry_after_line
 from yardlane.proxy.clock import Clock, call_after
-from yardlane.proxy.counter_client import Counter
+from yardlane.proxy.counter_client import CounterClient
 from yardlane.proxy.decision_loop import DecisionLoop
+from yardlane.proxy.endpoint_decoder import Addresses
 from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
 from yardlane.proxy.response import UpstreamResponse
@@ -50,8 +51,6 @@
 
 log = logging.getLogger("yardlane.proxy.proxy")
 
-Addresses = dict[bytes, Address]
-
 FAILED_BODY = b"failed\n"
 REJECTED_BODY = b"refused: try again\n"
 SHUTDOWN_BODY = b"shutting down\n"
@@ -70,9 +69,9 @@
         self.clock = Clock()
         self.decisions = DecisionLoop(decider, self, self.clock, loop)
         self.post = self.decisions.post
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         if config.counter is not None:
-            self.counter = Counter(config.counter, self.settings.counter_timeout_us, self.post, loop)
+            self.counter = CounterClient(config.counter, self.settings.counter_timeout_us, self.post, loop)
         self.requests: dict[int, RequestInFlight] = {}
         self.last_request_id = 0
         self.addresses: Addresses = {}
@@ -351,7 +350,7 @@
     def _add_to_counter(self, action: AddToCounter) -> None:
         if self.counter is None:
             return self.post(CounterResult(action.counter_key, Outcome.NOT_CONNECTED, 0.0, 0))
-        self.counter.count(action)
+        self.counter.add(action)
 
     def _set_timer(self, action: SetTimer) -> None:
         self._fire_at(self.clock.now_us() + action.delay_us, TimerFired(action.token))
