--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
 from yardlane.config import Config, parse
-from yardlane.proxy.client_connection import ClientRequest
+from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
 from yardlane.server import Server
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -38,7 +38,7 @@
     UpdateKind,
 )
 from yardlane.proxy.attempt import Attempt
-from yardlane.proxy.client_connection import ClientRequest
+from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.client_response import retry_after_line
 from yardlane.proxy.clock import Clock, call_after
 from yardlane.proxy.counter_client import CounterClient
--- a/yardlane/proxy/request_in_flight.py
+++ b/yardlane/proxy/request_in_flight.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from yardlane.proxy.attempt import Attempt
-from yardlane.proxy.client_connection import ClientRequest
+from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.request_validation import ParsedRequest
 
 US_PER_MS = 1000
