--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -126,7 +126,7 @@
 async def test_a_client_that_leaves_while_its_request_is_queued(leave: Leave) -> None:
     """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
     async with running_with_backend(settings=ONE_AT_A_TIME) as (proxy, backend):
-        gateway = cast(Gateway, proxy.program.door.decider)
+        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
         first, to_first = await proxy.client()
         to_first.write(ask(trace="first"))
         reader, writer = await backend.connection()
@@ -135,7 +135,7 @@
         to_proxy.write(ask(trace="second"))
         await some_request_queued(gateway)
         leave(to_proxy)
-        while len(proxy.program.door.requests) > 1:
+        while len(proxy.program.proxy.requests) > 1:
             await asyncio.sleep(0)
         third, to_third = await proxy.client()
         to_third.write(ask(trace="third"))
@@ -144,7 +144,7 @@
         assert await read_status(first) == "200"
         assert await next_request(backend, (reader, writer)) == "third"
         assert await read_status(third) == "200"
-        while proxy.program.door.requests:
+        while proxy.program.proxy.requests:
             await asyncio.sleep(0)
         [tenant] = gateway.tenants.values()
         assert (tenant.in_flight, tenant.queue, gateway.concurrency.in_flight, gateway.requests) == (
@@ -163,7 +163,7 @@
         Peer() as two,
         running(known=whole_list(member("s-1", one.port), member("s-2", two.port))) as proxy,
     ):
-        gateway = cast(Gateway, proxy.program.door.decider)
+        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
         _, to_proxy = await proxy.client()
         to_proxy.write(ask())
         arrivals = [asyncio.ensure_future(backend.connection()) for backend in (one, two)]
@@ -219,7 +219,7 @@
     """A client with so many requests pending that its connection is not read."""
     _, to_proxy = await proxy.client()
     to_proxy.write(pipeline(MAX_PIPELINED))
-    while len(proxy.program.door.requests) < MAX_PIPELINED:
+    while len(proxy.program.proxy.requests) < MAX_PIPELINED:
         await asyncio.sleep(0)
     return to_proxy
 
@@ -247,7 +247,7 @@
         begun = without_reaper(proxy)
         leave(await fill_pipeline(proxy))
         await kernel_knows(proxy)
-        proxy.program.door._apply(StartAttempt(1, b"s-1"))
+        proxy.program.proxy.apply(StartAttempt(1, b"s-1"))
         assert not begun
         await script.wait_for(RequestEnded, MAX_PIPELINED)
         await all_released(proxy)
@@ -264,10 +264,10 @@
         leave(to_proxy)
         await kernel_knows(proxy)
         writer.write(answer())
-        while proxy.program.door.requests and len(begun) < 2:
+        while proxy.program.proxy.requests and len(begun) < 2:
             await asyncio.sleep(0)
         assert [attempt.request_id for attempt in begun] == [1]
-        gateway = cast(Gateway, proxy.program.door.decider)
+        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
         while gateway.requests or gateway.concurrency.in_flight:
             await asyncio.sleep(0)
 
@@ -292,7 +292,7 @@
         await kernel_knows(proxy)
         for _, writer in streams:
             writer.write(NEVER_RAN)
-        while proxy.program.door.requests and len(begun) == MAX_PIPELINED:
+        while proxy.program.proxy.requests and len(begun) == MAX_PIPELINED:
             await asyncio.sleep(0)
         assert [attempt.attempt_index for attempt in begun] == [0] * MAX_PIPELINED
         await script.wait_for(RequestEnded, MAX_PIPELINED)
@@ -331,7 +331,7 @@
     reader, to_proxy = await asyncio.open_connection(sock=made)
     cast(asyncio.Transport, to_proxy.transport).pause_reading()
     to_proxy.write(pipeline(requests))
-    while len(proxy.program.door.requests) < requests:
+    while len(proxy.program.proxy.requests) < requests:
         await asyncio.sleep(0)
     connection = only_connection(proxy)
     limit_send_buffer(connection)
@@ -362,7 +362,7 @@
         begun = without_reaper(proxy)
         leave(to_proxy)
         await kernel_knows(proxy)
-        proxy.program.door._apply(StartAttempt(4, b"s-1"))
+        proxy.program.proxy.apply(StartAttempt(4, b"s-1"))
         assert not begun
         await script.wait_for(RequestEnded)
 
@@ -382,7 +382,7 @@
         half_close(to_proxy)
         await script.wait_for(RequestEnded)
         assert connection.transport is not None and connection.transport.get_write_buffer_size() > 0
-        proxy.program.door._apply(StartAttempt(2, b"s-1"))
+        proxy.program.proxy.apply(StartAttempt(2, b"s-1"))
         assert not begun
         cast(asyncio.Transport, to_proxy.transport).resume_reading()
         assert (await read_message(client))[2] == LARGE_BODY
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -42,9 +42,9 @@
         await read_message(reader)
         to_proxy.transport.abort()
         writer.write(answer())
-        while proxy.program.door.requests:
+        while proxy.program.proxy.requests:
             await asyncio.sleep(0)
-        assert proxy.program.door.unanswered == 0
+        assert proxy.unanswered == 0
 
 
 @socket_test
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -49,7 +49,7 @@
         for _ in range(3):  # several in a row
             proxy.program.discovery.move(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch there is dropped
-        assert proxy.program.door.places == {b"s-1": ("127.0.0.1", 9)}
+        assert proxy.program.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the first moves only end
             to_new, agent = await new.connection()
             if line := await to_new.readline():
@@ -75,7 +75,7 @@
     ):
         add(proxy)
         reader, writer = await first_call(old)
-        proxy.program.door.recount(("127.0.0.1", new.port))
+        proxy.program.proxy.move_counter(("127.0.0.1", new.port))
         add(proxy, amount=2.0)
         to_new, counter = await new.connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
@@ -97,7 +97,7 @@
         running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
     ):
         add(proxy)
-        proxy.program.door.recount(("127.0.0.1", new.port))
+        proxy.program.proxy.move_counter(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -116,7 +116,7 @@
     ):
         add(proxy)
         reader, _ = await first_call(old)
-        proxy.program.door.recount(("127.0.0.1", new.port))
+        proxy.program.proxy.move_counter(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -21,6 +21,10 @@
     """Input that does not follow the simulator's wire."""
 
 
+class MalformedResponse(YardlaneError):
+    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
+
+
 class ClientProtocolError(YardlaneError):
     """A client broke the protocol; the fault is the client's. `status` and `text` make up its response.
 
@@ -54,10 +58,6 @@
     """One entry of an endpoint list, or a value in it, that cannot be read."""
 
 
-class MalformedResponse(YardlaneError):
-    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
-
-
 class MalformedCounterReply(YardlaneError):
     """A line of the counter that does not answer the call whose turn it is."""
 
