--- a/yardlane/decisions/actions.py
+++ b/yardlane/decisions/actions.py
@@ -1,11 +1,14 @@
-"""What to do: the actions that a gateway's decisions ask for. Times are whole microseconds."""
+"""What to do: the actions that a gateway's decisions ask for. Times are whole microseconds.
+
+Not frozen, for the same reason as events.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class StartAttempt:
     """Send a request to an endpoint; `timeout_us` 0 lets it run until the client's deadline.
 
@@ -19,7 +22,7 @@
     begin_within_us: int = 0
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CancelAttempt:
     """End an attempt; its `AttemptEnded` follows."""
 
@@ -27,7 +30,7 @@
     attempt_index: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Reject:
     """Final answer, with the promise that the request had no effect; `retry_after_us` 0 names no time."""
 
@@ -35,14 +38,14 @@
     retry_after_us: int = 0
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Fail:
     """Final answer without a promise: the request may have had its effect."""
 
     request_id: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AddToCounter:
     """Add to a shared count and read its total; a new key expires after `lifetime_us`."""
 
@@ -51,7 +54,7 @@
     lifetime_us: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SetTimer:
     """Call again after a delay, with a `TimerFired`."""
 
@@ -59,33 +62,33 @@
     token: int = 0
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CheckHealth:
     """Ask an endpoint for its health."""
 
     endpoint_id: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CloseIdleConnections:
     """Close the idle connections to an endpoint."""
 
     endpoint_id: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class FetchEndpoints:
     """Fetch a snapshot of the endpoint list."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class WatchEndpoints:
     """Start or stop watching the endpoint list."""
 
     enabled: bool = True
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SendGossip:
     """A message to one gateway by its rank, or to all others when `gateway` is None."""
 
@@ -93,7 +96,7 @@
     content: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class LogMessage:
     """A line for the log."""
 
--- a/yardlane/decisions/events.py
+++ b/yardlane/decisions/events.py
@@ -2,6 +2,9 @@
 
 Times are whole microseconds of the gateway's own clock. Endpoint ids and counter keys are values that the
 decisions only hand back; they carry no meaning of their own.
+
+Events are not frozen, although nothing changes them: a frozen dataclass costs a call a field when it is made,
+and some are made for each request.
 """
 
 from __future__ import annotations
@@ -55,7 +58,7 @@
     hardware_kind: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class LoadReport:
     """What an endpoint says of its own load; None where it does not say.
 
@@ -67,7 +70,7 @@
     utilization: float | None = None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class EndpointListUpdate:
     """News of the endpoint list, as version `version` of discovery's list."""
 
@@ -76,7 +79,7 @@
     endpoints: tuple[Endpoint, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RequestArrived:
     """A client's request.
 
@@ -96,7 +99,7 @@
     is_write: bool = False
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptEnded:
     """An attempt's only end. `request_ended` says that the request has had its final answer."""
 
@@ -110,7 +113,7 @@
     load: LoadReport | None = None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class StreamStarted:
     """An answer began to flow to the client: that is the final one, whatever comes of it."""
 
@@ -120,14 +123,14 @@
     elapsed_us: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RequestEnded:
     """A request ended by no decision: mostly, its client disconnected. It gets no answer any more."""
 
     request_id: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CounterResult:
     """The end of an `AddToCounter`; `total` counts only where the outcome is OK."""
 
@@ -137,7 +140,7 @@
     elapsed_us: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class HealthCheckEnded:
     """The end of a `CheckHealth`."""
 
@@ -147,7 +150,7 @@
     load: LoadReport | None = None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Gossip:
     """A message of another gateway, named by its rank."""
 
@@ -155,7 +158,7 @@
     content: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class TimerFired:
     """The end of a `SetTimer`."""
 
