--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -51,6 +51,7 @@
 
 log = logging.getLogger("yardlane.proxy.proxy")
 
+STATUS_OK = HTTPStatus.OK.value  # a plain number: looking up the member costs a call on each response
 FAILED_BODY = b"failed\n"
 REJECTED_BODY = b"refused: try again\n"
 SHUTDOWN_BODY = b"shutting down\n"
@@ -265,33 +266,24 @@
         attempt.address = address
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
-        self._check_on_connected(attempt, request.client_request, action.begin_within_us)
+        # A connection may come up long after the attempt's start: its client must still be there.
+        attempt.on_connected = request.client_request.connection.close_if_client_left
+        if action.begin_within_us:
+            self._bound_send_time(attempt, action.begin_within_us)
         self.pool.send(attempt)
 
-    def _check_on_connected(
-        self, attempt: Attempt, client_request: ClientRequest, send_within_us: int
-    ) -> None:
-        """A connection may come up long after the attempt's start: what held then is asked once more.
-
-        The client must still be there, and the last byte must not be sent after the time that an
-        idempotency key leaves (`send_within_us`; 0 for no such time).
-        """
-        close_if_client_left = client_request.connection.close_if_client_left
-        if not send_within_us:
-            attempt.on_connected = close_if_client_left
-            return
+    def _bound_send_time(self, attempt: Attempt, send_within_us: int) -> None:
+        """The last byte must not be sent later: an upstream forgets an idempotency key after a time."""
         send_by_us = attempt.started_at_us + send_within_us
-        attempt.on_connected = partial(self._on_connected, attempt, send_by_us, close_if_client_left)
+        attempt.on_connected = partial(self._on_connected, attempt, send_by_us, attempt.on_connected)
         attempt.send_by_timer = call_after(self.loop, send_within_us, attempt.on_send_by)
 
-    def _on_connected(
-        self, attempt: Attempt, send_by_us: int, close_if_client_left: Callable[[], object]
-    ) -> None:
+    def _on_connected(self, attempt: Attempt, send_by_us: int, then: Callable[[], object]) -> None:
         """The clock is asked too: where the process stood still, the timer is over and has not fired yet."""
         if self.clock.now_us() > send_by_us:
             attempt.on_send_by()
         else:
-            close_if_client_left()
+            then()
 
     def _on_attempt_finished(
         self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
@@ -302,7 +294,7 @@
         if outcome is Outcome.OK and response is not None and not request.has_ended:
             content_type = response.content_type
             header_line = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
-            request.client_request.reply(HTTPStatus.OK, response.body, header_line)
+            request.client_request.reply(STATUS_OK, response.body, header_line)
             self._end(request)
         if request.has_ended and not request.attempts_in_flight:
             self.decisions.forget_after_turn(attempt.request_id)
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -94,7 +94,7 @@
         self.body_bytes = 0
         self.interim_count = 0
         self.is_receiving = False  # a response has begun and is not whole
-        self.is_complete = False  # the final response is whole
+        self.is_complete = False  # the final response is whole; reset as the next request may be sent
         self.keep_alive = False  # the connection may carry another request after it
 
     def feed(self, data: bytes) -> None:
@@ -106,10 +106,6 @@
             cause = error.__context__ or error  # what a callback raised is the context of the parser's error
             raise MalformedResponse(str(cause)) from error
 
-    def expect_next(self) -> None:
-        """The connection is to carry another request."""
-        self.is_complete = False
-
     def close(self) -> None:
         """Nothing more is read. The parser and this reader hold each other, which only the GC would end."""
         self.parser = None
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -166,7 +166,7 @@
         if self.closes_after_response:
             return self.close()
         self._apply(UpstreamEvent.RELEASED)
-        self.reader.expect_next()
+        self.reader.is_complete = False
         self.pool.on_idle(self)
 
     # Sending
