--- a/tests/counter_calls.py
+++ b/tests/counter_calls.py
@@ -13,7 +13,7 @@
 
 def add(proxy: RunningProxy, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
     """Let the decisions ask for a call."""
-    proxy.program.door._apply(AddToCounter(key, amount, lifetime_us))
+    proxy.program.proxy.apply(AddToCounter(key, amount, lifetime_us))
 
 
 async def first_call(counter: Peer) -> Streams:
