--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -348,7 +348,7 @@
     for _ in range(200):
         desk.serve(quota_plan=FREE)
         desk.run(2 * SECOND)
-    assert desk.gateway.concurrency.limit >= desk.gateway.concurrency.usual_limit
+    assert desk.gateway.concurrency.limit >= desk.gateway.concurrency.base_limit
 
 
 def test_a_client_with_little_time_is_no_mark_against_a_server() -> None:
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -3,11 +3,11 @@
 Queues in front of the endpoints cost the latency objective of every request behind them; requests wait in
 the gateway instead, where they can still be rejected. The endpoints do not say how many attempts they bear,
 so the limit is adaptive. An answer within `GOOD_LATENCY_SHARE` of its class's latency objective widens it,
-a later one narrows it; the further it is from `usual_limit` already, the smaller the step away and the
+a later one narrows it; the further it is from `base_limit` already, the smaller the step away and the
 larger the step back. So it settles where the answers in time per late one are the square of limit /
-usual_limit.
+base_limit.
 
-`usual_limit` is `ATTEMPTS_PER_ENDPOINT` for each endpoint that is ready, divided by the number of gateways.
+`base_limit` is `ATTEMPTS_PER_ENDPOINT` for each endpoint that is ready, divided by the number of gateways.
 In a large set that is less than one: there the limit is kept by pacing, an attempt each mean service time /
 limit.
 
@@ -22,7 +22,7 @@
 
 GOOD_LATENCY_SHARE = 0.35
 ATTEMPTS_PER_ENDPOINT = 2.0
-WIDEST = 4.0  # in usual limits
+WIDEST = 4.0  # in base limits
 WIDEST_AT_LEAST = 2.0  # attempts
 NARROWEST = 0.1  # attempts
 STEP = 0.1
@@ -32,20 +32,20 @@
 class ConcurrencyLimit:
     """The attempts in flight, and the limit on them."""
 
-    __slots__ = ("_gateway_count", "in_flight", "last_sent_at_us", "limit", "usual_limit")
+    __slots__ = ("_gateway_count", "base_limit", "in_flight", "last_sent_at_us", "limit")
 
     def __init__(self, settings: Settings) -> None:
         self._gateway_count = settings.gateway_count
         self.last_sent_at_us = -SECOND_US
         self.in_flight = 0
         self.limit = WIDEST
-        self.usual_limit = 1.0
+        self.base_limit = 1.0
 
     def set_endpoint_count(self, ready_count: int) -> None:
         """Scale the limit to the number of endpoints that are ready."""
-        usual_limit = ATTEMPTS_PER_ENDPOINT * max(1, ready_count) / self._gateway_count
-        self.limit = self.limit * usual_limit / self.usual_limit
-        self.usual_limit = usual_limit
+        base_limit = ATTEMPTS_PER_ENDPOINT * max(1, ready_count) / self._gateway_count
+        self.limit = self.limit * base_limit / self.base_limit
+        self.base_limit = base_limit
 
     def admits(self, relative_value: float, mean_service_time_us: float, now_us: int) -> bool:
         """Whether an attempt of a class of this value and mean service time may be sent now."""
@@ -65,10 +65,10 @@
 
     def record_answer(self, elapsed_us: int, latency_objective_us: int) -> None:
         """Adapt the limit to the time of an answer."""
-        relative_limit = self.limit / self.usual_limit
+        relative_limit = self.limit / self.base_limit
         if elapsed_us > GOOD_LATENCY_SHARE * latency_objective_us:
             step = -min(self.limit, relative_limit)
         else:
             step = min(self.limit, 1.0 / relative_limit)
-        widest = max(WIDEST_AT_LEAST, WIDEST * self.usual_limit)
+        widest = max(WIDEST_AT_LEAST, WIDEST * self.base_limit)
         self.limit = max(NARROWEST, min(widest, self.limit + STEP * step))
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -64,7 +64,6 @@
         self.random = random.Random(seed)
         self.actions: list[Action] = []
         self.now_us = NOT_STARTED_US
-        self.started_at_us = NOT_STARTED_US
         self.timers = Timers()
         self.requests: dict[int, Request] = {}
         self.tenants: dict[TenantId, Tenant] = {}  # in the order of their last requests
@@ -84,9 +83,10 @@
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
+        is_first_turn = self.now_us == NOT_STARTED_US
         self.now_us = now_us
         self.actions = []
-        if self.started_at_us == NOT_STARTED_US:
+        if is_first_turn:
             self._start()
         for event in events:
             self._dispatch(event)
@@ -97,7 +97,6 @@
         return self.actions
 
     def _start(self) -> None:
-        self.started_at_us = self.now_us
         self.slow_start.gateway_started_at_us = self.now_us
         if not self.settings.endpoint_list_is_pushed:
             self._watch_endpoints()
@@ -155,7 +154,8 @@
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
         if tenant is None:
-            tenant = Tenant(event, self.settings, self.started_at_us, self.now_us, self.random.random())
+            started_at_us = self.slow_start.gateway_started_at_us
+            tenant = Tenant(event, self.settings, started_at_us, self.now_us, self.random.random())
         self.tenants[tenant_id] = tenant
         return tenant
 
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -42,6 +42,8 @@
         self.gateway_started_at_us = 0
         longest_objective_us = max(c.latency_objective_us for c in settings.request_classes)
         self.default_service_time_us = longest_objective_us * INITIAL_SERVICE_TIME_SHARE
+        # As a slot stays open for a part of the window, slots are by that part fewer.
+        self._slot_rate = BUDGET_SHARE * settings.overload_multiple / (1.0 + SLOT_OPEN_SHARE)
 
     def warm_up_factor(self, endpoint: EndpointRecord, now_us: int) -> float:
         """The least share of its capacity that an endpoint has by now; 1.0 once it is warm."""
@@ -77,33 +79,42 @@
         now_us: int,
         may_have_restarted: bool,
     ) -> bool:
-        """Whether a slot of this gateway is open that it has not used, nor could have before its restart.
-
-        All users number the slots alike, from the endpoint's start on. For this they round the work of a
-        request to a power of two of the default, on which gateways with nearly the same mean agree. As slots
-        stay open for a part of the window, they are by that part fewer.
-        """
-        settings = self.settings
-        users = self.endpoints.users_per_endpoint
-        budget_rate = BUDGET_SHARE * settings.overload_multiple / (1.0 + SLOT_OPEN_SHARE)
-        default_us = self.default_service_time_us
-        rounded_work_us = default_us * 2.0 ** round(math.log2(work_us / default_us))
-        mean_factor = (settings.initial_capacity_share + warm_up_factor) / 2
-        age_us = max(0, now_us - endpoint.entry.started_at_us)
-        # The slots since the endpoint's start; the fraction is how much of the newest one has passed.
-        slots = budget_rate * mean_factor * age_us / rounded_work_us
-        slots_since_ours = (int(slots) - endpoint.subset_rank) % users + slots % 1.0
-        slot_us = rounded_work_us / (budget_rate * warm_up_factor)
-        since_ours_us = slots_since_ours * slot_us
-        if since_ours_us > settings.overload_window_us * SLOT_OPEN_SHARE:
+        """Whether a slot of this gateway is open that it has not used, nor could have before its restart."""
+        window_us = self.settings.overload_window_us
+        rounded_work_us = self._rounded_work_us(work_us)
+        slot_us = rounded_work_us / (self._slot_rate * warm_up_factor)
+        since_ours_us = self._slots_since_ours(endpoint, warm_up_factor, rounded_work_us, now_us) * slot_us
+        if since_ours_us > window_us * SLOT_OPEN_SHARE:
             return False
         if may_have_restarted and now_us - since_ours_us < self.gateway_started_at_us:
             return False
         # Slots get shorter as the endpoint warms up, and move with the mean: the begin of one drifts past the
         # time at which we used it, and it would be used twice. So a use also bars us for half a round.
-        half_round_us = users * slot_us / 2
+        half_round_us = self.endpoints.users_per_endpoint * slot_us / 2
         return endpoint.last_sent_at_us < now_us - max(since_ours_us, half_round_us)
 
+    def _rounded_work_us(self, work_us: float) -> float:
+        """The work of a request as a power of two times the default.
+
+        All users have to number the slots alike, and gateways with nearly the same mean agree on this.
+        """
+        default_us = self.default_service_time_us
+        rounded_us: float = default_us * 2.0 ** round(math.log2(work_us / default_us))
+        return rounded_us
+
+    def _slots_since_ours(
+        self, endpoint: EndpointRecord, warm_up_factor: float, rounded_work_us: float, now_us: int
+    ) -> float:
+        """How many slots ago the last slot of this gateway began.
+
+        Slots are counted from the endpoint's start, at the mean of its warm-up factor since then.
+        """
+        mean_factor = (self.settings.initial_capacity_share + warm_up_factor) / 2
+        age_us = max(0, now_us - endpoint.entry.started_at_us)
+        slots = self._slot_rate * mean_factor * age_us / rounded_work_us
+        begun_since = (int(slots) - endpoint.subset_rank) % self.endpoints.users_per_endpoint
+        return begun_since + slots % 1.0
+
     def record_sent(self, endpoint: EndpointRecord, mean_service_time_us: float, now_us: int) -> None:
         """Count a request that is sent; an endpoint that is warm has no budget to take it off."""
         if self.warm_up_factor(endpoint, now_us) < 1.0:
