--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -1,89 +1,129 @@
-"""The subset of the servers that each gateway uses."""
+"""The endpoint list, and the subset of the endpoints that each gateway uses."""
 
 from __future__ import annotations
 
 from collections import Counter
 
+from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_endpoint, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
-from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
 from yardlane.decisions.endpoints import SUBSET_SIZE, EndpointList
+from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
 from yardlane.decisions.slow_start import SlowStart
-from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_endpoint, of_type, make_settings
 
-GATEWAYS, SERVERS = 40, 60
+GATEWAY_COUNT = 40
+ENDPOINT_COUNT = 60
+ID_HASH = 2654435761  # spreads the numbers over all ids
 
 
-def many(servers: int = SERVERS, first: int = 0) -> tuple[Endpoint, ...]:
+def make_endpoints(count: int = ENDPOINT_COUNT, first: int = 0) -> tuple[Endpoint, ...]:
+    """Endpoints that are warm, with ids as different as real ones."""
     return tuple(
-        make_endpoint(0, endpoint_id=b"s-%08x" % (n * 2654435761 % 2**32))
-        for n in range(first, first + servers)
+        make_endpoint(0, endpoint_id=b"s-%08x" % (number * ID_HASH % 2**32))
+        for number in range(first, first + count)
     )
 
 
-def fleets(entries: tuple[Endpoint, ...], gateways: int = GATEWAYS) -> list[EndpointList]:
-    made = [EndpointList(make_settings(gateway_count=gateways, rank=rank)) for rank in range(gateways)]
-    for fleet in made:
-        fleet.apply_update(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, entries))
-    return made
+def make_lists(entries: tuple[Endpoint, ...], gateway_count: int = GATEWAY_COUNT) -> list[EndpointList]:
+    """The list of each gateway, after a snapshot of these endpoints."""
+    lists = [
+        EndpointList(make_settings(gateway_count=gateway_count, rank=rank)) for rank in range(gateway_count)
+    ]
+    for endpoints in lists:
+        endpoints.apply_update(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, entries))
+    return lists
+
+
+def subset_ids(endpoints: EndpointList) -> set[bytes]:
+    return {record.entry.endpoint_id for record in endpoints.subset}
+
 
+def test_each_of_many_gateways_uses_a_few_endpoints_and_all_are_used_alike() -> None:
+    """Forty gateways used sixty endpoints each. Every second request opened a connection of its own.
 
-def test_each_of_many_gateways_uses_a_few_servers_and_all_are_used_alike() -> None:
-    """Lost: forty gateways that each used sixty servers opened a connection for every second request."""
-    used: Counter[bytes] = Counter()
-    for fleet in fleets(many()):
-        assert len(fleet.subset) == SUBSET_SIZE
-        used.update(s.entry.endpoint_id for s in fleet.subset)
-    assert len(used) == SERVERS
-    assert max(used.values()) <= 2 * GATEWAYS * SUBSET_SIZE / SERVERS
+    So a gateway uses a subset, and the subsets of all gateways cover the endpoints evenly.
+    """
+    users: Counter[bytes] = Counter()
+    for endpoints in make_lists(make_endpoints()):
+        assert len(endpoints.subset) == SUBSET_SIZE
+        users.update(subset_ids(endpoints))
+    assert len(users) == ENDPOINT_COUNT
+    assert max(users.values()) <= 2 * GATEWAY_COUNT * SUBSET_SIZE / ENDPOINT_COUNT
 
 
 def test_a_small_fleet_is_used_whole_by_every_gateway() -> None:
-    for fleet in fleets(many(9), gateways=3):
-        assert len(fleet.subset) == 9 and fleet.users_per_endpoint == 3
+    for endpoints in make_lists(make_endpoints(9), gateway_count=3):
+        assert len(endpoints.subset) == 9 and endpoints.users_per_endpoint == 3
 
 
-def test_a_change_of_the_list_moves_few_other_servers() -> None:
-    for fleet in fleets(many()):
-        before = {s.entry.endpoint_id for s in fleet.subset}
-        new = many(1, first=900)
-        fleet.apply_update(EndpointListUpdate(UpdateKind.DELTA, 2, new))
-        assert len(before - {s.entry.endpoint_id for s in fleet.subset}) <= 1
+def test_a_change_of_the_list_moves_few_other_endpoints() -> None:
+    added = make_endpoints(1, first=900)
+    for endpoints in make_lists(make_endpoints()):
+        before = subset_ids(endpoints)
+        endpoints.apply_update(EndpointListUpdate(UpdateKind.DELTA, 2, added))
+        assert len(before - subset_ids(endpoints)) <= 1
 
 
-def test_a_cold_server_has_as_many_users_as_share_its_budget() -> None:
+def test_a_warming_endpoint_has_as_many_users_as_divide_its_budget() -> None:
     now = 500 * SECOND
-    for cold in (
-        make_endpoint(0, endpoint_id=b"s-%x" % n, started_at_us=now - 2 * SECOND) for n in range(20)
-    ):
+    for number in range(20):
+        warming = make_endpoint(0, endpoint_id=b"s-%x" % number, started_at_us=now - 2 * SECOND)
         users = set()
-        for rank, fleet in enumerate(fleets((*many(), cold))):
-            server, work = fleet.by_id[cold.endpoint_id], 200 * MS
-            slow_start = SlowStart(fleet.settings, fleet)
+        for rank, endpoints in enumerate(make_lists((*make_endpoints(), warming))):
+            slow_start = SlowStart(endpoints.settings, endpoints)
+            record = endpoints.by_id[warming.endpoint_id]
             if any(
-                slow_start.admits(server, slow_start.warm_up_factor(server, at), work, at)
+                slow_start.admits(record, slow_start.warm_up_factor(record, at), 200 * MS, at)
                 for at in range(now, now + 8 * SECOND, 50 * MS)
             ):
                 users.add(rank)
-        assert len(users) == fleet.users_per_endpoint < GATEWAYS
+        assert len(users) == endpoints.users_per_endpoint < GATEWAY_COUNT
+
+
+def test_an_endpoint_that_a_list_lacks_for_a_moment_keeps_its_record() -> None:
+    """A list lacked a warming endpoint for a moment. Named again, it got its whole budget once more.
+
+    What it was sent is remembered for a window, if it comes back with the same start.
+    """
+    [endpoints] = make_lists((), gateway_count=1)
+    warming = make_endpoint(0, started_at_us=500 * SECOND)
+    named = EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,))
+    endpoints.apply_update(named)
+    record = endpoints.by_id[warming.endpoint_id]
+    record.sent_work.add(100 * MS, 501 * SECOND)
+    endpoints.apply_update(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, ()))
+    assert not endpoints.by_id
+    endpoints.apply_update(named)
+    assert endpoints.by_id[warming.endpoint_id] is record
+
+
+def test_a_restarted_endpoint_gets_a_new_record() -> None:
+    [endpoints] = make_lists((make_endpoint(0),), gateway_count=1)
+    before = endpoints.by_id[make_endpoint(0).endpoint_id]
+    restarted = make_endpoint(0, started_at_us=500 * SECOND)
+    endpoints.apply_update(EndpointListUpdate(UpdateKind.DELTA, 2, (restarted,)))
+    after = endpoints.by_id[restarted.endpoint_id]
+    assert after is not before and after.entry is restarted
+
+
+def reached_endpoints(driver: GatewayDriver) -> set[bytes]:
+    """Where the next sixty requests go, each answered at once."""
+    reached = set()
+    for _ in range(60):
+        number, actions = driver.ask(quota_plan=FREE)
+        for attempt in of_type(StartAttempt, actions):
+            reached.add(attempt.endpoint_id)
+            driver.end(number, attempt.endpoint_id)
+        driver.run(200 * MS)
+    return reached
 
 
 def test_requests_go_to_the_subset_and_to_the_next_when_one_of_it_drains() -> None:
-    desk = GatewayDriver(servers=0, gateway_count=GATEWAYS)
-    desk.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, many()))
-    near = [s.entry for s in desk.gateway.endpoints.subset]
-
-    def reached() -> set[bytes]:
-        found = set()
-        for _ in range(60):
-            number, actions = desk.ask(quota_plan=FREE)
-            for send in of_type(StartAttempt, actions):
-                found.add(send.endpoint_id)
-                desk.end(number, send.endpoint_id)
-            desk.run(200 * MS)
-        return found
-
-    assert reached() <= {e.endpoint_id for e in near}
-    gone = make_endpoint(0, endpoint_id=near[0].endpoint_id, state=EndpointState.DRAINING)
-    desk.give(EndpointListUpdate(UpdateKind.DELTA, 2, (gone,)))
-    assert len(desk.gateway.endpoints.subset) == SUBSET_SIZE
-    assert near[0].endpoint_id not in reached()
+    driver = GatewayDriver(servers=0, gateway_count=GATEWAY_COUNT)
+    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
+    before = subset_ids(driver.gateway.endpoints)
+    assert reached_endpoints(driver) <= before
+    first_id = driver.gateway.endpoints.subset[0].entry.endpoint_id
+    draining = make_endpoint(0, endpoint_id=first_id, state=EndpointState.DRAINING)
+    driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
+    assert len(driver.gateway.endpoints.subset) == SUBSET_SIZE
+    assert first_id not in reached_endpoints(driver)
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -1,142 +1,217 @@
-"""Random legal orders of events never break rules 1, 2, 3 and 5."""
+"""Whatever happens in whatever order, the rules hold that no decision may ever break.
+
+A random run gives a gateway a legal order of events; each action is checked as it comes:
+
+- a request gets one final answer, in time, and nothing is sent for it afterwards;
+- a non-idempotent request is sent again only if it never ran; one with an idempotency key within its window
+  and in the zone of the first attempt that may have run; a rejection promises no more than that;
+- attempts go only to endpoints that are ready, and there is no hedged request where it is not allowed;
+- the hard rate is never exceeded.
+"""
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from random import Random
 
 from hypothesis import given, settings, strategies
 
+from tests.gateway_driver import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, GatewayDriver, make_endpoint
 from yardlane.decisions.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, Outcome, RequestEnded, UpdateKind
 from yardlane.decisions.settings import Idempotency
-from tests.gateway_driver import CEILED, CLASSES, MS, PLANS, SAFE, SECOND, GatewayDriver, make_endpoint
 
-PROOF = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
-FAILURES = (*PROOF, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+FAILURES = (*NEVER_RAN, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+ZONES = 3
+ENDPOINTS = 6
+MOVES = 150
+STATES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
-class Watch:
-    """Checks every action against the rules as it comes."""
+@dataclass
+class SentAttempt:
+    """One attempt, as the test saw it."""
 
-    def __init__(self, desk: GatewayDriver) -> None:
-        self.desk, self.seen = desk, 0
-        self.kind: dict[int, int] = {}
-        self.plan: dict[int, int] = {}
-        self.gives_up: dict[int, int] = {}
-        self.over: set[int] = set()
-        self.sends: dict[int, list[tuple[int, bytes]]] = {}
-        self.out: set[tuple[int, int]] = set()
-        self.never: set[tuple[int, int]] = set()
-        self.states: dict[bytes, tuple[EndpointState, int]] = {}
-        self.ceiling = PLANS[CEILED].hard_rate_slack / 3
-        self.ceiling_at = desk.now
+    sent_at_us: int
+    endpoint_id: bytes
+    in_flight: bool = True
+    may_have_run: bool = True
 
-    def risky(self, request: int) -> list[tuple[int, bytes]]:
-        return [s for n, s in enumerate(self.sends[request]) if (request, n) not in self.never]
 
-    def check(self) -> None:
-        for at, action in self.desk.log[self.seen :]:
-            if isinstance(action, StartAttempt):
-                self.send(at, action)
-            elif isinstance(action, Reject | Fail):
-                number = action.request_id
-                assert number not in self.over
-                assert at <= self.gives_up[number] + self.desk.settings.answer_grace_us
-                rule = CLASSES[self.kind[number]]
-                if isinstance(action, Reject) and rule.idempotency is not Idempotency.IDEMPOTENT:
-                    assert not self.risky(number)
-                self.over.add(number)
-        self.seen = len(self.desk.log)
-
-    def send(self, at: int, action: StartAttempt) -> None:
-        number = action.request_id
-        assert number not in self.over
-        rule, earlier = CLASSES[self.kind[number]], self.risky(number)
-        if earlier and rule.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("unsafe sent twice")
-        if earlier and rule.idempotency is Idempotency.KEYED:
-            assert self.states[earlier[0][1]][1] == self.states[action.endpoint_id][1]
-            assert at - earlier[0][0] < rule.idempotency_window_us
-        if not self.desk.settings.may_hedge:
-            assert not any(n == number for n, _ in self.out)
-        assert self.states[action.endpoint_id][0] is EndpointState.READY
-        if self.plan[number] == CEILED and not self.sends[number]:
-            self.ceiling = min(10.0, self.ceiling + 2.0 * (at - self.ceiling_at) / SECOND) - 1.0
-            self.ceiling_at = at
-            assert self.ceiling >= -1e-6
-        self.out.add((number, len(self.sends[number])))
-        self.sends[number].append((at, action.endpoint_id))
+@dataclass
+class RequestHistory:
+    """One request, as the test saw it."""
 
+    request_class: int
+    plan: int
+    gives_up_at_us: int
+    attempts: list[SentAttempt] = field(default_factory=list)
+    is_over: bool = False
 
-@settings(max_examples=60, deadline=None, derandomize=True)
-@given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
-def test_random_orders_keep_the_rules(seed: int, parallel: bool, counter: bool) -> None:
-    random = Random(seed)
-    desk = GatewayDriver(servers=0, may_hedge=parallel, has_shared_counter=counter)
-    watch = Watch(desk)
+    def first_that_may_have_run(self) -> SentAttempt | None:
+        return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
+
+
+class RuleChecker:
+    """Checks every action of a gateway against the rules."""
 
-    def listed(kind: UpdateKind, numbers: range) -> None:
+    def __init__(self, driver: GatewayDriver) -> None:
+        self.driver = driver
+        self.checked_count = 0
+        self.requests: dict[int, RequestHistory] = {}
+        self.endpoint_states: dict[bytes, EndpointState] = {}
+        self.endpoint_zones: dict[bytes, int] = {}
+        # This gateway's part of the hard rate's token bucket: a third, as there are three gateways.
+        self.hard_rate_units = PLANS[CEILED].hard_rate_slack / 3
+        self.hard_rate_at_us = driver.now
+
+    def check_new_actions(self) -> None:
+        new_actions = self.driver.log[self.checked_count :]
+        self.checked_count = len(self.driver.log)
+        for at_us, action in new_actions:
+            if isinstance(action, StartAttempt):
+                self._check_attempt(at_us, action)
+            elif isinstance(action, Reject | Fail):
+                self._check_answer(at_us, action)
+
+    def _check_answer(self, at_us: int, answer: Reject | Fail) -> None:
+        request = self.requests[answer.request_id]
+        assert not request.is_over
+        assert at_us <= request.gives_up_at_us + self.driver.settings.answer_grace_us
+        idempotency = CLASSES[request.request_class].idempotency
+        if isinstance(answer, Reject) and idempotency is not Idempotency.IDEMPOTENT:
+            assert request.first_that_may_have_run() is None
+        request.is_over = True
+
+    def _check_attempt(self, at_us: int, action: StartAttempt) -> None:
+        request = self.requests[action.request_id]
+        assert not request.is_over
+        first = request.first_that_may_have_run()
+        if first is not None:
+            self._check_repeat(at_us, action.endpoint_id, request, first)
+        if not self.driver.settings.may_hedge:
+            assert not any(attempt.in_flight for attempt in request.attempts)
+        assert self.endpoint_states[action.endpoint_id] is EndpointState.READY
+        if request.plan == CEILED and not request.attempts:
+            self._check_hard_rate(at_us)
+        request.attempts.append(SentAttempt(at_us, action.endpoint_id))
+
+    def _check_repeat(
+        self, at_us: int, endpoint_id: bytes, request: RequestHistory, first: SentAttempt
+    ) -> None:
+        request_class = CLASSES[request.request_class]
+        assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+        if request_class.idempotency is Idempotency.KEYED:
+            assert self.endpoint_zones[first.endpoint_id] == self.endpoint_zones[endpoint_id]
+            assert at_us - first.sent_at_us < request_class.idempotency_window_us
+
+    def _check_hard_rate(self, at_us: int) -> None:
+        depth = PLANS[CEILED].hard_rate_depth / 3
+        units_per_s = PLANS[CEILED].hard_rate_per_s / 3
+        filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_at_us) / SECOND
+        self.hard_rate_units = min(depth, filled) - 1.0
+        self.hard_rate_at_us = at_us
+        assert self.hard_rate_units >= -1e-6
+
+
+class RandomRun:
+    """Gives a gateway random events that are legal where it stands."""
+
+    def __init__(self, seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
+        self.random = Random(seed)
+        self.driver = GatewayDriver(servers=0, may_hedge=may_hedge, has_shared_counter=has_shared_counter)
+        self.checker = RuleChecker(self.driver)
+        self.update_endpoints(UpdateKind.SNAPSHOT, range(ENDPOINTS))
+
+    def move(self) -> None:
+        choice = self.random.random()
+        in_flight = sorted(
+            (number, index)
+            for number, request in self.checker.requests.items()
+            for index, attempt in enumerate(request.attempts)
+            if attempt.in_flight
+        )
+        alive = sorted(number for number, request in self.checker.requests.items() if not request.is_over)
+        if choice < 0.45:
+            self.ask()
+        elif choice < 0.75 and in_flight:
+            self.end_attempt(*self.random.choice(in_flight))
+        elif choice < 0.80 and alive:
+            self.disconnect(self.random.choice(alive))
+        elif choice < 0.85:
+            kind = self.random.choice((UpdateKind.DELTA, UpdateKind.SNAPSHOT))
+            self.update_endpoints(kind, range(self.random.randrange(ENDPOINTS + 1)))
+        elif choice < 0.88:
+            self.driver.counter_answers = not self.driver.counter_answers
+        else:
+            self.let_time_pass()
+        self.checker.check_new_actions()
+
+    def ask(self) -> None:
+        request_class = self.random.randrange(len(CLASSES))
+        plan = self.random.randrange(len(PLANS))
+        time_left_us = self.random.choice((5 * MS, 400 * MS, 2 * SECOND))
+        history = RequestHistory(request_class, plan, self.driver.now + time_left_us)
+        self.checker.requests[self.driver.next_request] = history
+        self.driver.ask(tenant=plan, quota_plan=plan, request_class=request_class, time_left_us=time_left_us)
+
+    def end_attempt(self, number: int, index: int) -> None:
+        outcome = Outcome.OK if self.random.random() < 0.5 else self.random.choice(FAILURES)
+        if any(action == CancelAttempt(number, index) for _, action in self.driver.log):
+            outcome = Outcome.CANCELLED
+        request = self.checker.requests[number]
+        attempt = request.attempts[index]
+        attempt.in_flight = False
+        attempt.may_have_run = outcome not in NEVER_RAN
+        if outcome is Outcome.OK:
+            request.is_over = True
+        elapsed_us = max(1, self.driver.now - attempt.sent_at_us)
+        self.driver.end(number, attempt.endpoint_id, outcome, elapsed_us, index, request.is_over)
+
+    def disconnect(self, number: int) -> None:
+        self.checker.requests[number].is_over = True
+        self.driver.give(RequestEnded(number))
+
+    def update_endpoints(self, kind: UpdateKind, numbers: range) -> None:
         entries = [
             make_endpoint(
-                n,
-                random.choice((EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)),
-                zone=n % 3,
-                started_at_us=random.choice((0, desk.now - 2 * SECOND)),
+                number,
+                self.random.choice(STATES),
+                zone=number % ZONES,
+                started_at_us=self.random.choice((0, self.driver.now - 2 * SECOND)),
             )
-            for n in numbers
+            for number in numbers
         ]
+        states = self.checker.endpoint_states
         if kind is UpdateKind.SNAPSHOT:
-            entries = [e for e in entries if e.state is not EndpointState.REMOVED]
-            watch.states = {s: (EndpointState.REMOVED, z) for s, (_, z) in watch.states.items()}
-        for e in entries:
-            watch.states[e.endpoint_id] = (e.state, e.zone)
-        desk.give(EndpointListUpdate(kind, 1, tuple(entries)))
-
-    listed(UpdateKind.SNAPSHOT, range(6))
-    for _ in range(150):
-        move = random.random()
-        if move < 0.45:
-            kind, plan = random.randrange(3), random.randrange(4)
-            left = random.choice((5 * MS, 400 * MS, 2 * SECOND))
-            number = desk.next_request
-            watch.kind[number], watch.plan[number] = kind, plan
-            watch.gives_up[number], watch.sends[number] = desk.now + left, []
-            desk.ask(tenant=plan, quota_plan=plan, request_class=kind, time_left_us=left)
-        elif move < 0.75 and watch.out:
-            number, attempt = random.choice(sorted(watch.out))
-            result = Outcome.OK if random.random() < 0.5 else random.choice(FAILURES)
-            if (number, attempt) in {
-                (a.request_id, a.attempt_index) for _, a in desk.log if isinstance(a, CancelAttempt)
-            }:
-                result = Outcome.CANCELLED
-            watch.out.discard((number, attempt))
-            if result in PROOF:
-                watch.never.add((number, attempt))
-            sent, server = watch.sends[number][attempt]
-            if result is Outcome.OK:
-                watch.over.add(number)
-            desk.end(number, server, result, max(1, desk.now - sent), attempt, number in watch.over)
-        elif move < 0.80 and (alive := sorted(set(watch.kind) - watch.over)):
-            number = random.choice(alive)
-            watch.over.add(number)
-            desk.give(RequestEnded(number))
-        elif move < 0.85:
-            listed(random.choice((UpdateKind.DELTA, UpdateKind.SNAPSHOT)), range(random.randrange(7)))
-        elif move < 0.88:
-            desk.counter_answers = not desk.counter_answers
-        else:
-            for _ in range(random.randrange(1, 40)):
-                desk.run(random.choice((1, 20, 50)) * MS)
-                watch.check()
-        watch.check()
-    desk.run(5 * SECOND)
-    watch.check()
-    assert set(watch.kind) <= watch.over
+            entries = [entry for entry in entries if entry.state is not EndpointState.REMOVED]
+            states.update(dict.fromkeys(states, EndpointState.REMOVED))
+        for entry in entries:
+            states[entry.endpoint_id] = entry.state
+            self.checker.endpoint_zones[entry.endpoint_id] = entry.zone
+        self.driver.give(EndpointListUpdate(kind, 1, tuple(entries)))
+
+    def let_time_pass(self) -> None:
+        for _ in range(self.random.randrange(1, 40)):
+            self.driver.run(self.random.choice((1, 20, 50)) * MS)
+            self.checker.check_new_actions()
+
+
+@settings(max_examples=60, deadline=None, derandomize=True)
+@given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
+def test_random_orders_keep_the_rules(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
+    run = RandomRun(seed, may_hedge, has_shared_counter)
+    for _ in range(MOVES):
+        run.move()
+    run.driver.run(5 * SECOND)
+    run.checker.check_new_actions()
+    assert all(request.is_over for request in run.checker.requests.values())
 
 
-def test_every_delay_of_a_wake_is_positive() -> None:
-    desk = GatewayDriver()
+def test_every_delay_of_a_timer_is_positive() -> None:
+    driver = GatewayDriver()
     for _ in range(100):
-        desk.ask(request_class=SAFE)
-        desk.run(7 * MS)
-    assert all(a.delay_us > 0 for _, a in desk.log if isinstance(a, SetTimer))
+        driver.ask(request_class=SAFE)
+        driver.run(7 * MS)
+    assert all(action.delay_us > 0 for _, action in driver.log if isinstance(action, SetTimer))
