--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -4,7 +4,16 @@
 
 from collections import Counter
 
-from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_endpoint, make_settings, of_type
+from tests.gateway_driver import (
+    FREE,
+    MS,
+    SECOND,
+    GatewayDriver,
+    make_endpoint,
+    make_endpoint_id,
+    make_settings,
+    of_type,
+)
 from yardlane.decisions.actions import StartAttempt
 from yardlane.decisions.endpoints import SUBSET_SIZE, EndpointList
 from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
@@ -105,6 +114,11 @@
     assert after is not before and after.entry is restarted
 
 
+def attempted_endpoints(driver: GatewayDriver) -> set[bytes]:
+    """Where all attempts of the log went."""
+    return {action.endpoint_id for _, action in driver.log if isinstance(action, StartAttempt)}
+
+
 def reached_endpoints(driver: GatewayDriver) -> set[bytes]:
     """Where the next sixty requests go, each answered at once."""
     reached = set()
@@ -127,3 +141,19 @@
     driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
     assert len(driver.gateway.endpoints.subset) == SUBSET_SIZE
     assert first_id not in reached_endpoints(driver)
+
+
+def test_nothing_goes_to_an_endpoint_that_drains_or_is_not_listed() -> None:
+    driver = GatewayDriver(servers=4)
+    draining = make_endpoint(0, EndpointState.DRAINING)
+    removed = make_endpoint(1, EndpointState.REMOVED)
+    driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
+    for _ in range(6):
+        driver.ask()
+    assert attempted_endpoints(driver) == {make_endpoint_id(2), make_endpoint_id(3)}
+    driver.run(4 * SECOND)
+    driver.log.clear()
+    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, (make_endpoint(3),)))
+    for _ in range(30):
+        driver.serve()
+    assert attempted_endpoints(driver) <= {make_endpoint_id(3)}
--- /dev/null
+++ b/tests/decisions/warm_up_simulation.py
@@ -0,0 +1,365 @@
+"""Gateways, endpoints and clients on a simulated clock, to see what endpoints are sent while they warm up.
+
+The gateways are real. Each learns of a change at a time of its own; endpoints are of many cores and have no
+queue, so that the budgets of slow start are what bounds the load, not the limit on attempts in flight.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
+from functools import partial
+from random import Random
+
+from tests.gateway_driver import FREE, MS, SECOND, make_endpoint, make_settings
+from yardlane.decisions.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
+from yardlane.decisions.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointState,
+    Event,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from yardlane.decisions.gateway import Gateway
+from yardlane.decisions.settings import Settings
+
+BEGIN_US = 100 * SECOND
+JOIN_US = BEGIN_US + 3 * SECOND  # from here on the endpoints start that the test looks at
+DRAIN_US = JOIN_US + SECOND * 3 // 2
+FAILURE_TAKES_US = 2 * MS  # a rejection or a failed connection
+HANG_TAKES_US = 2 * SECOND
+NOTIFICATION_US = (20 * MS, 800 * MS)  # how late a gateway learns of a change
+INITIAL_SERVICE_TIME_SHARE = 1 / 6  # of the latency objective: what a gateway takes a request for at first
+BURST_S = (7, 9)  # twice the load
+
+
+@dataclass
+class Scenario:
+    """What happens on one simulated day; the seed draws around these figures."""
+
+    gateway_count: int = 30
+    warm_count: int = 8
+    warming_count: int = 2
+    warm_ones_stay: bool = False  # else they drain, and all requests go to the warming ones
+    warming_ones_crashed: bool = False  # they were up and warm before; else they are new
+    restart_share: float = 0.0  # of the gateways, twice
+    partial_list_share: float = 0.0  # of the gateways: their list lacks half of the warm endpoints
+    lists_flap: bool = False  # lists lose the warming endpoints for a moment and name them again
+    work_factor: float = 1.0  # the mean work of a request, in initial estimates
+    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # that of each class, in means of all
+    load: float = 4.0  # offered work, in warm cores for each warming endpoint
+    hang_share: float = 0.05  # of the attempts: never answered in time
+    latency_objective_us: int = 900 * MS
+    settings: dict[str, float] = field(default_factory=dict)
+
+
+def warm_up_factor(settings: Settings, started_at_us: int, now_us: int) -> float:
+    """The share of its capacity that an endpoint has, by the rule of the settings."""
+    if not started_at_us:
+        return 1.0
+    share = settings.initial_capacity_share
+    return min(1.0, share + (1.0 - share) * max(0, now_us - started_at_us) / settings.warm_up_us)
+
+
+class SimulatedClock:
+    """The time, and what happens at which time; equal times in the order of their scheduling."""
+
+    def __init__(self, now_us: int) -> None:
+        self.now_us = now_us
+        self._calls: list[tuple[int, int, Callable[[], None]]] = []
+        self._scheduled_count = 0
+
+    def schedule(self, at_us: float, call: Callable[[], None]) -> None:
+        self._scheduled_count += 1
+        heapq.heappush(self._calls, (int(at_us), self._scheduled_count, call))
+
+    def run(self, duration_us: int) -> None:
+        end_us = self.now_us + duration_us
+        while self._calls and self._calls[0][0] <= end_us:
+            self.now_us, _, call = heapq.heappop(self._calls)
+            call()
+
+
+@dataclass
+class SentWork:
+    """One attempt as it reached its endpoint."""
+
+    at_us: int
+    work_us: float
+    sender_knew_start: bool
+
+
+@dataclass
+class SimulatedEndpoint:
+    """An endpoint, and what reached it since its start."""
+
+    entry: Endpoint
+    is_down: bool = False
+    sent: list[SentWork] = field(default_factory=list)
+
+    def load_while_warming(self, settings: Settings, mean_work_us: float, now_us: int) -> tuple[float, float]:
+        """Of all windows the largest work over what is allowed, and all work over the whole budget."""
+        started_at_us = self.entry.started_at_us
+        warming = [sent for sent in self.sent if warm_up_factor(settings, started_at_us, sent.at_us) < 1.0]
+        worst = 0.0
+        window: deque[SentWork] = deque()
+        for sent in warming:
+            window.append(sent)
+            while window[0].at_us <= sent.at_us - settings.overload_window_us:
+                window.popleft()
+            total_us = sum(earlier.work_us for earlier in window)
+            knowing_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start)
+            factor = warm_up_factor(settings, started_at_us, sent.at_us)
+            allowed = settings.overload_multiple * factor * settings.overload_window_us / mean_work_us
+            if knowing_us > total_us * 2 / 3:  # else most of it came from those that could not know
+                worst = max(worst, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
+        until_us = min(now_us, started_at_us + settings.warm_up_us)
+        first_factor = warm_up_factor(settings, started_at_us, started_at_us)
+        last_factor = warm_up_factor(settings, started_at_us, until_us)
+        budget_us = settings.overload_multiple * (until_us - started_at_us) * (first_factor + last_factor) / 2
+        return worst, sum(sent.work_us for sent in warming) / budget_us
+
+
+@dataclass
+class GatewayProcess:
+    """A gateway that may be restarted, and the endpoint list as it was last notified of it."""
+
+    rank: int
+    gateway: Gateway
+    incarnation: int = 0
+    endpoints: dict[bytes, Endpoint] = field(default_factory=dict)
+
+
+@dataclass
+class SimulatedAttempt:
+    """One attempt of a request."""
+
+    endpoint_id: bytes
+    sent_at_us: int
+    ended: bool = False
+
+
+class Simulation:
+    """One day of a scenario."""
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self.random = Random(seed)
+        self.scenario = scenario
+        self.clock = SimulatedClock(BEGIN_US)
+        base = make_settings(
+            gateway_count=scenario.gateway_count, has_shared_counter=False, **scenario.settings
+        )
+        classes = tuple(
+            replace(c, latency_objective_us=scenario.latency_objective_us) for c in base.request_classes
+        )
+        self.settings = replace(base, request_classes=classes)
+        initial_estimate_us = scenario.latency_objective_us * INITIAL_SERVICE_TIME_SHARE
+        self.mean_work_us = initial_estimate_us * scenario.work_factor
+        self.request_count = 0
+        self.attempts: dict[int, list[SimulatedAttempt]] = {}
+        self.answered: set[int] = set()
+        ids = [
+            b"s-%08x" % self.random.getrandbits(32)
+            for _ in range(scenario.warm_count + scenario.warming_count)
+        ]
+        self.endpoints = {
+            endpoint_id: SimulatedEndpoint(make_endpoint(0, endpoint_id=endpoint_id))
+            for endpoint_id in ids[: scenario.warm_count]
+        }
+        crashed = ids[: scenario.warming_count]
+        self.warming_ids = crashed if scenario.warming_ones_crashed else ids[scenario.warm_count :]
+        self.processes = [
+            GatewayProcess(rank, self._new_gateway(rank)) for rank in range(scenario.gateway_count)
+        ]
+        self._notify_of_initial_lists()
+        self._schedule_warming_endpoints()
+        if not scenario.warm_ones_stay:
+            self._schedule_drains()
+        if scenario.restart_share:
+            self._schedule_restarts()
+        if scenario.lists_flap:
+            for number in range(8):
+                self.clock.schedule(JOIN_US + (2 + number) * SECOND, self._flap_lists)
+        self.clock.schedule(BEGIN_US, self._send_request)
+
+    def loads(self) -> list[tuple[float, float]]:
+        """`load_while_warming` of each endpoint that the test looks at."""
+        return [
+            self.endpoints[endpoint_id].load_while_warming(
+                self.settings, self.mean_work_us, self.clock.now_us
+            )
+            for endpoint_id in self.warming_ids
+        ]
+
+    def _new_gateway(self, rank: int) -> Gateway:
+        return Gateway(replace(self.settings, rank=rank), self.random.getrandbits(32))
+
+    # What happens to the endpoints and the gateways
+
+    def _notify_of_initial_lists(self) -> None:
+        for process in self.processes:
+            entries = tuple(endpoint.entry for endpoint in self.endpoints.values())
+            self._notify(process, entries, UpdateKind.CACHED)
+            if self.random.random() < self.scenario.partial_list_share:  # so it computes other users
+                missing = [
+                    endpoint_id
+                    for endpoint_id in self.endpoints
+                    if endpoint_id not in self.warming_ids and self.random.random() < 0.6
+                ]
+                self._notify(process, tuple(self._entry(one, EndpointState.REMOVED) for one in missing))
+
+    def _schedule_warming_endpoints(self) -> None:
+        for endpoint_id in self.warming_ids:
+            at_us = JOIN_US + self.random.randrange(SECOND)
+            if self.scenario.warming_ones_crashed:
+                self.clock.schedule(at_us - SECOND, partial(self._crash, endpoint_id))
+            self.clock.schedule(at_us, partial(self._start, endpoint_id))
+
+    def _schedule_drains(self) -> None:
+        for endpoint_id in self.endpoints:
+            if endpoint_id not in self.warming_ids:
+                self.clock.schedule(DRAIN_US, partial(self._drain, endpoint_id))
+
+    def _schedule_restarts(self) -> None:
+        for seconds in (2, 4):
+            for process in self.processes:
+                if self.random.random() < self.scenario.restart_share:
+                    later_us = self.random.randrange(self.settings.overload_window_us // 2)
+                    at_us = JOIN_US + seconds * SECOND + later_us
+                    self.clock.schedule(at_us, partial(self._restart, process))
+
+    def _entry(self, endpoint_id: bytes, state: EndpointState) -> Endpoint:
+        return replace(self.endpoints[endpoint_id].entry, state=state)
+
+    def _start(self, endpoint_id: bytes) -> None:
+        started_at_us = self.clock.now_us // MS * MS
+        entry = make_endpoint(0, endpoint_id=endpoint_id, started_at_us=started_at_us)
+        self.endpoints[endpoint_id] = SimulatedEndpoint(entry)
+        self._notify_all(entry)
+
+    def _crash(self, endpoint_id: bytes) -> None:
+        self.endpoints[endpoint_id].is_down = True
+        self._notify_all(self._entry(endpoint_id, EndpointState.REMOVED))
+
+    def _drain(self, endpoint_id: bytes) -> None:
+        self._notify_all(self._entry(endpoint_id, EndpointState.DRAINING))
+
+    def _restart(self, process: GatewayProcess) -> None:
+        process.incarnation += 1
+        process.gateway = self._new_gateway(process.rank)
+        self._notify(process, tuple(process.endpoints.values()), UpdateKind.CACHED)
+
+    def _flap_lists(self) -> None:
+        for process in self.processes:
+            entries = tuple(process.endpoints.values())
+            warm = tuple(entry for entry in entries if not entry.started_at_us)
+            warming = tuple(entry for entry in entries if entry.started_at_us)
+            self._notify(process, warm, UpdateKind.SNAPSHOT)
+            self._notify(process, tuple(replace(entry, state=EndpointState.REMOVED) for entry in warming))
+            self._notify(process, entries, UpdateKind.SNAPSHOT)
+
+    def _notify_all(self, entry: Endpoint) -> None:
+        """Let each gateway learn of a change at its own time."""
+        for process in self.processes:
+            at_us = self.clock.now_us + self.random.randrange(*NOTIFICATION_US)
+            self.clock.schedule(at_us, partial(self._notify, process, (entry,)))
+
+    def _notify(
+        self, process: GatewayProcess, entries: tuple[Endpoint, ...], kind: UpdateKind = UpdateKind.DELTA
+    ) -> None:
+        if kind is not UpdateKind.DELTA:
+            process.endpoints.clear()
+        process.endpoints.update((entry.endpoint_id, entry) for entry in entries)
+        self._handle(process, EndpointListUpdate(kind, 1, entries))
+
+    # Requests and their attempts
+
+    def _send_request(self) -> None:
+        seconds = (self.clock.now_us - BEGIN_US) / SECOND
+        rate = self.scenario.load * self.scenario.warming_count / self.mean_work_us
+        if BURST_S[0] < seconds < BURST_S[1]:
+            rate *= 2.0
+        self.clock.schedule(self.clock.now_us + 1 + self.random.expovariate(rate), self._send_request)
+        self.request_count += 1
+        gateway_count = self.scenario.gateway_count
+        rank = self.random.randrange(gateway_count)
+        request_class = self.request_count % 3
+        arrived = RequestArrived(
+            self.request_count, rank, FREE, request_class, 3 * SECOND, 1.0, 0, gateway_count
+        )
+        self._handle(self.processes[rank], arrived)
+
+    def _handle(self, process: GatewayProcess, event: Event) -> None:
+        incarnation = process.incarnation
+        for action in process.gateway.handle(self.clock.now_us, [event]):
+            if isinstance(action, SetTimer):
+                at_us = self.clock.now_us + max(1, action.delay_us)
+                self.clock.schedule(
+                    at_us, partial(self._handle_if_alive, process, incarnation, TimerFired(0))
+                )
+            elif isinstance(action, StartAttempt):
+                self._start_attempt(process, action)
+            elif isinstance(action, Reject | Fail):
+                self.answered.add(action.request_id)
+            elif isinstance(action, CancelAttempt):
+                self._end_attempt(
+                    process, incarnation, action.request_id, action.attempt_index, Outcome.CANCELLED
+                )
+
+    def _handle_if_alive(self, process: GatewayProcess, incarnation: int, event: Event) -> None:
+        if process.incarnation == incarnation:
+            self._handle(process, event)
+
+    def _start_attempt(self, process: GatewayProcess, action: StartAttempt) -> None:
+        request_id = action.request_id
+        attempts = self.attempts.setdefault(request_id, [])
+        index = len(attempts)
+        attempts.append(SimulatedAttempt(action.endpoint_id, self.clock.now_us))
+        takes_us, outcome = self._serve(process, action.endpoint_id, self._draw_work_us(request_id))
+        at_us = self.clock.now_us + max(1, takes_us)
+        incarnation = process.incarnation
+        self.clock.schedule(
+            at_us, partial(self._end_attempt, process, incarnation, request_id, index, outcome)
+        )
+
+    def _serve(self, process: GatewayProcess, endpoint_id: bytes, work_us: float) -> tuple[float, Outcome]:
+        """How long an attempt takes and how it ends."""
+        endpoint = self.endpoints[endpoint_id]
+        if endpoint.is_down:
+            return float(FAILURE_TAKES_US), Outcome.NOT_CONNECTED
+        knew_start = process.endpoints[endpoint_id].started_at_us == endpoint.entry.started_at_us
+        endpoint.sent.append(SentWork(self.clock.now_us, work_us, knew_start))
+        chance = self.random.random() - self.scenario.hang_share
+        if chance < 0.0:
+            return float(HANG_TAKES_US), Outcome.TIMED_OUT
+        if chance < 0.05:
+            return float(FAILURE_TAKES_US), Outcome.ERROR
+        if chance < 0.1:
+            return float(FAILURE_TAKES_US), Outcome.REJECTED
+        return work_us, Outcome.OK
+
+    def _draw_work_us(self, request_id: int) -> float:
+        """Work that varies as in the field: its deviation is 0.7 of the mean."""
+        mean_us = self.mean_work_us * self.scenario.class_factors[request_id % 3]
+        return self.random.gammavariate(2.0, mean_us / 2.0)
+
+    def _end_attempt(
+        self, process: GatewayProcess, incarnation: int, request_id: int, index: int, outcome: Outcome
+    ) -> None:
+        attempt = self.attempts[request_id][index]
+        if attempt.ended:
+            return
+        attempt.ended = True
+        if outcome is Outcome.OK:
+            self.answered.add(request_id)
+        elapsed_us = self.clock.now_us - attempt.sent_at_us
+        is_answered = request_id in self.answered
+        ended = AttemptEnded(request_id, index, attempt.endpoint_id, outcome, elapsed_us, is_answered)
+        self._handle_if_alive(process, incarnation, ended)
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -1,11 +1,10 @@
-"""The limit on the attempts that one gateway has in flight at once, over all endpoints.
+"""The limit on the attempts that one gateway has in flight at once, over all endpoints together.
 
 Queues in front of the endpoints cost the latency objective of every request behind them; requests wait in
 the gateway instead, where they can still be rejected. The endpoints do not say how many attempts they bear,
 so the limit is adaptive. An answer within `GOOD_LATENCY_SHARE` of its class's latency objective widens it,
-a later one narrows it; the further it is from `base_limit` already, the smaller the step away and the
-larger the step back. So it settles where the answers in time per late one are the square of limit /
-base_limit.
+a later one narrows it. The steps get smaller away from `base_limit` and larger towards it, so the limit
+settles: at about `base_limit` while half of the answers are late, at twice that while a fifth is.
 
 `base_limit` is `ATTEMPTS_PER_ENDPOINT` for each endpoint that is ready, divided by the number of gateways.
 In a large set that is less than one: there the limit is kept by pacing, an attempt each mean service time /
--- a/yardlane/decisions/endpoint_record.py
+++ b/yardlane/decisions/endpoint_record.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of one endpoint. The rules that read and write it are in the modules named below."""
+"""What one gateway knows of one endpoint: state that the rules on endpoints share."""
 
 from __future__ import annotations
 
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -2,13 +2,12 @@
 
 No rule stands here; each has its module. The way of a request:
 
-1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first. 2.
-`admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`). 3. It leaves the queue once
-the tenant's concurrency bound, the hard rate (`rate_ceiling`) and the limit on all
-   attempts (`concurrency`) allow, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
-4. Its attempts end, or are overdue: `outliers` and `service_time` learn from it, and `retries` says whether
-there
-   is another attempt, or what the final answer is.
+1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first.
+2. `admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`).
+3. It leaves the queue once the tenant's concurrency bound, the hard rate (`rate_ceiling`) and the limit on
+   all attempts (`concurrency`) allow it, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
+4. Its attempts end, or are overdue: `outliers`, `service_time` and `concurrency` learn from that, and
+   `retries` says whether another attempt may follow, and else what the final answer is.
 
 See docs/design.md for why it is so.
 """
