--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients that would take every file descriptor while discovery is down; the front door is a process."""
+"""File descriptors are divided so that no kind of connection takes those of another."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,8 @@
 
 import pytest
 
-from yardlane.descriptors import divide
+from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
+from tests.client_side import HEALTH_CHECK
 from tests.loopback import (
     Peer,
     Streams,
@@ -29,7 +30,6 @@
 
 DESCRIPTORS = 128  # that the process may hold
 MAX_CLIENTS = divide(DESCRIPTORS).clients
-HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 
 
 class IdleClients:
@@ -52,7 +52,7 @@
         reader, writer = await self._open_connection()
         with contextlib.suppress(ConnectionError):
             if n % 3 == 0:
-                writer.write(HEALTH)
+                writer.write(HEALTH_CHECK)
             while await reader.read(1000):
                 pass
         writer.transport.abort()
@@ -129,6 +129,13 @@
         process.kill()
 
 
+def test_the_connection_limits_stay_within_the_descriptors() -> None:
+    for descriptors in (256, 384, 512, 1024):
+        limits = divide(descriptors)
+        assert limits.clients + limits.upstreams + RESERVED_DESCRIPTORS <= descriptors
+        assert limits.clients >= descriptors // 3 and limits.upstreams >= descriptors // 3
+
+
 @pytest.mark.parametrize("configured", [DESCRIPTORS, 1024])
 @pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses while it is down
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -21,10 +21,14 @@
     """Input that does not follow the simulator's wire."""
 
 
+class MalformedResponse(YardlaneError):
+    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
+
+
 class ClientProtocolError(YardlaneError):
-    """A client broke the protocol; the fault is the client's. `status` and `text` make up its answer.
+    """A client broke the protocol; the fault is the client's. `status` and `text` make up its response.
 
-    `header_lines` holds whole header lines for that answer, each with its line end.
+    `header_lines` holds whole header lines for that response, each with its line end.
     """
 
     def __init__(self, status: int, text: str, header_lines: bytes = b"") -> None:
@@ -39,7 +43,7 @@
 
 
 class UnreadableStream(ClientProtocolError):
-    """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the answer."""
+    """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the response."""
 
 
 class DiscoveryError(YardlaneError):
@@ -54,10 +58,6 @@
     """One entry of an endpoint list, or a value in it, that cannot be read."""
 
 
-class MalformedResponse(YardlaneError):
-    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
-
-
 class MalformedCounterReply(YardlaneError):
     """A line of the counter that does not answer the call whose turn it is."""
 
