--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_rate_ceiling.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from tests.gateway_driver import MS, SECOND, GatewayDriver, make_quota_plan, of_type
+from tests.gateway_driver import CEILED, MS, SAFE, SECOND, GatewayDriver, make_quota_plan, of_type
 from yardlane.decisions.actions import Action, AddToCounter, StartAttempt
-from yardlane.decisions.events import CounterResult, Outcome
+from yardlane.decisions.events import CounterResult, Outcome, RequestArrived
 from yardlane.decisions.quota import TenantDemand
 from yardlane.decisions.rate_ceiling import RateCeiling, compute_even_share
 
@@ -269,3 +269,28 @@
     assert ceiling.time_to_fill_us(1.3, SECOND) == pytest.approx(200 * MS, abs=1)
     ceiling.refill(60 * SECOND)
     assert ceiling.units == 0.5 * PLAN.hard_rate_depth and ceiling.is_full()
+
+
+def test_a_hard_rate_holds_over_restarts_without_a_counter() -> None:
+    forwarded = 0
+    for _ in range(3):
+        driver = GatewayDriver(has_shared_counter=False)
+        for _ in range(40):
+            _, actions = driver.ask(quota_plan=CEILED)
+            forwarded += bool(of_type(StartAttempt, actions))
+    assert forwarded <= 3
+
+
+def test_a_bucket_fills_at_this_gateways_share_of_the_hard_rate() -> None:
+    driver = GatewayDriver()
+    for _ in range(40):
+        driver.ask(quota_plan=CEILED)
+    driver.run(SECOND)
+    forwarded = {action.request_id for _, action in driver.log if isinstance(action, StartAttempt)}
+    assert 1 <= len(forwarded) <= 3
+
+
+def test_a_gateway_that_does_not_serve_a_tenant_forwards_nothing_of_a_hard_rate() -> None:
+    driver = GatewayDriver(rank=2)
+    actions = driver.give(RequestArrived(1, 4, CEILED, SAFE, SECOND, 1.0, 0, 2))
+    assert not of_type(StartAttempt, actions)
