--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -15,7 +15,7 @@
     of_type,
 )
 from yardlane.decisions.actions import AddToCounter, StartAttempt
-from yardlane.decisions.quota import TenantDemand, concurrency_bound
+from yardlane.decisions.quota import TenantDemand, split_concurrency_limit
 
 
 def bound_after(remote_demand: float) -> int:
@@ -50,7 +50,7 @@
 def test_a_limit_of_six_is_split_over_three_gateways_by_demand(
     local_demand: float, fleet_demand: float, bound: int
 ) -> None:
-    assert concurrency_bound(6, 3, local_demand, fleet_demand) == bound
+    assert split_concurrency_limit(6, 3, local_demand, fleet_demand) == bound
 
 
 def test_the_bound_follows_the_fleets_total() -> None:
--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -44,13 +44,13 @@
     plan = tenant.plan
     decay_s = tenant.demand.decay_us / SECOND_US
     if not plan.rate_per_s:
-        share = SMALL_LIMIT_SHARE if tenant.has_limit_below_fleet else 1.0
+        share = SMALL_LIMIT_SHARE if tenant.has_limit_below_gateway_count else 1.0
         return share * plan.concurrency_limit * decay_s
     limit_per_s = plan.concurrency_limit * units / (service_time_us / SECOND_US)  # by Little's law
     return decay_s * min(RATE_SHARE * plan.rate_per_s, limit_per_s or math.inf)
 
 
-def admits(tenant: Tenant, units: float, service_time_us: float, now_us: int) -> bool:
+def admit(tenant: Tenant, units: float, service_time_us: float, now_us: int) -> bool:
     """Admit or reject a request of this tenant; brings its buckets and its concurrency bound up to now."""
     plan = tenant.plan
     weight = demand_weight(plan, units, service_time_us)
@@ -62,7 +62,7 @@
     if plan.rate_per_s:
         available = max(0.0, available + BURST_SHARE * tenant.burst.units_left(fleet_demand))
     rejection_probability = 0.0
-    if fleet_demand > 0 and (plan.rate_per_s or tenant.has_limit_below_fleet):
+    if fleet_demand > 0 and (plan.rate_per_s or tenant.has_limit_below_gateway_count):
         rejection_probability = max(0.0, 1.0 - available / fleet_demand)
     return _passes_evenly(tenant, rejection_probability)
 
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -174,7 +174,7 @@
     def _admit(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
-        if not admission.admits(tenant, request.units, self._mean_service_time_us(request), self.now_us):
+        if not admission.admit(tenant, request.units, self._mean_service_time_us(request), self.now_us):
             self._answer(request)
             return
         tenant.queue.append(request)
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -46,7 +46,7 @@
 BOUND_TOLERANCE = 1e-4  # slots that rounding may cost before the bound is rounded down
 
 
-def is_limit_below_fleet(plan: QuotaPlan, gateway_count: int) -> bool:
+def is_limit_below_gateway_count(plan: QuotaPlan, gateway_count: int) -> bool:
     """Whether even one request at each gateway could exceed the concurrency limit."""
     return gateway_count > plan.concurrency_limit
 
@@ -59,7 +59,7 @@
     about as long as a request takes, so that the total tells what is in flight now.
     """
     burst_us = 0.0
-    is_short = is_limit_below_fleet(plan, gateway_count)
+    is_short = is_limit_below_gateway_count(plan, gateway_count)
     if plan.rate_per_s:
         burst_us = BURST_DECAY_SHARE * plan.burst / plan.rate_per_s * SECOND_US
         is_short = gateway_count > REPORTS_PER_DECAY
@@ -67,14 +67,14 @@
     return max(burst_us, timeouts * max(1, counter_timeout_us))
 
 
-def initial_concurrency_bound(limit: int, gateway_count: int) -> int:
+def even_concurrency_bound(limit: int, gateway_count: int) -> int:
     """The bound before the first total: an even share. 0 where the plan has no limit."""
     if not limit:
         return 0
     return max(1, limit // gateway_count)
 
 
-def concurrency_bound(limit: int, gateway_count: int, local_demand: float, fleet_demand: float) -> int:
+def split_concurrency_limit(limit: int, gateway_count: int, local_demand: float, fleet_demand: float) -> int:
     """This gateway's part of a limit on requests in flight; both demands are mean requests in flight."""
     if fleet_demand < limit:
         bound = local_demand + (limit - fleet_demand) / gateway_count
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -13,9 +13,9 @@
 from yardlane.decisions.quota import (
     TOTAL_VALID_US,
     TenantDemand,
-    concurrency_bound,
-    initial_concurrency_bound,
-    is_limit_below_fleet,
+    even_concurrency_bound,
+    is_limit_below_gateway_count,
+    split_concurrency_limit,
 )
 from yardlane.decisions.rate_ceiling import RateCeiling, compute_even_share
 from yardlane.decisions.request import Request
@@ -41,7 +41,7 @@
         "concurrency_bound",
         "demand",
         "gateway_count",
-        "has_limit_below_fleet",
+        "has_limit_below_gateway_count",
         "in_flight",
         "next_release_at_us",
         "periods",
@@ -71,8 +71,8 @@
         self.periods = CountingPeriods(event.tenant, tenant_key, self.demand.decay_us)
         self.burst = BurstEstimate(plan, self.demand, now_us)
         self.ceiling = RateCeiling(plan, self.demand, share, now_us - started_at_us, now_us)
-        self.concurrency_bound = initial_concurrency_bound(plan.concurrency_limit, gateway_count)
-        self.has_limit_below_fleet = is_limit_below_fleet(plan, gateway_count)
+        self.concurrency_bound = even_concurrency_bound(plan.concurrency_limit, gateway_count)
+        self.has_limit_below_gateway_count = is_limit_below_gateway_count(plan, gateway_count)
 
     def refill(self, now_us: int) -> None:
         """Bring the plan's token buckets up to now."""
@@ -100,9 +100,12 @@
             self.burst.take(units, weight)
 
     def update_concurrency_bound(self, fleet_demand: float, service_us_per_weight: float) -> None:
-        """Divide the concurrency limit by demand, as mean requests in flight by Little's law."""
+        """Split the concurrency limit by demand, as mean requests in flight by Little's law.
+
+        `service_us_per_weight` is the time for which one unit of demand holds a slot.
+        """
         demand = self.demand
-        self.concurrency_bound = concurrency_bound(
+        self.concurrency_bound = split_concurrency_limit(
             self.plan.concurrency_limit,
             self.gateway_count,
             service_us_per_weight * demand.local_demand / demand.local_decay_us,
