--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -26,26 +26,26 @@
 EXPECT = b"expect"
 FRAMING_HEADERS = frozenset((CONTENT_LENGTH, TRANSFER_ENCODING))
 # The wire's names of what a request says. `request_validation` maps each to a field of `ParsedRequest`.
-TRACE_ID = b"x-trace-id"
-REQUEST_CLASS = b"x-qos"
-QUOTA_PLAN = b"plan"
-TENANT = b"account"
-EXPIRES_IN = b"x-expires-in"
-IDEMPOTENCY_KEY = b"idempotency-key"
-QUOTA_INFO = b"quota-info"
-RETRY = b"x-second-try"
-HOST = b"host"
+TRACE_ID_HEADER = b"x-trace-id"
+REQUEST_CLASS_HEADER = b"x-qos"
+QUOTA_PLAN_HEADER = b"plan"
+TENANT_HEADER = b"account"
+EXPIRES_IN_HEADER = b"x-expires-in"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+QUOTA_INFO_HEADER = b"quota-info"
+RETRY_HEADER = b"x-second-try"
+HOST_HEADER = b"host"
 SINGLE_HEADERS = frozenset(
     (
-        TRACE_ID,
-        REQUEST_CLASS,
-        QUOTA_PLAN,
-        TENANT,
-        EXPIRES_IN,
-        IDEMPOTENCY_KEY,
-        QUOTA_INFO,
-        RETRY,
-        HOST,
+        TRACE_ID_HEADER,
+        REQUEST_CLASS_HEADER,
+        QUOTA_PLAN_HEADER,
+        TENANT_HEADER,
+        EXPIRES_IN_HEADER,
+        IDEMPOTENCY_KEY_HEADER,
+        QUOTA_INFO_HEADER,
+        RETRY_HEADER,
+        HOST_HEADER,
     )
 )
 # Headers that are about one connection, or that the proxy writes anew.
@@ -60,7 +60,7 @@
         b"upgrade",
         CONTENT_LENGTH,
         EXPECT,
-        EXPIRES_IN,
+        EXPIRES_IN_HEADER,
     )
 )
 
@@ -207,8 +207,9 @@
     def on_headers_complete(self) -> None:
         """The head's end."""
         self._is_in_trailer = True
-        expectation = self.headers.get(EXPECT, b"")
-        if expectation.lower() == b"100-continue" and self._receiver is not None:
+        if EXPECT not in self.headers or self._receiver is None:
+            return
+        if self.headers[EXPECT].lower() == b"100-continue":
             self._receiver.on_expect_continue()
 
     def on_body(self, part: bytes) -> None:
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -19,8 +19,18 @@
 from yardlane.config import Config
 from yardlane.decisions.settings import Idempotency, QuotaPlan, RequestClass
 from yardlane.errors import MalformedRequest
-from yardlane.proxy import request_parser as wire
-from yardlane.proxy.request_parser import RequestParser
+from yardlane.proxy.request_parser import (
+    EXPIRES_IN_HEADER,
+    HOST_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    QUOTA_INFO_HEADER,
+    QUOTA_PLAN_HEADER,
+    REQUEST_CLASS_HEADER,
+    RETRY_HEADER,
+    TENANT_HEADER,
+    TRACE_ID_HEADER,
+    RequestParser,
+)
 
 MAX_TIME_LEFT_US = 3_600_000_000
 TRANSIT_MARGIN_US = 10_000  # the way here and back, and our own turn, out of the client's time
@@ -157,7 +167,7 @@
         quota.units,
         quota.first_gateway,
         quota.gateway_count,
-        headers.get(wire.RETRY) == b"1",
+        headers.get(RETRY_HEADER) == b"1",
         method != b"GET",
         b"".join((method, b" ", message.url, b" HTTP/1.1\r\n", *message.header_lines)),
         b"".join(message.body_parts),
@@ -169,21 +179,21 @@
 
 
 def _read_class(headers: Mapping[bytes, bytes], rules: RequestRules) -> ClassRule:
-    rule = rules.classes.get(headers.get(wire.REQUEST_CLASS, b""))
+    rule = rules.classes.get(headers.get(REQUEST_CLASS_HEADER, b""))
     if rule is None:
         raise _bad_request("unknown class")
     return rule
 
 
 def _read_plan(headers: Mapping[bytes, bytes], rules: RequestRules) -> PlanRule:
-    rule = rules.plans.get(headers.get(wire.QUOTA_PLAN, b""))
+    rule = rules.plans.get(headers.get(QUOTA_PLAN_HEADER, b""))
     if rule is None:
         raise _bad_request("unknown plan")
     return rule
 
 
 def _check_host(message: RequestParser) -> None:
-    if wire.HOST not in message.headers and message.http_version() == "1.1":
+    if HOST_HEADER not in message.headers and message.http_version() == "1.1":
         raise _bad_request("no Host")
 
 
@@ -200,7 +210,7 @@
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
     """Backends name a request by its trace id: two open ones of the same id could not be told apart."""
-    trace_id = headers.get(wire.TRACE_ID, b"")
+    trace_id = headers.get(TRACE_ID_HEADER, b"")
     if not TOKEN.fullmatch(trace_id):
         raise _bad_request("bad X-Trace-Id")
     if trace_id in open_trace_ids:
@@ -209,12 +219,12 @@
 
 
 def _check_idempotency_key(headers: Mapping[bytes, bytes]) -> None:
-    if not TOKEN.fullmatch(headers.get(wire.IDEMPOTENCY_KEY, b"")):
+    if not TOKEN.fullmatch(headers.get(IDEMPOTENCY_KEY_HEADER, b"")):
         raise _bad_request("bad Idempotency-Key")
 
 
 def _read_tenant(headers: Mapping[bytes, bytes]) -> int:
-    text = headers.get(wire.TENANT, b"")
+    text = headers.get(TENANT_HEADER, b"")
     if not TENANT.fullmatch(text):
         raise _bad_request("bad Account")
     tenant = int(text, TENANT_BASE)
@@ -225,7 +235,7 @@
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
     """What is left of the client's time, and of the class's deadline, once the answer's way is taken off."""
-    duration = DURATION.fullmatch(headers.get(wire.EXPIRES_IN, b""))
+    duration = DURATION.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
         raise _bad_request("bad X-Expires-In")
     expires_in_us = float(duration[1]) * US_PER_UNIT[duration[2]]
@@ -235,7 +245,7 @@
 
 
 def _read_quota_info(headers: Mapping[bytes, bytes], rules: RequestRules, plan: PlanRule) -> QuotaInfo:
-    text = headers.get(wire.QUOTA_INFO, b"")
+    text = headers.get(QUOTA_INFO_HEADER, b"")
     if len(text) > MAX_QUOTA_INFO_BYTES:
         raise _bad_request("bad Quota-Info")
     quota = decode_quota_info(text, rules.gateway_count)
