--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -10,12 +10,11 @@
 import logging
 import select
 from collections import deque
-from http import HTTPStatus
 from typing import Protocol, cast
 
 from yardlane.errors import MalformedRequest, UnreadableStream
 from yardlane.proxy.client_request import ClientRequest, RequestHandler
-from yardlane.proxy.client_response import CONTINUE, encode_response
+from yardlane.proxy.client_response import CONTINUE, Status, encode_response
 from yardlane.proxy.client_state import TRANSITIONS, ConnectionEvent, State
 from yardlane.proxy.request_parser import RequestParser
 from yardlane.proxy.request_validation import RequestRules, parse_request
@@ -191,13 +190,13 @@
         self.last_active_s = self.server.now()
         self.has_sent_request = True
         if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
-            raise UnreadableStream(HTTPStatus.SERVICE_UNAVAILABLE, "too many requests at once")
+            raise UnreadableStream(Status.SERVICE_UNAVAILABLE, "too many requests at once")
         request = ClientRequest(self)
         self.pending.append(request)
         if not self.parser.should_keep_alive():
             self._close_after(request)
         if len(self.pending) > MAX_PIPELINED:  # one read may bring any number
-            request.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"too many requests at once\n")
+            request.reply(Status.SERVICE_UNAVAILABLE, b"too many requests at once\n")
         elif self.parser.path() == HEALTH_PATH:
             self._answer_health_check(request)
         else:
@@ -205,9 +204,9 @@
 
     def _answer_health_check(self, request: ClientRequest) -> None:
         if self.server.handler.can_serve() and not self.server.is_draining:
-            request.reply(HTTPStatus.OK, b"ready\n")
+            request.reply(Status.OK, b"ready\n")
         else:
-            request.reply(HTTPStatus.SERVICE_UNAVAILABLE, b"not ready\n")
+            request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
 
     def _hand_over(self, request: ClientRequest) -> None:
         """Give the request to the handler, or answer what is wrong with it; the connection goes on."""
@@ -221,7 +220,7 @@
         except Exception:  # a fault of ours in one request must not end the others of the connection
             log.exception("a request could not be handled")
             if not request.response:
-                request.reply(HTTPStatus.INTERNAL_SERVER_ERROR, b"failed\n")
+                request.reply(Status.INTERNAL_SERVER_ERROR, b"failed\n")
 
     # Responses
 
@@ -359,7 +358,7 @@
         """The time is for the whole request, so that one byte at a time buys no more of it."""
         if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
             return
-        self._reject_stream(UnreadableStream(HTTPStatus.REQUEST_TIMEOUT, "request came too slowly"))
+        self._reject_stream(UnreadableStream(Status.REQUEST_TIMEOUT, "request came too slowly"))
         for request in [request for request in self.pending if not request.response]:
             self.server.handler.abandon_request(request)
 
--- a/yardlane/proxy/client_response.py
+++ b/yardlane/proxy/client_response.py
@@ -3,19 +3,37 @@
 from __future__ import annotations
 
 import math
+from enum import IntEnum
 
-REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    409: b"Conflict",
-    413: b"Content Too Large",
-    429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large",
-    500: b"Internal Server Error",
-    502: b"Bad Gateway",
-    503: b"Service Unavailable",
+
+class Status(IntEnum):
+    """The statuses that clients are answered with."""
+
+    OK = 200
+    BAD_REQUEST = 400
+    METHOD_NOT_ALLOWED = 405
+    REQUEST_TIMEOUT = 408
+    CONFLICT = 409
+    CONTENT_TOO_LARGE = 413
+    TOO_MANY_REQUESTS = 429
+    REQUEST_HEADER_FIELDS_TOO_LARGE = 431
+    INTERNAL_SERVER_ERROR = 500
+    BAD_GATEWAY = 502
+    SERVICE_UNAVAILABLE = 503
+
+
+REASONS: dict[int, bytes] = {
+    Status.OK: b"OK",
+    Status.BAD_REQUEST: b"Bad Request",
+    Status.METHOD_NOT_ALLOWED: b"Method Not Allowed",
+    Status.REQUEST_TIMEOUT: b"Request Timeout",
+    Status.CONFLICT: b"Conflict",
+    Status.CONTENT_TOO_LARGE: b"Content Too Large",
+    Status.TOO_MANY_REQUESTS: b"Too Many Requests",
+    Status.REQUEST_HEADER_FIELDS_TOO_LARGE: b"Request Header Fields Too Large",
+    Status.INTERNAL_SERVER_ERROR: b"Internal Server Error",
+    Status.BAD_GATEWAY: b"Bad Gateway",
+    Status.SERVICE_UNAVAILABLE: b"Service Unavailable",
 }
 UNKNOWN_REASON = b"Other"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -8,12 +8,12 @@
 from __future__ import annotations
 
 import logging
-from http import HTTPStatus
 from typing import Protocol
 
 import httptools
 
 from yardlane.errors import ClientProtocolError, UnreadableStream
+from yardlane.proxy.client_response import Status
 
 log = logging.getLogger("yardlane.proxy.request_parser")
 
@@ -182,7 +182,7 @@
         key = name.lower()
         if key in SINGLE_HEADERS:
             if key in self.headers:
-                raise UnreadableStream(HTTPStatus.BAD_REQUEST, f"header {key.decode()} more than once")
+                raise UnreadableStream(Status.BAD_REQUEST, f"header {key.decode()} more than once")
             self.headers[key] = value
         elif key in FRAMING_HEADERS:
             self._check_framing(key, value)
@@ -199,7 +199,7 @@
         """
         is_unknown_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
         if self._has_framing or is_unknown_coding:
-            raise UnreadableStream(HTTPStatus.BAD_REQUEST, "odd framing")
+            raise UnreadableStream(Status.BAD_REQUEST, "odd framing")
         self._has_framing = True
         if value.isdigit() and int(value) > MAX_BODY_BYTES:
             raise _body_too_long()
@@ -233,13 +233,13 @@
         return cause
     if cause is not None:
         log.error("reading a client's request failed: %r", cause)
-    return UnreadableStream(HTTPStatus.BAD_REQUEST, "malformed request")
+    return UnreadableStream(Status.BAD_REQUEST, "malformed request")
 
 
 def _head_too_long() -> UnreadableStream:
     """A head without end would fill the memory."""
-    return UnreadableStream(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
+    return UnreadableStream(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
 
 
 def _body_too_long() -> UnreadableStream:
-    return UnreadableStream(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body over {MAX_BODY_BYTES} bytes")
+    return UnreadableStream(Status.CONTENT_TOO_LARGE, f"body over {MAX_BODY_BYTES} bytes")
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -14,11 +14,12 @@
 from collections.abc import Container, Mapping
 from dataclasses import dataclass
 from functools import lru_cache
-from http import HTTPStatus
+from typing import NamedTuple
 
 from yardlane.config import Config
 from yardlane.decisions.settings import Idempotency, QuotaPlan, RequestClass
 from yardlane.errors import MalformedRequest
+from yardlane.proxy.client_response import Status
 from yardlane.proxy.request_parser import (
     EXPIRES_IN_HEADER,
     HOST_HEADER,
@@ -70,8 +71,7 @@
     body: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class QuotaInfo:
+class QuotaInfo(NamedTuple):
     """What the client's gateway list says of its tenant."""
 
     units: float
@@ -79,26 +79,23 @@
     first_gateway: int
 
 
-@dataclass(frozen=True, slots=True)
-class ClassRule:
-    """What a request of one class must look like. `index` is the class's place in the settings."""
+class ClassRule(NamedTuple):
+    """What a request of one class must look like. `position` is the class's index in the settings."""
 
-    index: int
+    position: int
     method: bytes
     needs_idempotency_key: bool
     deadline_us: int
 
 
-@dataclass(frozen=True, slots=True)
-class PlanRule:
-    """What a request under one plan may ask for. `index` is the plan's place in the settings."""
+class PlanRule(NamedTuple):
+    """What a request under one plan may ask for. `position` is the plan's index in the settings."""
 
-    index: int
+    position: int
     max_units: float
 
 
-@dataclass(frozen=True, slots=True)
-class RequestRules:
+class RequestRules(NamedTuple):
     """What requests are checked against; classes and plans by their names on the wire."""
 
     classes: Mapping[bytes, ClassRule]
@@ -125,7 +122,7 @@
 def _class_rule(index: int, request_class: RequestClass) -> ClassRule:
     is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     return ClassRule(
-        index=index,
+        position=index,
         method=b"GET" if is_idempotent else b"POST",
         needs_idempotency_key=request_class.idempotency is Idempotency.KEYED,
         deadline_us=request_class.deadline_us,
@@ -161,8 +158,8 @@
     return ParsedRequest(
         trace_id,
         tenant,
-        plan_rule.index,
-        class_rule.index,
+        plan_rule.position,
+        class_rule.position,
         time_left_us,
         quota.units,
         quota.first_gateway,
@@ -175,7 +172,7 @@
 
 
 def _bad_request(text: str) -> MalformedRequest:
-    return MalformedRequest(HTTPStatus.BAD_REQUEST, text)
+    return MalformedRequest(Status.BAD_REQUEST, text)
 
 
 def _read_class(headers: Mapping[bytes, bytes], rules: RequestRules) -> ClassRule:
@@ -200,7 +197,7 @@
 def _check_method(message: RequestParser, rule: ClassRule) -> None:
     if message.method() != rule.method:
         raise MalformedRequest(
-            HTTPStatus.METHOD_NOT_ALLOWED,
+            Status.METHOD_NOT_ALLOWED,
             f"the class wants {rule.method.decode()}",
             b"Allow: " + rule.method + b"\r\n",
         )
@@ -214,7 +211,7 @@
     if not TOKEN.fullmatch(trace_id):
         raise _bad_request("bad X-Trace-Id")
     if trace_id in open_trace_ids:
-        raise MalformedRequest(HTTPStatus.CONFLICT, "X-Trace-Id of an open request")
+        raise MalformedRequest(Status.CONFLICT, "X-Trace-Id of an open request")
     return trace_id
 
 
