--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -124,6 +124,6 @@
 
 async def all_released(proxy: RunningProxy) -> None:
     """All that the requests held is given back: their entries, their attempts, their descriptors."""
-    while proxy.program.door.requests or proxy.program.pool.connections:
+    while proxy.program.proxy.requests or proxy.program.pool.connections:
         await asyncio.sleep(0)
-    assert proxy.program.door.unanswered == 0 and not proxy.program.clients.open_trace_ids
+    assert proxy.unanswered == 0 and not proxy.program.clients.open_trace_ids
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -60,9 +60,9 @@
         connection = only_connection(proxy)
         while len(connection.pending) < MAX_PIPELINED + 20:
             await asyncio.sleep(0)
-        assert len(proxy.program.door.requests) == MAX_PIPELINED
-        for request_id in list(proxy.program.door.requests):
-            proxy.program.door._apply(Reject(request_id))
+        assert len(proxy.program.proxy.requests) == MAX_PIPELINED
+        for request_id in list(proxy.program.proxy.requests):
+            proxy.program.proxy.apply(Reject(request_id))
         statuses = [await read_status(reader) for _ in range(MAX_PIPELINED + 20)]
         assert statuses == ["429"] * MAX_PIPELINED + ["503"] * 20
 
@@ -119,9 +119,9 @@
         writer.write(ask(trace="a") + ask(trace="b") + ask(trace="c")[:-4])
         await script.wait_for(RequestArrived, 2)
         server.is_draining = True
-        proxy.program.door._apply(Reject(2))
+        proxy.program.proxy.apply(Reject(2))
         ManualClock(server, server.now()).advance(REQUEST_TIMEOUT_S + 0.1)
-        proxy.program.door._apply(Reject(1))
+        proxy.program.proxy.apply(Reject(1))
         assert [await read_status(reader) for _ in range(2)] == ["429", "429"]
         assert await reader.read() == b""
 
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -69,7 +69,7 @@
             clock.advance(0.75)
             answers = await read_to_end(reader)
             assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
-            assert not proxy.program.clients.open_trace_ids and not proxy.program.door.unanswered
+            assert not proxy.program.clients.open_trace_ids and not proxy.unanswered
 
     run()
 
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -169,7 +169,7 @@
         writer.write(b"ok 1")
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
         assert await reader.read() == b""
-        client = proxy.program.door.counter
+        client = proxy.program.proxy.counter
         assert client is not None
         connection = next(one for one in client.connections if one.reconnect_not_before_s)
         while asyncio.get_running_loop().time() < connection.reconnect_not_before_s:
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -71,7 +71,7 @@
         client, to_proxy = await proxy.client()
         to_proxy.write(ask())
         await delayed.requested.wait()
-        proxy.program.door._apply(Fail(1))
+        proxy.program.proxy.apply(Fail(1))
         assert await read_status(client) == "502"
         delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
@@ -157,13 +157,13 @@
                 [ended] = await script.wait_for(AttemptEnded)
                 assert not ended.request_ended
             else:
-                [request] = proxy.program.door.requests.values()
+                [request] = proxy.program.proxy.requests.values()
                 assert request.attempts[0].send_by_timer is not None
                 request.attempts[0].send_by_timer.cancel()
-                proxy.program.door.clock.offset += 10**9
+                proxy.program.proxy.clock.offset_ns += 10**9
             delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
-            proxy.program.door._apply(Fail(1))
+            proxy.program.proxy.apply(Fail(1))
             await all_released(proxy)
             assert backend.accepted.empty() or not await (await backend.connection())[0].read()
 
@@ -185,6 +185,6 @@
         script.reply = attempt_each(b"s-1", begin_within_us=1)
         to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
         await read_message(reader)
-        proxy.program.door.requests[2].attempts[0].on_send_by()  # as its timer comes
+        proxy.program.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
         writer.write(answer())
         assert await read_status(client) == "200"
--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -10,7 +10,7 @@
     from yardlane.decisions.attempt_record import AttemptRecord
     from yardlane.decisions.tenant import Tenant
 
-LATEST_ANSWER_TICKS = 2  # ticks before the client gives up: one for a late timer, one to write the answer
+ANSWER_MARGIN_TICKS = 2  # before the client gives up, as a timer may fire a tick late
 
 
 class Request:
@@ -33,14 +33,14 @@
         "units",
     )
 
-    def __init__(self, event: RequestArrived, tenant: Tenant, now: int, tick_us: int) -> None:
+    def __init__(self, event: RequestArrived, tenant: Tenant, now_us: int, tick_us: int) -> None:
         self.id = event.request_id
         self.request_class = event.request_class
         self.units = event.units
         self.tenant = tenant
-        self.arrived_at_us = now
-        self.gives_up_at_us = now + event.time_left_us
-        self.answer_by_us = max(now, self.gives_up_at_us - LATEST_ANSWER_TICKS * tick_us)
+        self.arrived_at_us = now_us
+        self.gives_up_at_us = now_us + event.time_left_us
+        self.answer_by_us = max(now_us, self.gives_up_at_us - ANSWER_MARGIN_TICKS * tick_us)
         self.attempts: list[AttemptRecord] = []
         self.ended = False
         self.queued = False
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -17,6 +17,7 @@
 from yardlane.proxy.attempt import Attempt
 from yardlane.proxy.connection_reuse import ReusePolicy
 from yardlane.proxy.response import ResponseReader, outcome_of
+from yardlane.proxy.socket_probe import SocketProbe
 from yardlane.proxy.upstream_state import (
     AWAITING,
     CLOSED,
@@ -64,7 +65,7 @@
         self.idle_since_s = 0.0
         self.idle_before_request_s: float | None = None  # None: the connection is new
         self.file_descriptor = -1
-        self.poller: select.poll | None = None  # made at the first look
+        self.probe: SocketProbe | None = None  # made at the first look
         self.connect_task: asyncio.Task[None] | None = None
         self.stall_timer: asyncio.TimerHandle | None = None
 
@@ -111,13 +112,12 @@
         """
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.poller is None:
-            self.poller = select.poll()
-            self.poller.register(self.file_descriptor, select.POLLIN | select.POLLRDHUP)
-        ready = self.poller.poll(0)
-        if ready and ready[0][1] == select.POLLIN:  # bytes, and no end of the stream
+        if self.probe is None:
+            self.probe = SocketProbe(self.file_descriptor, select.POLLIN | select.POLLRDHUP)
+        events = self.probe.pending_events()
+        if events == select.POLLIN:  # bytes, and no end of the stream
             self._on_stray_bytes()
-        return not ready
+        return not events
 
     def close(self) -> None:
         """Close at once; what is not sent yet never is, and the upstream is not told why."""
