--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -8,12 +8,12 @@
 from __future__ import annotations
 
 import logging
-from http import HTTPStatus
 from typing import Protocol
 
 import httptools
 
 from yardlane.errors import ClientProtocolError, UnreadableStream
+from yardlane.proxy.client_response import Status
 
 log = logging.getLogger("yardlane.proxy.request_parser")
 
@@ -26,26 +26,26 @@
 EXPECT = b"expect"
 FRAMING_HEADERS = frozenset((CONTENT_LENGTH, TRANSFER_ENCODING))
 # The wire's names of what a request says. `request_validation` maps each to a field of `ParsedRequest`.
-TRACE_ID = b"x-trace-id"
-REQUEST_CLASS = b"x-qos"
-QUOTA_PLAN = b"plan"
-TENANT = b"account"
-EXPIRES_IN = b"x-expires-in"
-IDEMPOTENCY_KEY = b"idempotency-key"
-QUOTA_INFO = b"quota-info"
-RETRY = b"x-second-try"
-HOST = b"host"
+TRACE_ID_HEADER = b"x-trace-id"
+REQUEST_CLASS_HEADER = b"x-qos"
+QUOTA_PLAN_HEADER = b"plan"
+TENANT_HEADER = b"account"
+EXPIRES_IN_HEADER = b"x-expires-in"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+QUOTA_INFO_HEADER = b"quota-info"
+RETRY_HEADER = b"x-second-try"
+HOST_HEADER = b"host"
 SINGLE_HEADERS = frozenset(
     (
-        TRACE_ID,
-        REQUEST_CLASS,
-        QUOTA_PLAN,
-        TENANT,
-        EXPIRES_IN,
-        IDEMPOTENCY_KEY,
-        QUOTA_INFO,
-        RETRY,
-        HOST,
+        TRACE_ID_HEADER,
+        REQUEST_CLASS_HEADER,
+        QUOTA_PLAN_HEADER,
+        TENANT_HEADER,
+        EXPIRES_IN_HEADER,
+        IDEMPOTENCY_KEY_HEADER,
+        QUOTA_INFO_HEADER,
+        RETRY_HEADER,
+        HOST_HEADER,
     )
 )
 # Headers that are about one connection, or that the proxy writes anew.
@@ -60,7 +60,7 @@
         b"upgrade",
         CONTENT_LENGTH,
         EXPECT,
-        EXPIRES_IN,
+        EXPIRES_IN_HEADER,
     )
 )
 
@@ -182,7 +182,7 @@
         key = name.lower()
         if key in SINGLE_HEADERS:
             if key in self.headers:
-                raise UnreadableStream(HTTPStatus.BAD_REQUEST, f"header {key.decode()} more than once")
+                raise UnreadableStream(Status.BAD_REQUEST, f"header {key.decode()} more than once")
             self.headers[key] = value
         elif key in FRAMING_HEADERS:
             self._check_framing(key, value)
@@ -199,7 +199,7 @@
         """
         is_unknown_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
         if self._has_framing or is_unknown_coding:
-            raise UnreadableStream(HTTPStatus.BAD_REQUEST, "odd framing")
+            raise UnreadableStream(Status.BAD_REQUEST, "odd framing")
         self._has_framing = True
         if value.isdigit() and int(value) > MAX_BODY_BYTES:
             raise _body_too_long()
@@ -207,8 +207,9 @@
     def on_headers_complete(self) -> None:
         """The head's end."""
         self._is_in_trailer = True
-        expectation = self.headers.get(EXPECT, b"")
-        if expectation.lower() == b"100-continue" and self._receiver is not None:
+        if EXPECT not in self.headers or self._receiver is None:
+            return
+        if self.headers[EXPECT].lower() == b"100-continue":
             self._receiver.on_expect_continue()
 
     def on_body(self, part: bytes) -> None:
@@ -232,13 +233,13 @@
         return cause
     if cause is not None:
         log.error("reading a client's request failed: %r", cause)
-    return UnreadableStream(HTTPStatus.BAD_REQUEST, "malformed request")
+    return UnreadableStream(Status.BAD_REQUEST, "malformed request")
 
 
 def _head_too_long() -> UnreadableStream:
     """A head without end would fill the memory."""
-    return UnreadableStream(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
+    return UnreadableStream(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
 
 
 def _body_too_long() -> UnreadableStream:
-    return UnreadableStream(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"body over {MAX_BODY_BYTES} bytes")
+    return UnreadableStream(Status.CONTENT_TOO_LARGE, f"body over {MAX_BODY_BYTES} bytes")
