--- /dev/null
+++ b/tests/proxy/test_connection_reuse.py
@@ -0,0 +1,144 @@
+"""How long connections must and may stand idle: the rule alone, and what it does to connections."""
+
+import asyncio
+import os
+
+import pytest
+
+from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S, ReusePolicy
+from tests.client_side import read_status, running_with_backend
+from tests.loopback import Script, Streams, answer, ask, read_message, send_all, socket_test
+from tests.upstream_side import accept_request, forward, serve_on_new_connection
+
+NO_QUARANTINE_S = 0.0
+
+
+def test_stray_bytes_of_one_upstream_cost_the_others_little_and_are_forgiven() -> None:
+    """An upstream sends bytes that belong to no response, long after the last one. Its own connections are
+    quarantined for twice as long; the others' quarantine only doubles, and all of it decays."""
+    policy = ReusePolicy(keepalive_s=30.0)
+    for _ in range(100):
+        policy.on_stray_bytes(b"s-1", 5.0)
+    assert policy.endpoint_quarantine_s == {b"s-1": 10.0} and policy.quarantine_s == 2 * QUARANTINE_S
+    policy.on_stray_bytes(b"s-2", 3 * QUARANTINE_S)
+    assert policy.quarantine_s == 4 * QUARANTINE_S
+    for number in range(100):
+        policy.on_stray_bytes(b"t-%d" % number, 1e6)
+    assert policy.quarantine_s == MAX_SHARED_QUARANTINE_S
+    assert max(policy.endpoint_quarantine_s.values()) == policy.max_idle_limit_s
+    policy.forget(b"t-1")
+    assert b"t-1" not in policy.endpoint_quarantine_s
+    for _ in range(1000):
+        policy.recover()
+    assert policy.quarantine_s == QUARANTINE_S and not policy.endpoint_quarantine_s
+
+
+def test_the_idle_limit_recovers_by_good_connections_and_by_time() -> None:
+    policy = ReusePolicy(keepalive_s=30.0)
+    policy.on_found_dead(5.0)
+    assert 3.0 < policy.idle_limit_s < 5.0 < policy.max_idle_limit_s
+    for _ in range(1000):
+        policy.on_reused(policy.idle_limit_s)
+    assert policy.idle_limit_s == policy.max_idle_limit_s
+    policy.on_found_dead(0.0)
+    for _ in range(100):
+        policy.recover()
+    assert policy.idle_limit_s == policy.max_idle_limit_s
+
+
+def test_the_quarantine_of_an_upstream_is_its_own_where_that_is_longer() -> None:
+    policy = ReusePolicy(keepalive_s=30.0)
+    assert policy.quarantine_of(b"s-1") == QUARANTINE_S
+    policy.on_stray_bytes(b"s-1", 1.0)
+    assert policy.quarantine_of(b"s-1") == 2.0
+    assert policy.quarantine_of(b"s-2") == policy.quarantine_s == 2 * QUARANTINE_S
+
+
+@socket_test
+async def test_a_connection_is_quarantined_before_it_is_used_again() -> None:
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        proxy.program.pool.reuse.quarantine_s = 1e6
+        client = await proxy.client()
+        for trace in ("a1", "a2"):
+            await serve_on_new_connection(client, backend, trace)
+
+
+@socket_test
+async def test_a_connection_found_dead_shortens_the_idle_time_of_the_others() -> None:
+    """A backend forgets a connection that stands idle, without a word; the next request on it is lost. The
+    connections that have stood idle as long are then closed rather than used."""
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        pool = proxy.program.pool
+        pool.reuse.quarantine_s = NO_QUARANTINE_S
+        client = await proxy.client()
+        client_reader, to_proxy = client
+        reader, writer = await serve_on_new_connection(client, backend, "a1")
+        pool.idle[b"s-1"][0].idle_since_s -= 5.0
+        to_proxy.write(ask(trace="a2"))
+        await read_message(reader)
+        writer.transport.abort()
+        assert await read_status(client_reader) == "502"
+        assert 3.0 < pool.reuse.idle_limit_s < 5.0 < pool.reuse.max_idle_limit_s
+        await serve_on_new_connection(client, backend, "a3")
+        pool.idle[b"s-1"][0].idle_since_s -= 5.0
+        to_proxy.write(ask(trace="a4"))
+        await accept_request(backend, "a4")
+
+
+@pytest.mark.parametrize("is_read", [True, False])
+def test_quarantine_is_longer_than_a_second_response_was_late(is_read: bool) -> None:
+    """A backend answers a request a second time, three seconds later. The loop reads it, or the look at the
+    socket before the next use shows it. Connections to this backend are then quarantined for longer."""
+
+    @socket_test
+    async def run() -> None:
+        async with running_with_backend(Script(send_all)) as (proxy, backend):
+            pool = proxy.program.pool
+            client = await proxy.client()
+
+            async def served_and_idle_for(trace: str, idle_s: float) -> asyncio.StreamWriter:
+                _, writer = await serve_on_new_connection(client, backend, trace)
+                pool.idle[b"s-1"][-1].idle_since_s -= idle_s
+                return writer
+
+            writer = await served_and_idle_for("a1", 3.0)
+            os.write(writer.get_extra_info("socket").fileno(), answer(200, b"stale"))
+            while is_read and pool.connections:
+                await asyncio.sleep(0)
+            assert pool._take_idle(b"s-1") is None
+            await served_and_idle_for("a2", 4.0)
+            assert pool._take_idle(b"s-1") is None
+            pool.idle[b"s-1"][0].idle_since_s -= 3.0
+            assert pool._take_idle(b"s-1") is not None
+
+    run()
+
+
+@pytest.mark.parametrize("stray", [answer(200, b"stale"), b"noise", answer(200, b"stale")[:20]])
+def test_stray_bytes_never_answer_the_next_request(stray: bytes) -> None:
+    """A backend sends more than one response to a request, together with the first or later. The next client
+    must not get it: the connection is closed, and the next request goes out on a new one."""
+
+    async def serve(client: Streams, writer: asyncio.StreamWriter, body: bytes, behind: bytes = b"") -> None:
+        writer.write(answer(200, body) + behind)
+        assert (await read_message(client[0]))[2] == body
+
+    @socket_test
+    async def run() -> None:
+        async with running_with_backend(Script(send_all)) as (proxy, backend):
+            pool = proxy.program.pool
+            pool.reuse.quarantine_s = NO_QUARANTINE_S
+            client, (_, writer) = await forward(proxy, backend, ask(trace="a0"))
+            await serve(client, writer, b"first", stray)
+            client[1].write(ask(trace="a1"))
+            _, writer = await accept_request(backend, "a1")
+            await serve(client, writer, b"second")
+            idle = pool.idle[b"s-1"][0]
+            assert idle.is_clean()
+            os.write(writer.get_extra_info("socket").fileno(), stray)
+            assert not idle.is_clean()  # it has come, and the loop has not read it yet
+            client[1].write(ask(trace="b1"))
+            _, writer = await accept_request(backend, "b1")
+            await serve(client, writer, b"third")
+
+    run()
--- /dev/null
+++ b/tests/proxy/test_response.py
@@ -0,0 +1,131 @@
+"""What is read of a response, and the outcome of an attempt that gets it."""
+
+import asyncio
+
+import pytest
+
+from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
+from yardlane.errors import MalformedResponse
+from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, read_load_report
+from tests.client_side import read_status, running_with_backend
+from tests.loopback import Script, answer, ask, read_message, send_all, socket_test
+from tests.upstream_side import forward
+
+CLOSE = b""  # the connection ends
+INTERIM = b"HTTP/1.1 102 X\r\n\r\n"
+
+
+@pytest.mark.parametrize(
+    ("written", "outcome", "status"),
+    [
+        (answer(200, b"yes"), Outcome.OK, "200"),
+        (answer(500), Outcome.ERROR, "502"),
+        (answer(404), Outcome.ERROR, "502"),
+        (answer(503, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (answer(504, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (answer(503), Outcome.ERROR, "502"),
+        (answer(503, extra="X-Never-Ran: 0\r\n"), Outcome.ERROR, "502"),
+        (answer(500, extra="X-Never-Ran: 1\r\n"), Outcome.ERROR, "502"),
+        (CLOSE, Outcome.CONNECTION_LOST, "502"),
+        (answer(200, b"yes")[:-1] + CLOSE, Outcome.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Outcome.CONNECTION_LOST, "502"),
+        (b"nonsense\r\n\r\n", Outcome.CONNECTION_LOST, "502"),
+        (b"HTTP/1.1 200 X\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", Outcome.CONNECTION_LOST, "502"),
+        (INTERIM + answer(200, b"yes"), Outcome.OK, "200"),
+        (b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc", Outcome.CONNECTION_LOST, "502"),
+        (INTERIM * 100, Outcome.CONNECTION_LOST, "502"),
+        (answer(200, b"yes") + answer(200, b"yes"), Outcome.OK, "200"),
+        (answer(200, b"yes") + b"\x00\xffnoise", Outcome.OK, "200"),
+        (answer(200, b"yes", "Connection: close\r\n") + b"noise", Outcome.OK, "200"),
+        (
+            answer(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"),
+            Outcome.OK,
+            "200",
+        ),
+    ],
+)
+def test_each_response_has_one_outcome(written: bytes, outcome: Outcome, status: str) -> None:
+    @socket_test
+    async def run() -> None:
+        script = Script(send_all)
+        async with running_with_backend(script) as (proxy, backend):
+            (client, _), (_, writer) = await forward(proxy, backend)
+            writer.write(written)
+            if written in (CLOSE, answer(200, b"yes")[:-1]):
+                writer.close()
+            assert await read_status(client) == status
+            [ended] = await script.wait_for(AttemptEnded)
+            assert (ended.attempt_index, ended.endpoint_id, ended.outcome) == (0, b"s-1", outcome)
+            assert ended.request_ended is (outcome is Outcome.OK)
+            assert backend.accepted.empty()  # nothing is sent again without a decision
+
+    run()
+
+
+@socket_test
+async def test_load_report_and_usage_reach_the_decisions() -> None:
+    script = Script(send_all)
+    async with running_with_backend(script) as (proxy, backend):
+        _, (_, writer) = await forward(proxy, backend)
+        load_report = "Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
+        writer.write(answer(extra=load_report + "Usage-Percent: 140\r\n"))
+        [ended] = await script.wait_for(AttemptEnded)
+        assert (ended.usage_percent, ended.load) == (140, LoadReport(queued=3.0, utilization=0.25))
+
+
+@socket_test
+async def test_figures_beyond_any_load_are_dropped() -> None:
+    script = Script(send_all)
+    async with running_with_backend(script) as (proxy, backend):
+        _, (_, writer) = await forward(proxy, backend)
+        load_report = "Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"
+        writer.write(answer(extra=load_report))
+        [ended] = await script.wait_for(AttemptEnded)
+        assert (ended.outcome, ended.load) == (Outcome.OK, None)
+
+
+def test_a_load_report_keeps_what_can_be_read() -> None:
+    assert read_load_report(b"TEXT util=0.5, depth=nan, queue=4, unknown=1") == LoadReport(
+        queued=4.0, utilization=0.5
+    )
+    assert read_load_report(b"TEXT depth=inf, mean_ms=-1") is None
+
+
+def test_a_reader_has_typed_errors_and_its_limits() -> None:
+    reader = ResponseReader()
+    reader.feed(INTERIM * MAX_INTERIM_RESPONSES)
+    with pytest.raises(MalformedResponse, match="interim responses"):
+        reader.feed(INTERIM)
+    reader = ResponseReader()
+    reader.feed(answer(200, b"yes"))
+    assert reader.is_complete and reader.keep_alive and reader.response.body == b"yes"
+    with pytest.raises(MalformedResponse, match="more than one response"):
+        reader.feed(answer(200, b"no"))
+    assert reader.response.body == b"yes"
+
+
+@socket_test
+async def test_a_response_that_stalls_ends_its_attempt_long_before_the_deadline() -> None:
+    """A backend hangs in the middle of a response; its client's time is long. Backends write a response at
+    once, so the rest is not waited for until the deadline."""
+    script = Script(send_all)
+    async with running_with_backend(script) as (proxy, backend):
+        proxy.program.pool.stall_timeout_s = 0.02
+        (client, _), (_, writer) = await forward(proxy, backend, ask(X_Expires_In="3000000m"))
+        writer.write(answer()[:10])
+        assert await read_status(client) == "502"
+        assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.CONNECTION_LOST]
+
+
+@socket_test
+async def test_an_interim_response_is_not_one_that_stalls() -> None:
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        proxy.program.pool.stall_timeout_s = 0.0
+        (client, _), (_, writer) = await forward(proxy, backend)
+        [connection] = proxy.program.pool.connections
+        writer.write(INTERIM)
+        while connection.reader is None or not connection.reader.interim_count:
+            await asyncio.sleep(0)
+        await asyncio.sleep(0)
+        writer.write(answer(200, b"whole"))
+        assert (await read_message(client))[2] == b"whole"
