--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -1,12 +1,16 @@
 """The adaptive limit on all attempts in flight of one gateway."""
 
-from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, of_type
+from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
+from yardlane.decisions.concurrency import CLASS_FAVOUR, ConcurrencyLimit
 
 
-def test_late_answers_lower_the_limit_below_one_attempt() -> None:
-    """With 168 gateways a slow backend was driven to answers of four seconds, as no gateway held back."""
-    driver = GatewayDriver(servers=2, gateway_count=100)
+def test_late_answers_narrow_the_limit_down_to_pacing() -> None:
+    """With 168 gateways the endpoints were driven to answers that took four seconds.
+
+    Each gateway had a limit of at least one attempt, too much in all. Below one, attempts are paced.
+    """
+    driver = GatewayDriver(endpoints=2, gateway_count=100)
     for _ in range(60):
         number, actions = driver.ask(quota_plan=FREE)
         actions += driver.run(2 * SECOND)
@@ -17,10 +21,40 @@
     assert not of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])
 
 
-def test_good_answers_raise_the_limit() -> None:
-    driver = GatewayDriver(servers=2, gateway_count=100)
+def test_answers_in_time_widen_the_limit_again() -> None:
+    driver = GatewayDriver(endpoints=2, gateway_count=100)
     driver.gateway.concurrency.limit = 0.1
     for _ in range(200):
         driver.serve(quota_plan=FREE)
         driver.run(2 * SECOND)
     assert driver.gateway.concurrency.limit >= driver.gateway.concurrency.base_limit
+
+
+def test_the_limit_follows_the_number_of_endpoints() -> None:
+    concurrency = ConcurrencyLimit(make_settings(gateway_count=3))
+    concurrency.set_endpoint_count(6)
+    assert concurrency.base_limit == 4.0
+    before = concurrency.limit
+    concurrency.set_endpoint_count(12)
+    assert concurrency.base_limit == 8.0 and concurrency.limit == 2 * before
+
+
+def test_a_class_of_more_value_gets_a_wider_limit_within_bounds() -> None:
+    concurrency = ConcurrencyLimit(make_settings())
+    concurrency.limit = 4.0
+    for _ in range(5):
+        concurrency.record_sent(0)
+    assert not concurrency.admits(1.0, 100 * MS, 0)
+    assert concurrency.admits(1.5, 100 * MS, 0)
+    for _ in range(int(4.0 * CLASS_FAVOUR) - 5):
+        concurrency.record_sent(0)
+    assert not concurrency.admits(100.0, 100 * MS, 0)
+
+
+def test_below_one_attempts_are_paced() -> None:
+    concurrency = ConcurrencyLimit(make_settings())
+    concurrency.limit = 0.5
+    concurrency.record_sent(10 * SECOND)
+    concurrency.record_ended()
+    assert not concurrency.admits(1.0, 100 * MS, 10 * SECOND + 199 * MS)
+    assert concurrency.admits(1.0, 100 * MS, 10 * SECOND + 200 * MS)
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -132,7 +132,7 @@
 
 
 def test_requests_go_to_the_subset_and_to_the_next_when_one_of_it_drains() -> None:
-    driver = GatewayDriver(servers=0, gateway_count=GATEWAY_COUNT)
+    driver = GatewayDriver(endpoints=0, gateway_count=GATEWAY_COUNT)
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
     before = subset_ids(driver.gateway.endpoints)
     assert reached_endpoints(driver) <= before
@@ -144,7 +144,7 @@
 
 
 def test_nothing_goes_to_an_endpoint_that_drains_or_is_not_listed() -> None:
-    driver = GatewayDriver(servers=4)
+    driver = GatewayDriver(endpoints=4)
     draining = make_endpoint(0, EndpointState.DRAINING)
     removed = make_endpoint(1, EndpointState.REMOVED)
     driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,22 +1,26 @@
 """One gateway as a whole: events in, actions out."""
 
+from __future__ import annotations
+
 from tests.gateway_driver import FREE, MS, GatewayDriver, make_endpoint_id
+from yardlane.decisions.actions import Action
 from yardlane.decisions.events import Outcome
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
-    def log() -> list[object]:
-        driver = GatewayDriver(seed=11)
-        for number in range(200):
-            driver.ask(tenant=number % 7, quota_plan=number % 4, request_class=number % 3)
-            driver.run(13 * MS)
-        return list(driver.log)
+def log_of_mixed_requests() -> list[tuple[int, Action]]:
+    driver = GatewayDriver(seed=11)
+    for number in range(200):
+        driver.ask(tenant=number % 7, quota_plan=number % 4, request_class=number % 3)
+        driver.run(13 * MS)
+    return driver.log
 
-    assert log() == log()
+
+def test_the_same_events_and_seed_give_the_same_actions() -> None:
+    assert log_of_mixed_requests() == log_of_mixed_requests()
 
 
-def test_an_attempt_that_ends_twice_changes_nothing() -> None:
-    driver = GatewayDriver(servers=1)
+def test_a_repeated_end_of_an_attempt_changes_nothing() -> None:
+    driver = GatewayDriver(endpoints=1)
     number, _ = driver.ask(quota_plan=FREE)
     driver.ask(quota_plan=FREE)
     for _ in range(3):
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -116,7 +116,7 @@
 
 def test_before_the_first_total_demand_is_estimated_from_what_came_here() -> None:
     """With the counter overloaded, each of 200 gateways admitted a heavy tenant, again and again."""
-    driver = GatewayDriver(servers=100, gateway_count=200)
+    driver = GatewayDriver(endpoints=100, gateway_count=200)
     driver.counter_answers = False
     forwarded = 0
     for _ in range(40):
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -7,9 +7,9 @@
 from tests.gateway_driver import (
     KEYED,
     MS,
-    SAFE,
+    IDEMPOTENT,
     SECOND,
-    UNSAFE,
+    NON_IDEMPOTENT,
     GatewayDriver,
     make_endpoint,
     of_type,
@@ -31,7 +31,7 @@
 
 def test_a_request_without_an_answer_gets_one_in_time() -> None:
     driver = GatewayDriver()
-    number, _ = driver.ask(request_class=UNSAFE, time_left_us=700 * MS)
+    number, _ = driver.ask(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
     deadline_us = driver.now + 700 * MS
     driver.run(2 * SECOND)
     answers = [(at_us, action) for at_us, action in driver.log if isinstance(action, Reject | Fail)]
@@ -41,7 +41,7 @@
 
 def test_nothing_is_sent_after_the_client_disconnected() -> None:
     driver = GatewayDriver()
-    number, endpoint_id = ask_and_attempt(driver, SAFE)
+    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
     driver.give(RequestEnded(number))
     later = driver.end(number, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, later) and not final_answers(later)
@@ -50,7 +50,7 @@
 
 def test_a_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     driver = GatewayDriver()
-    number, first_id = ask_and_attempt(driver, UNSAFE)
+    number, first_id = ask_and_attempt(driver, NON_IDEMPOTENT)
     retries = of_type(StartAttempt, driver.end(number, first_id, Outcome.REJECTED))
     assert len(retries) == 1 and retries[0].endpoint_id != first_id
     last = driver.end(number, retries[0].endpoint_id, Outcome.ERROR)
@@ -58,7 +58,7 @@
 
 
 def test_a_request_with_a_key_is_retried_in_its_zone_and_window() -> None:
-    driver = GatewayDriver(servers=0)
+    driver = GatewayDriver(endpoints=0)
     entries = tuple(make_endpoint(number, zone=number % 2) for number in range(6))
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize(
     ("request_class", "outcome", "is_bounded"),
-    [(KEYED, Outcome.ERROR, True), (SAFE, Outcome.ERROR, False), (KEYED, Outcome.REJECTED, False)],
+    [(KEYED, Outcome.ERROR, True), (IDEMPOTENT, Outcome.ERROR, False), (KEYED, Outcome.REJECTED, False)],
 )
 def test_a_retry_with_a_key_is_written_within_the_window_or_never(
     request_class: int, outcome: Outcome, is_bounded: bool
@@ -93,7 +93,7 @@
 
 
 def test_a_request_with_a_key_that_never_ran_may_change_the_zone() -> None:
-    driver = GatewayDriver(servers=0)
+    driver = GatewayDriver(endpoints=0)
     entries = (make_endpoint(1, zone=1), make_endpoint(2, zone=2))
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     number, endpoint_id = ask_and_attempt(driver, KEYED)
@@ -102,7 +102,7 @@
 
 def test_where_hedging_is_not_allowed_an_overdue_attempt_is_cancelled_first() -> None:
     driver = GatewayDriver(may_hedge=False)
-    number, endpoint_id = ask_and_attempt(driver, SAFE)
+    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
     later = driver.run(800 * MS)
     assert not of_type(StartAttempt, later)
     assert of_type(CancelAttempt, later) == [CancelAttempt(number, 0)]
@@ -111,7 +111,7 @@
 
 def test_where_hedging_is_allowed_an_overdue_attempt_goes_on_beside_another() -> None:
     driver = GatewayDriver()
-    number, first_id = ask_and_attempt(driver, SAFE)
+    number, first_id = ask_and_attempt(driver, IDEMPOTENT)
     later = driver.run(800 * MS)
     hedges = of_type(StartAttempt, later)
     assert hedges and hedges[0].request_id == number and hedges[0].endpoint_id != first_id
@@ -122,6 +122,6 @@
     """When all endpoints failed, retries multiplied the requests, and the overload fed itself."""
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
-    number, endpoint_id = ask_and_attempt(driver, SAFE)
+    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
     actions = driver.end(number, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, actions) and len(final_answers(actions)) == 1
