--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -66,7 +66,7 @@
         self.state = State.ACCEPTED
         self.is_write_buffer_full = False
         self.has_sent_request = False
-        self.last_active_s = server.now()  # when a request or a response ended, or CLOSING began
+        self.last_active_s = server.now()  # when a response ended, or CLOSING began
         self.request_started_s = self.last_active_s
 
     # The state
@@ -187,17 +187,16 @@
         """Queue a whole request for its response, then answer it or hand it to the handler."""
         if self.state is not OPEN:
             return  # pipelined behind the last request of this connection
-        self.last_active_s = self.server.now()
         self.has_sent_request = True
         if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
             raise UnreadableStream(Status.SERVICE_UNAVAILABLE, "too many requests at once")
         request = ClientRequest(self)
         self.pending.append(request)
-        if not self.parser.should_keep_alive():
+        if not self.parser.should_keep_alive:
             self._close_after(request)
         if len(self.pending) > MAX_PIPELINED:  # one read may bring any number
             request.reply(Status.SERVICE_UNAVAILABLE, b"too many requests at once\n")
-        elif self.parser.path() == HEALTH_PATH:
+        elif self.parser.url.partition(b"?")[0] == HEALTH_PATH:
             self._answer_health_check(request)
         else:
             self._hand_over(request)
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -92,6 +92,8 @@
         "header_lines",
         "headers",
         "is_in_message",
+        "method",
+        "should_keep_alive",
         "url",
     )
 
@@ -99,9 +101,8 @@
         self._receiver: RequestReceiver | None = receiver
         self._http: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.is_in_message = False
-        self._clear()
-
-    def _clear(self) -> None:
+        self.method = b""  # as it came; like the next, only known from `on_request` on
+        self.should_keep_alive = True
         self.url = b""
         self.headers: dict[bytes, bytes] = {}  # those that are read here, by their name in lower case
         self.header_lines: list[bytes] = []  # those that are forwarded, as they came
@@ -135,33 +136,24 @@
             raise _as_unreadable(error) from error
         return True
 
-    # What is known of the request, from `on_request` on
-
-    def should_keep_alive(self) -> bool:
-        """Whether the client keeps the connection. Only valid within `on_request`."""
-        assert self._http is not None
-        return self._http.should_keep_alive()
-
-    def method(self) -> bytes:
-        """The method, in the case in which it came."""
-        assert self._http is not None
-        return self._http.get_method()
-
     def http_version(self) -> str:
         """The version alone, such as `1.1`."""
         assert self._http is not None
         return self._http.get_http_version()
 
-    def path(self) -> bytes:
-        """The target without its query."""
-        return self.url.partition(b"?")[0]
-
     # The calls of httptools
 
     def on_message_begin(self) -> None:
         """A message's first byte."""
         self.is_in_message = True
-        self._clear()
+        self.url = b""
+        self.headers = {}
+        self.header_lines = []
+        self.body_parts = []
+        self.body_bytes = 0
+        self.head_bytes = 0
+        self._has_framing = False
+        self._is_in_trailer = False
         if self._receiver is not None:
             self._receiver.on_request_begin()
 
@@ -222,8 +214,11 @@
     def on_message_complete(self) -> None:
         """A message's last byte."""
         self.is_in_message = False
-        if self._receiver is not None:
-            self._receiver.on_request()
+        if self._http is None or self._receiver is None:
+            return
+        self.method = self._http.get_method()
+        self.should_keep_alive = self._http.should_keep_alive()  # only valid within this call
+        self._receiver.on_request()
 
 
 def _as_unreadable(error: httptools.HttpParserError) -> ClientProtocolError:
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -146,8 +146,7 @@
     headers = message.headers
     class_rule = _read_class(headers, rules)
     plan_rule = _read_plan(headers, rules)
-    _check_host(message)
-    _check_method(message, class_rule)
+    _check_host_and_method(message, class_rule)
     trace_id = _read_trace_id(headers, open_trace_ids)
     if class_rule.needs_idempotency_key:
         _check_idempotency_key(headers)
@@ -189,13 +188,10 @@
     return rule
 
 
-def _check_host(message: RequestParser) -> None:
+def _check_host_and_method(message: RequestParser, rule: ClassRule) -> None:
     if HOST_HEADER not in message.headers and message.http_version() == "1.1":
         raise _bad_request("no Host")
-
-
-def _check_method(message: RequestParser, rule: ClassRule) -> None:
-    if message.method() != rule.method:
+    if message.method != rule.method:
         raise MalformedRequest(
             Status.METHOD_NOT_ALLOWED,
             f"the class wants {rule.method.decode()}",
