--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -23,4 +23,4 @@
     for _ in range(200):
         driver.serve(quota_plan=FREE)
         driver.run(2 * SECOND)
-    assert driver.gateway.concurrency.limit >= driver.gateway.concurrency.usual_limit
+    assert driver.gateway.concurrency.limit >= driver.gateway.concurrency.base_limit
