--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -66,7 +66,7 @@
         self.state = State.ACCEPTED
         self.is_write_buffer_full = False
         self.has_sent_request = False
-        self.last_active_s = server.now()  # when a response ended, or CLOSING began
+        self.last_active_s = server.now()  # when the last response was given, or CLOSING began
         self.request_started_s = self.last_active_s
 
     # The state
