--- a/yardlane/descriptors.py
+++ b/yardlane/descriptors.py
@@ -9,7 +9,7 @@
 
 import logging
 import resource
-from dataclasses import dataclass
+from typing import NamedTuple
 
 log = logging.getLogger("yardlane.descriptors")
 
@@ -20,8 +20,7 @@
 MIN_CONNECTIONS = 16
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionLimits:
+class ConnectionLimits(NamedTuple):
     """The most connections of each kind at a time."""
 
     clients: int
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -20,7 +20,6 @@
 import logging
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import cast
 
 from yardlane.config import Address
@@ -49,16 +48,18 @@
 US_PER_S = 1_000_000
 
 
-@dataclass(slots=True)
 class CounterCall:
-    """A call from its start to its answer."""
+    """A call from its start to its answer. A ping has no key, and nobody awaits its result."""
 
-    key: int
-    line: bytes
-    started_at_s: float
-    is_written: bool = False
-    has_result: bool = False
-    is_ping: bool = False  # it has no key, and nobody awaits its result
+    __slots__ = ("has_result", "is_ping", "is_written", "key", "line", "started_at_s")
+
+    def __init__(self, key: int, line: bytes, started_at_s: float, is_ping: bool = False) -> None:
+        self.key = key
+        self.line = line
+        self.started_at_s = started_at_s
+        self.is_ping = is_ping
+        self.is_written = False
+        self.has_result = is_ping
 
     def unanswered_outcome(self) -> Outcome:
         """Its outcome where no answer comes: what is written may have been added."""
@@ -120,7 +121,7 @@
             if self._is_dead(now_s):
                 self._drop("silent")
         elif now_s - self.last_call_at_s > PING_INTERVAL_S:
-            self.send(CounterCall(0, PING, now_s, has_result=True, is_ping=True))
+            self.send(CounterCall(0, PING, now_s, is_ping=True))
 
     def close_gracefully(self) -> list[CounterCall]:
         """Take no more calls, and close once those that are written are answered.
--- a/yardlane/proxy/counter_protocol.py
+++ b/yardlane/proxy/counter_protocol.py
@@ -10,7 +10,7 @@
 
 import math
 import re
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import Outcome
@@ -30,8 +30,7 @@
     return b"tally %x %s %d\r\n" % (action.counter_key, amount, lifetime_ms)
 
 
-@dataclass(frozen=True, slots=True)
-class CounterReply:
+class CounterReply(NamedTuple):
     """A line that answers a call. `total` counts only where the outcome is OK."""
 
     outcome: Outcome
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -22,8 +22,7 @@
 import logging
 import re
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from typing import Any, TypeGuard, TypeVar
+from typing import Any, NamedTuple, TypeGuard, TypeVar
 
 from yardlane.config import Address, parse_address
 from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
@@ -54,8 +53,7 @@
 Addresses = dict[bytes, Address]
 
 
-@dataclass(frozen=True, slots=True)
-class DecodedList:
+class DecodedList(NamedTuple):
     """An update and the addresses of its endpoints.
 
     `is_ambiguous` says that it has entries without an id, or two different ones with the same: whom the first
