--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -1,4 +1,4 @@
-"""Wrong settings and impossible events are reported by the name of their field."""
+"""Wrong settings and events that cannot be: what is reported, and by which name."""
 
 from dataclasses import replace
 from typing import Any
@@ -33,23 +33,30 @@
         make_settings(**changes)
 
 
-@pytest.mark.parametrize(("field", "plan", "kind"), [("quota_plan", 9, 0), ("request_class", 0, 7)])
-def test_an_unknown_class_or_plan_is_named(field: str, plan: int, kind: int) -> None:
+@pytest.mark.parametrize(
+    ("field", "quota_plan", "request_class"), [("quota_plan", 9, 0), ("request_class", 0, 7)]
+)
+def test_an_unknown_class_or_plan_is_named(field: str, quota_plan: int, request_class: int) -> None:
     gateway = Gateway(make_settings(), seed=1)
     with pytest.raises(SettingsError, match=field):
-        gateway.handle(0, [RequestArrived(1, 5, plan, kind, 1_000_000, 1.0, 0, 3)])
+        gateway.handle(0, [RequestArrived(1, 5, quota_plan, request_class, 1_000_000, 1.0, 0, 3)])
 
 
 def test_an_outcome_of_an_unknown_request_changes_nothing() -> None:
-    desk = GatewayDriver()
-    assert desk.give(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
-    assert desk.gateway.concurrency.in_flight == 0
+    """The end of an attempt arrives for a request that the gateway has no record of. Counted, it would make
+    the attempts in flight wrong for good."""
+    driver = GatewayDriver()
+    assert driver.give(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
+    assert driver.gateway.concurrency.in_flight == 0
 
 
-def test_settings_that_cannot_be_end_the_adapter_with_one_line(
+def test_wrong_settings_end_the_adapter_with_one_line(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """An instance is initialised with a rank that its fleet does not have. The simulator sees one line and
+    the exit code, not a traceback."""
+
     def serve(*_: object) -> None:
         make_settings(rank=8)
 
