--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -81,6 +81,12 @@
         assert outside <= DECISION_LIBRARIES | {"yardlane.errors", "yardlane.errors.SettingsError"}, path
 
 
+def test_every_module_that_decides_is_in_the_policy_of_the_deploy_file() -> None:
+    interface = {"__init__", "actions", "decider", "events", "settings", "units"}
+    modules = {path for path in (PACKAGE / "decisions").glob("*.py") if path.stem not in interface}
+    assert set(POLICY) == modules
+
+
 def test_the_policy_of_the_deploy_file_is_in_the_decisions() -> None:
     for path in POLICY:
         assert path.is_file() and path.parent == PACKAGE / "decisions"
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -21,10 +21,10 @@
 
 GOOD_LATENCY_SHARE = 0.35
 ATTEMPTS_PER_ENDPOINT = 2.0
-WIDEST = 4.0  # in base limits
-WIDEST_AT_LEAST = 2.0  # attempts
-NARROWEST = 0.1  # attempts
-STEP = 0.1
+MAX_LIMIT_RATIO = 4.0  # of the base limit
+SMALLEST_MAX_LIMIT = 2.0  # attempts
+MIN_LIMIT = 0.1  # attempts
+STEP_SHARE = 0.1
 CLASS_FAVOUR = 2.0
 
 
@@ -37,7 +37,7 @@
         self._gateway_count = settings.gateway_count
         self.last_sent_at_us = -SECOND_US
         self.in_flight = 0
-        self.limit = WIDEST
+        self.limit = MAX_LIMIT_RATIO
         self.base_limit = 1.0
 
     def set_endpoint_count(self, ready_count: int) -> None:
@@ -69,5 +69,5 @@
             step = -min(self.limit, relative_limit)
         else:
             step = min(self.limit, 1.0 / relative_limit)
-        widest = max(WIDEST_AT_LEAST, WIDEST * self.base_limit)
-        self.limit = max(NARROWEST, min(widest, self.limit + STEP * step))
+        max_limit = max(SMALLEST_MAX_LIMIT, MAX_LIMIT_RATIO * self.base_limit)
+        self.limit = max(MIN_LIMIT, min(max_limit, self.limit + STEP_SHARE * step))
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -11,7 +11,7 @@
 - any other failure: as a failure of all; but not one that the client or this gateway caused, as a cancelled
   or unsent attempt, or a timeout sooner than `OVERDUE_MULTIPLE` mean service times, where the request came
   with little time left;
-- an attempt that is out for `OVERDUE_MULTIPLE` means: as that latency, long before any timeout. It is also a
+- an attempt in flight for `OVERDUE_MULTIPLE` means: as that latency, long before any timeout. It is also a
   failure, unless the endpoint has answered another attempt that was in flight meanwhile: then it is slow, not
   silent.
 
--- a/yardlane/decisions/service_time.py
+++ b/yardlane/decisions/service_time.py
@@ -16,7 +16,7 @@
 INITIAL_SERVICE_TIME_SHARE = 1 / 6
 SAMPLE_WEIGHT = 0.1
 ARRIVAL_SAMPLE_WEIGHT = SAMPLE_WEIGHT / 10
-LONGEST_SAMPLE = 5
+LONGEST_SAMPLE = 5  # in means of the class
 
 
 class ServiceTimes:
--- a/yardlane/decisions/work_window.py
+++ b/yardlane/decisions/work_window.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-BUCKETS = 100
+BUCKETS_PER_WINDOW = 100
 
 
 class WorkWindow:
@@ -18,7 +18,7 @@
 
     def __init__(self, window_us: int) -> None:
         self._window_us = window_us
-        self._bucket_us = max(1, window_us // BUCKETS)
+        self._bucket_us = max(1, window_us // BUCKETS_PER_WINDOW)
         self._buckets: deque[tuple[int, int]] = deque()  # the end of the bucket, the work in it
         self._sum_us = 0
 
