--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -173,7 +173,7 @@
     def _admit(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
-        if not admission.admits(tenant, request.units, self._mean_service_time_us(request), self.now_us):
+        if not admission.admit(tenant, request.units, self._mean_service_time_us(request), self.now_us):
             self._answer(request)
             return
         tenant.queue.append(request)
@@ -230,7 +230,7 @@
         self.timers.schedule(overdue_at_us, lambda: self._on_attempt_overdue(request, attempt))
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Hedge, or cancel: the end of a cancelled attempt causes the retry."""
+        """Hedge, or cancel if a retry could go now: the end of a cancelled attempt causes it."""
         if not attempt.in_flight:
             return
         self.outliers.record_overdue(attempt)
@@ -293,7 +293,7 @@
         self.timers.schedule(at_us, lambda: self._on_answer_due(request))
 
     def _on_answer_due(self, request: Request) -> None:
-        """Answer a request that is still queued; one that is in flight when it must be answered at last."""
+        """Answer a request that has queued for too long, or has to be answered before its client gives up."""
         if request.ended:
             return
         if request.queued or self.now_us >= request.answer_by_us:
--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -53,7 +53,7 @@
         return None
 
     def attempt_in_flight(self, index: int) -> AttemptRecord | None:
-        """The attempt of this index, unless it has ended or never was."""
+        """The attempt of this index, unless it has ended: a second end must not free its slot again."""
         if index < len(self.attempts) and self.attempts[index].in_flight:
             return self.attempts[index]
         return None
