--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -82,10 +82,10 @@
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
-        is_first_turn = self.now_us == NOT_STARTED_US
+        is_first_call = self.now_us == NOT_STARTED_US
         self.now_us = now_us
         self.actions = []
-        if is_first_turn:
+        if is_first_call:
             self._start()
         for event in events:
             self._dispatch(event)
@@ -230,7 +230,7 @@
         self.timers.schedule(overdue_at_us, lambda: self._on_attempt_overdue(request, attempt))
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Hedge, or cancel: the end of a cancelled attempt causes the retry."""
+        """Hedge, or cancel if a retry could go now: the end of a cancelled attempt causes it."""
         if not attempt.in_flight:
             return
         self.outliers.record_overdue(attempt)
@@ -293,7 +293,7 @@
         self.timers.schedule(at_us, lambda: self._on_answer_due(request))
 
     def _on_answer_due(self, request: Request) -> None:
-        """Answer a request that is still queued; one that is in flight when it must be answered at last."""
+        """Answer a request that has queued for too long, or has to be answered before its client gives up."""
         if request.ended:
             return
         if request.queued or self.now_us >= request.answer_by_us:
