--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1,90 +1,127 @@
-"""The loop round the module: failures in it, and the way out."""
+"""The proxy round the decisions: what it owes a client whatever they do, and how it keeps their time."""
 
 import asyncio
 import time
 from collections.abc import Callable
 from typing import Any, cast
 
-
-from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.actions import Action, Reject, SetTimer, StartAttempt
-from yardlane.decisions.events import EndpointListUpdate, Event, RequestArrived, TimerFired
-from tests.loopback import (
-    Peer,
-    Script,
-    ask,
-    member,
-    read_message,
-    running,
-    settings,
-    socket_test,
-    whole_list,
+from yardlane.decisions.actions import Action, CancelAttempt, Reject, SetTimer, StartAttempt
+from yardlane.decisions.events import (
+    AttemptEnded,
+    EndpointListUpdate,
+    Event,
+    Outcome,
+    RequestArrived,
+    TimerFired,
 )
+from yardlane.decisions.gateway import Gateway
+from tests.client_side import attempt_each, hold_all, read_status, running_with_backend
+from tests.loopback import Script, ask, running, settings, socket_test
+
+UNKNOWN_REQUEST = 10**9
+EARLY_S = 0.002
+FAILING_TENANT = "0000000000000001"
+OTHER_TENANT = "0000000000000002"
 
 
 @socket_test
 async def test_a_failing_decision_is_its_own_requests_failure() -> None:
-    def fail_on_odd(event: Event) -> list[Action]:
-        if isinstance(event, RequestArrived) and event.tenant == 1:
-            raise RuntimeError("out of luck")
+    """The decisions raise on one request out of three that came in one read. It is answered with 500; the
+    others, and those that come later, are decided as ever."""
+
+    def raise_on_one_tenant(event: Event) -> list[Action]:
+        if isinstance(event, RequestArrived) and event.tenant == int(FAILING_TENANT, 16):
+            raise RuntimeError("a fault of the decisions")
         return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
-    async with running(Script(fail_on_odd)) as door:
-        reader, writer = await door.client()
-        bad, good = ask(trace="b", Account="0000000000000001"), ask(Account="0000000000000002")
-        writer.write(good + bad + ask(trace="c", Account="0000000000000002"))  # one batch for the module
-        statuses = [(await read_message(reader))[0].split()[1] for _ in range(3)]
-        assert statuses == ["429", "500", "429"]
-        assert (await door.call(good))[0].split()[1] == "429"
+    async with running(Script(raise_on_one_tenant)) as proxy:
+        reader, writer = await proxy.client()
+        good = ask(Account=OTHER_TENANT)
+        failing = ask(trace="b", Account=FAILING_TENANT)
+        writer.write(good + failing + ask(trace="c", Account=OTHER_TENANT))
+        assert [await read_status(reader) for _ in range(3)] == ["429", "500", "429"]
+        line, _, _ = await proxy.call(good)
+        assert line.split()[1] == "429"
 
 
 @socket_test
-async def test_an_action_that_cannot_be_done_stops_no_other() -> None:
-    def odd(event: Event) -> list[Action]:
+async def test_an_action_that_cannot_be_carried_out_stops_no_other() -> None:
+    def with_unusable_actions(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
         actions: list[Any] = [
-            StartAttempt(10**9, b"s-1"),
-            Reject(10**9),
+            StartAttempt(UNKNOWN_REQUEST, b"s-1"),
+            Reject(UNKNOWN_REQUEST),
             "no action",
             Reject(event.request_id),
         ]
         return actions
 
-    async with running(Script(odd)) as door:
-        assert (await door.call(ask()))[0].split()[1] == "429"
+    async with running(Script(with_unusable_actions)) as proxy:
+        line, _, _ = await proxy.call(ask())
+        assert line.split()[1] == "429"
+
+
+@socket_test
+async def test_attempts_that_do_not_exist_are_not_cancelled() -> None:
+    def cancel_around(event: Event) -> list[Action]:
+        if not isinstance(event, RequestArrived):
+            return []
+        request_id = event.request_id
+        attempt = StartAttempt(request_id, b"s-1")
+        return [attempt, CancelAttempt(request_id, 1), CancelAttempt(request_id, -1), CancelAttempt(9, 0)]
+
+    script = Script(cancel_around)
+    async with running_with_backend(script) as (proxy, backend):
+        _, to_proxy = await proxy.client()
+        to_proxy.write(ask(X_Expires_In="200m"))
+        await backend.connection()
+        [ended] = await script.wait_for(AttemptEnded)
+        assert ended.outcome is Outcome.TIMED_OUT
 
 
 @socket_test
-async def test_after_standing_still_the_module_still_words_the_answer() -> None:
-    # Its own timer and the door's guard are due at once then; a held request is refused, which promises more
-    # than a failure does.
+async def test_after_standing_still_the_decisions_still_word_the_answer() -> None:
+    """The process stands still for longer than a queued request's time and grace. The timer of the decisions
+    and the deadline guard are due at once then; the decisions reject the request, and a rejection promises
+    the client more than the guard's failure does."""
     capped = [{**settings()["packages"][0], "concurrency": 1}]
-    async with (
-        Peer() as backend,
-        running(settings=settings(packages=capped), known=whole_list(member("s-1", backend.port))) as door,
-    ):
-        _, to_first = await door.client()
+    async with running_with_backend(settings=settings(packages=capped)) as (proxy, backend):
+        _, to_first = await proxy.client()
         to_first.write(ask(trace="first"))
         await backend.connection()
-        client, to_door = await door.client()
-        to_door.write(ask(trace="held", X_Expires_In="100m"))
-        gateway = cast(Gateway, door.program.proxy.decisions.decider)
-        while not any(c.queue for c in gateway.tenants.values()):
+        client, to_proxy = await proxy.client()
+        to_proxy.write(ask(trace="queued", X_Expires_In="100m"))
+        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
+        while not any(tenant.queue for tenant in gateway.tenants.values()):
             await asyncio.sleep(0)
         time.sleep(0.2)
-        assert (await read_message(client))[0].split()[1] == "429"
+        assert await read_status(client) == "429"
+
+
+@socket_test
+async def test_what_the_decisions_never_answer_the_deadline_guard_does() -> None:
+    async with running(Script(hold_all)) as proxy:
+        line, _, _ = await proxy.call(ask(X_Expires_In="50m"))
+        assert line.split()[1] == "500"
+        assert not proxy.program.proxy.requests
 
 
 @socket_test
-async def test_what_the_module_never_answers_the_door_does() -> None:
-    async with running(Script(lambda event: [])) as door:
-        assert (await door.call(ask(X_Expires_In="50m")))[0].split()[1] == "500"
-        assert not door.program.proxy.requests
+async def test_an_attempt_beyond_the_most_that_a_request_may_have_is_not_sent() -> None:
+    most = settings()["permissions"]["max_attempts"]
+    script = Script(attempt_each(*[b"s-1"] * (most + 1)))
+    async with running_with_backend(script) as (proxy, backend):
+        _, to_proxy = await proxy.client()
+        to_proxy.write(ask())
+        for _ in range(most):
+            await backend.connection()
+        [ended] = await script.wait_for(AttemptEnded)
+        assert (ended.attempt_index, ended.outcome) == (most, Outcome.NOT_SENT)
 
 
 class EarlyTimers:
-    """The loop, with timers that fire 2 ms early; uvloop's do by up to 1 ms."""
+    """The loop, with timers that fire early; uvloop's do by up to a millisecond."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -93,22 +130,24 @@
         return getattr(self.loop, name)
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
-        return self.loop.call_later(max(0.0, delay - 0.002), call, *args)
+        return self.loop.call_later(max(0.0, delay - EARLY_S), call, *args)
 
 
 @socket_test
-async def test_the_module_is_woken_no_sooner_than_it_asked() -> None:
-    # Woken early it has nothing to do yet, and counts on being woken when it asked to be.
+async def test_a_timer_of_the_decisions_never_fires_early() -> None:
+    """The loop's timer fires early. Notified then, the decisions would find nothing due, and would not ask to
+    be called again: what waits would wait for good."""
     script = Script(lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else [])
-    async with running(script) as door:
-        door.program.proxy.loop = cast(asyncio.AbstractEventLoop, EarlyTimers(asyncio.get_running_loop()))
-        at: dict[type[Event], int] = {}
+    async with running(script) as proxy:
+        loop = EarlyTimers(asyncio.get_running_loop())
+        proxy.program.proxy.loop = cast(asyncio.AbstractEventLoop, loop)
+        handled_at_us: dict[type[Event], int] = {}
         handle = script.handle
 
-        def timed(now: int, events: list[Event]) -> list[Action]:
-            at.update({type(event): now for event in events})
+        def record_time(now: int, events: list[Event]) -> list[Action]:
+            handled_at_us.update({type(event): now for event in events})
             return handle(now, events)
 
-        script.handle = timed  # type: ignore[method-assign]
+        script.handle = record_time  # type: ignore[method-assign]
         await script.wait_for(TimerFired)
-        assert at[TimerFired] >= at[EndpointListUpdate] + 5_000
+        assert handled_at_us[TimerFired] >= handled_at_us[EndpointListUpdate] + 5_000
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -46,12 +46,11 @@
 from yardlane.proxy.endpoint_decoder import Addresses
 from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
-from yardlane.proxy.response import UpstreamResponse
+from yardlane.proxy.response import STATUS_OK, UpstreamResponse
 from yardlane.proxy.upstream_pool import UpstreamPool
 
 log = logging.getLogger("yardlane.proxy.proxy")
 
-STATUS_OK = HTTPStatus.OK.value  # a plain number: looking up the member costs a call on each response
 FAILED_BODY = b"failed\n"
 REJECTED_BODY = b"refused: try again\n"
 SHUTDOWN_BODY = b"shutting down\n"
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import httptools
 
 from yardlane.decisions.events import LoadReport, Outcome
@@ -13,6 +15,9 @@
 MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
 MAX_LENGTH_DIGITS = 9  # of Content-Length and Usage-Percent
 FIRST_FINAL_STATUS = 200
+STATUS_OK = HTTPStatus.OK.value
+# With these an upstream's word that the request had no effect counts.
+REJECTION_STATUSES = frozenset({HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value})
 
 # The figures of a load report that the decisions use, by their names in the settings and as plain words.
 LOAD_FIGURES = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
@@ -54,9 +59,9 @@
 
 def outcome_of(response: UpstreamResponse) -> Outcome:
     """The protocol's table of outcomes, for whole responses."""
-    if response.status == 200:
+    if response.status == STATUS_OK:
         return Outcome.OK
-    if response.status in (503, 504) and response.never_ran:
+    if response.status in REJECTION_STATUSES and response.never_ran:
         return Outcome.REJECTED
     return Outcome.ERROR  # the request may have run
 
@@ -113,6 +118,7 @@
     # Callbacks of the parser
 
     def on_message_begin(self) -> None:
+        """A response begins."""
         if self.is_complete:
             raise MalformedResponse("more than one response to one request")
         self.response = UpstreamResponse()
@@ -122,6 +128,7 @@
         self.is_receiving = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One header of the response; those that mean something here are kept."""
         self.head_bytes += len(name) + len(value)
         if self.head_bytes > MAX_HEAD_BYTES:
             raise MalformedResponse(f"head over {MAX_HEAD_BYTES} bytes")
@@ -141,12 +148,14 @@
             self.response.content_type = value
 
     def on_body(self, body: bytes) -> None:
+        """A part of the body."""
         self.body_bytes += len(body)
         if self.body_bytes > MAX_BODY_BYTES:
             raise MalformedResponse(f"body over {MAX_BODY_BYTES} bytes")
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
+        """The response is whole."""
         assert self.parser is not None
         self.is_receiving = False
         status = self.parser.get_status_code()
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -197,6 +197,12 @@
         """The connection is of no more use. The state tells what was sent: an error empties the buffer."""
         self._fail(Outcome.CONNECTION_LOST if self.may_have_run() else Outcome.NOT_CONNECTED)
 
+    def _on_response_begun(self) -> None:
+        """A part of a response has come: the rest is due soon."""
+        self._apply(UpstreamEvent.RESPONSE_BEGUN)
+        if self.stall_timer is None:
+            self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._on_stalled)
+
     def _on_stalled(self) -> None:
         """Upstreams write a response at once: a rest that is late mostly never comes."""
         if self.attempt is not None:
@@ -216,17 +222,26 @@
         acknowledges that byte. The kernel is asked only for as long as a quarantine after the connection is
         used again, as the call takes a tenth of an attempt's processor time.
         """
-        if self.idle_before_request_s is None:
-            return False  # a new connection has had no earlier request
+        if self.state is SENDING:
+            return True
+        if self.state is not AWAITING or self.idle_before_request_s is None:
+            return False  # it answers this request already, or the connection has had no earlier one
         sent_for_s = self.pool.loop.time() - self.idle_since_s - self.idle_before_request_s
         if sent_for_s >= self.pool.reuse.quarantine_s:
             return False
         unacknowledged = fcntl.ioctl(self.file_descriptor, termios.TIOCOUTQ, NOTHING_UNACKNOWLEDGED)
         return unacknowledged != NOTHING_UNACKNOWLEDGED
 
+    def _on_premature_bytes(self) -> None:
+        log.warning("a response from %s:%d to a request that it did not have", *self.address)
+        if self.idle_before_request_s is not None:
+            self.pool.reuse.on_stray_bytes(self.endpoint_id, self.idle_before_request_s)
+        self._on_broken()
+
     # Calls of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up: send the request that it was opened for."""
         transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
         self.transport = transport
         if self.attempt is not None:
@@ -239,6 +254,7 @@
         self._send(transport, self.attempt)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended, by us, by the upstream or by the network."""
         if self.reader is not None:
             self.reader.close()
             self.reader = None
@@ -249,16 +265,14 @@
         self._on_broken()
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come: a part of a response, or bytes that belong to none."""
         attempt = self.attempt
         reader = self.reader
         if attempt is None or reader is None:
             self._on_stray_bytes()
             return self.close()
-        if self.state is SENDING or (self.state is AWAITING and self._is_premature()):
-            log.warning("a response from %s:%d to a request that it did not have", *self.address)
-            if self.idle_before_request_s is not None:
-                self.pool.reuse.on_stray_bytes(self.endpoint_id, self.idle_before_request_s)
-            return self._on_broken()
+        if self._is_premature():
+            return self._on_premature_bytes()
         try:
             reader.feed(data)
         except MalformedResponse as error:
@@ -272,8 +286,6 @@
                 self.closes_after_response = True
             attempt.finish(outcome_of(reader.response), reader.response)
         elif reader.is_receiving:
-            self._apply(UpstreamEvent.RESPONSE_BEGUN)
-            if self.stall_timer is None:
-                self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._on_stalled)
+            self._on_response_begun()
         elif self.state is RECEIVING:
             self._apply(UpstreamEvent.INTERIM_ENDED)
