--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -2,13 +2,12 @@
 
 No rule stands here; each has its module. The way of a request:
 
-1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first. 2.
-`admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`). 3. It leaves the queue once
-the tenant's concurrency bound, the hard rate (`rate_ceiling`) and the limit on all
-   attempts (`concurrency`) allow, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
-4. Its attempts end, or are overdue: `outliers` and `service_time` learn from it, and `retries` says whether
-there
-   is another attempt, or what the final answer is.
+1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first.
+2. `admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`).
+3. It leaves the queue once the tenant's concurrency bound, the hard rate (`rate_ceiling`) and the limit on
+   all attempts (`concurrency`) allow it, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
+4. Its attempts end, or are overdue: `outliers`, `service_time` and `concurrency` learn from that, and
+   `retries` says whether another attempt may follow, and else what the final answer is.
 
 See docs/design.md for why it is so.
 """
@@ -64,7 +63,6 @@
         self.random = random.Random(seed)
         self.actions: list[Action] = []
         self.now_us = NOT_STARTED_US
-        self.started_at_us = NOT_STARTED_US
         self.timers = Timers()
         self.requests: dict[int, Request] = {}
         self.tenants: dict[TenantId, Tenant] = {}  # in the order of their last requests
@@ -84,9 +82,10 @@
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
+        is_first_turn = self.now_us == NOT_STARTED_US
         self.now_us = now_us
         self.actions = []
-        if self.started_at_us == NOT_STARTED_US:
+        if is_first_turn:
             self._start()
         for event in events:
             self._dispatch(event)
@@ -97,7 +96,6 @@
         return self.actions
 
     def _start(self) -> None:
-        self.started_at_us = self.now_us
         self.slow_start.gateway_started_at_us = self.now_us
         if not self.settings.endpoint_list_is_pushed:
             self._watch_endpoints()
@@ -155,7 +153,8 @@
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
         if tenant is None:
-            tenant = Tenant(event, self.settings, self.started_at_us, self.now_us, self.random.random())
+            started_at_us = self.slow_start.gateway_started_at_us
+            tenant = Tenant(event, self.settings, started_at_us, self.now_us, self.random.random())
         self.tenants[tenant_id] = tenant
         return tenant
 
@@ -174,7 +173,7 @@
     def _admit(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
-        if not admission.admits(tenant, request.units, self._mean_service_time_us(request), self.now_us):
+        if not admission.admit(tenant, request.units, self._mean_service_time_us(request), self.now_us):
             self._answer(request)
             return
         tenant.queue.append(request)
