--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -4,83 +4,22 @@
 
 import asyncio
 import socket
-from collections.abc import AsyncIterator, Callable
-from contextlib import asynccontextmanager, suppress
-from typing import Any
 
-from yardlane.decisions.actions import Action, Reject, StartAttempt
-from yardlane.decisions.decider import Decider
-from yardlane.decisions.events import Event, RequestArrived
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_server import ClientServer
 from tests.loopback import (
-    Peer,
     RunningProxy,
     Streams,
     ask,
-    member,
-    read_message,
-    running,
     settings,
-    whole_list,
 )
 
-HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 SMALL_BUFFER_BYTES = 4096  # of the kernel's: far less than one large answer
 LARGE_BODY = b"y" * 60_000
 # Deadlines that no test meets.
 PATIENT_CLASSES = [{**rule, "deadline_us": 60_000_000} for rule in settings()["profiles"]]
 
 
-def hold_all(_: Event) -> list[Action]:
-    """Requests stay pending."""
-    return []
-
-
-def reject_each(event: Event) -> list[Action]:
-    """Requests are rejected at once."""
-    return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
-
-
-def attempt_each(*endpoints: bytes, begin_within_us: int = 0) -> Callable[[Event], list[Action]]:
-    """Requests get one attempt at each endpoint, and no decision after that."""
-
-    def reply(event: Event) -> list[Action]:
-        if not isinstance(event, RequestArrived):
-            return []
-        return [
-            StartAttempt(event.request_id, endpoint, begin_within_us=begin_within_us)
-            for endpoint in endpoints
-        ]
-
-    return reply
-
-
-@asynccontextmanager
-async def running_with_backend(
-    decider: Decider | None = None, **changes: Any
-) -> AsyncIterator[tuple[RunningProxy, Peer]]:
-    """A proxy whose endpoint list holds one backend, `s-1`."""
-    async with (
-        Peer() as backend,
-        running(decider, known=whole_list(member("s-1", backend.port)), **changes) as proxy,
-    ):
-        yield proxy, backend
-
-
-async def read_status(reader: asyncio.StreamReader) -> str:
-    """The status of the next message."""
-    line, _, _ = await read_message(reader)
-    return line.split()[1]
-
-
-async def read_to_end(reader: asyncio.StreamReader) -> bytes:
-    """What still comes on a connection, until it is closed or reset."""
-    with suppress(ConnectionError):
-        return await reader.read()
-    return b""
-
-
 class ManualClock:
     """A server's clock, which the test moves."""
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Real program code between fake peers on loopback sockets: backends, discovery, counter, clients."""
+"""The whole program between fake peers on loopback sockets: backends, discovery, counter, clients."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import json
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable
-from contextlib import asynccontextmanager
+from contextlib import asynccontextmanager, suppress
 from typing import Any, TypeVar, cast
 
 import uvloop
 
 from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.actions import Action, Fail, StartAttempt
+from yardlane.decisions.actions import Action, Fail, Reject, StartAttempt
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
 from yardlane.config import Config, parse
@@ -23,10 +23,12 @@
 
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-LIMIT = 20.0  # s for a whole test: only a test that hangs meets it
+HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
+LIMIT = 20.0  # s for a whole test; only a test that hangs runs into it
 
 
 def settings(**changes: Any) -> dict[str, Any]:
+    """The settings text as a map, by its names on the wire."""
     base: dict[str, Any] = {
         "discovery": "pushed",
         "peers_total": 1,
@@ -99,6 +101,7 @@
 
 
 def config(**changes: Any) -> Config:
+    """A process's configuration, which listens on a free port."""
     base: dict[str, Any] = {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -109,11 +112,13 @@
     }
     base.update(changes)
     made = parse(base)
-    # Port 0: the kernel picks one, and the test asks which.
-    return Config(**{**{f: getattr(made, f) for f in Config.__slots__}, "listen": ("127.0.0.1", 0)})
+    fields = {field: getattr(made, field) for field in Config.__slots__}
+    fields["listen"] = ("127.0.0.1", 0)  # the kernel picks a port, and the test asks which
+    return Config(**fields)
 
 
 def member(name: str, port: int, **changes: Any) -> dict[str, Any]:
+    """An entry of the endpoint list as discovery writes it."""
     return {
         "id": name,
         "host_port": f"127.0.0.1:{port}",
@@ -128,23 +133,24 @@
 
 
 def whole_list(*members: dict[str, Any], revision: int = 1) -> dict[str, Any]:
+    """A snapshot of the endpoint list as discovery writes it."""
     return {"revision": revision, "complete": True, "members": list(members)}
 
 
 class Peer:
-    """A listening peer; each connection is a queue item that the test serves as it likes."""
+    """A server at a free port of 127.0.0.1, whose connections the test takes and serves by hand."""
 
     def __init__(self) -> None:
-        self.sock = socket.socket()  # bound at once: until it listens, it refuses
+        self.sock = socket.socket()  # bound at once: connections are refused until it listens
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(("127.0.0.1", 0))
         self.accepted: asyncio.Queue[Streams] = asyncio.Queue()
-        self.taken: list[asyncio.StreamWriter] = []
+        self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
     async def __aenter__(self) -> Peer:
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.taken.append(writer)
+            self.writers.append(writer)
             await self.accepted.put((reader, writer))
 
         self.server = await asyncio.start_server(accept, sock=self.sock)
@@ -153,7 +159,7 @@
     async def __aexit__(self, *_: object) -> None:
         assert self.server is not None
         self.server.close()
-        for writer in self.taken:
+        for writer in self.writers:
             writer.transport.abort()
 
     @property
@@ -161,17 +167,21 @@
         return int(self.sock.getsockname()[1])
 
     async def connection(self) -> Streams:
+        """The next new connection."""
         return await self.accepted.get()
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
     """First line, headers and body of one HTTP message."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-    headers = {k.strip().lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
-    return head[0], headers, await reader.readexactly(int(headers.get("content-length", "0")))
+    fields = [line.partition(":") for line in head[1:] if line]
+    headers = {name.strip().lower(): value.strip() for name, _, value in fields}
+    body = await reader.readexactly(int(headers.get("content-length", "0")))
+    return head[0], headers, body
 
 
 def answer(status: int = 200, body: bytes = b"done", extra: str = "") -> bytes:
+    """A response; `extra` holds whole header lines, each with its line end."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
@@ -214,11 +224,13 @@
         program.proxy._end = count_end  # type: ignore[method-assign]
 
     async def client(self) -> Streams:
+        """A new client's connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.program.clients.port())
         self.writers.append(writer)
         return reader, writer
 
     async def call(self, request: bytes) -> tuple[str, dict[str, str], bytes]:
+        """The answer to one request on a new connection."""
         reader, writer = await self.client()
         writer.write(request)
         return await read_message(reader)
@@ -252,18 +264,18 @@
 
 @asynccontextmanager
 async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningProxy]:
-    """The whole program, without its signals; discovery may be nobody."""
+    """The whole program, without its signals; nobody need listen at discovery's address."""
     made = config(**changes)
     loop = asyncio.get_running_loop()
     program = Server(made, loop, decider or Gateway(made.settings, made.seed))
     program.start()
-    run = RunningProxy(program)
+    proxy = RunningProxy(program)
     try:
-        yield run
+        yield proxy
     finally:
         program.discovery.stop()
         program.clients.stop_listening()
-        for writer in run.writers:
+        for writer in proxy.writers:
             writer.transport.abort()
 
 
@@ -282,6 +294,7 @@
 
 
 def as_json(value: object) -> bytes:
+    """A body of discovery's."""
     return json.dumps(value).encode()
 
 
@@ -289,10 +302,13 @@
     """A decider that does as the test says: `reply` turns each event into actions."""
 
     def __init__(self, reply: Callable[[Event], list[Action]]) -> None:
-        self.reply, self.seen, self.actions = reply, list[Event](), list[Action]()
+        self.reply = reply
+        self.seen: list[Event] = []
+        self.actions: list[Action] = []
         self.changed = asyncio.Event()
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
+        """The actions for all events, in order."""
         self.actions = []
         for event in events:
             self.actions += self._one(event)
@@ -305,16 +321,67 @@
 
     async def wait_for(self, kind: type[E], count: int = 1) -> list[E]:
         """Once so many events of this kind have come: all of them."""
-        while len(found := list(filter(lambda event: isinstance(event, kind), self.seen))) < count:
+        while True:
+            found: list[E] = [event for event in self.seen if isinstance(event, kind)]
+            if len(found) >= count:
+                return found
             self.changed.clear()
             await self.changed.wait()
-        return cast(list[E], found)
 
 
-def send_all(event: Event, server: bytes = b"s-1") -> list[Action]:
-    """Each request gets one attempt; whatever ends badly fails."""
+def send_all(event: Event, endpoint_id: bytes = b"s-1") -> list[Action]:
+    """Each request gets one attempt, and fails unless that brings a good response."""
     if isinstance(event, RequestArrived):
-        return [StartAttempt(event.request_id, server)]
+        return [StartAttempt(event.request_id, endpoint_id)]
     if isinstance(event, AttemptEnded) and not event.request_ended:
         return [Fail(event.request_id)]
     return []
+
+
+def hold_all(_: Event) -> list[Action]:
+    """Requests stay pending."""
+    return []
+
+
+def reject_each(event: Event) -> list[Action]:
+    """Requests are rejected at once."""
+    return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
+
+
+def attempt_each(*endpoints: bytes, begin_within_us: int = 0) -> Callable[[Event], list[Action]]:
+    """Requests get one attempt at each endpoint, and no decision after that."""
+
+    def reply(event: Event) -> list[Action]:
+        if not isinstance(event, RequestArrived):
+            return []
+        return [
+            StartAttempt(event.request_id, endpoint, begin_within_us=begin_within_us)
+            for endpoint in endpoints
+        ]
+
+    return reply
+
+
+@asynccontextmanager
+async def running_with_backend(
+    decider: Decider | None = None, **changes: Any
+) -> AsyncIterator[tuple[RunningProxy, Peer]]:
+    """A proxy whose endpoint list holds one backend, `s-1`."""
+    async with (
+        Peer() as backend,
+        running(decider, known=whole_list(member("s-1", backend.port)), **changes) as proxy,
+    ):
+        yield proxy, backend
+
+
+async def read_status(reader: asyncio.StreamReader) -> str:
+    """The status of the next message."""
+    line, _, _ = await read_message(reader)
+    return line.split()[1]
+
+
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
+    """What still comes on a connection, until it is closed or reset."""
+    with suppress(ConnectionError):
+        return await reader.read()
+    return b""
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -10,18 +10,20 @@
 from yardlane.decisions.events import Event, RequestArrived
 from yardlane.proxy.client_connection import MAX_PIPELINED, MAX_REJECTED_PIPELINED, REQUEST_TIMEOUT_S
 from yardlane.proxy.client_state import State
-from tests.client_side import (
+from tests.client_side import ManualClock, connect, only_connection, pipeline
+from tests.loopback import (
     HEALTH_CHECK,
-    ManualClock,
-    connect,
+    Script,
+    answer,
+    ask,
     hold_all,
-    only_connection,
-    pipeline,
+    read_message,
     read_status,
     read_to_end,
     reject_each,
+    running,
+    socket_test,
 )
-from tests.loopback import Script, answer, ask, read_message, running, socket_test
 
 TOO_LARGE = ask("file", Content_Length="4000000") + b"x" * 4_000_000
 
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -19,28 +19,28 @@
 from yardlane.proxy.attempt import Attempt
 from yardlane.proxy.client_connection import MAX_PIPELINED, ClientConnection
 from tests.client_side import (
-    HEALTH_CHECK,
     LARGE_BODY,
     PATIENT_CLASSES,
     SMALL_BUFFER_BYTES,
     all_released,
-    hold_all,
     limit_send_buffer,
     only_connection,
     pipeline,
-    read_status,
-    running_with_backend,
 )
 from tests.loopback import (
+    HEALTH_CHECK,
     DelayedConnections,
     Peer,
     RunningProxy,
     Script,
     answer,
     ask,
+    hold_all,
     member,
     read_message,
+    read_status,
     running,
+    running_with_backend,
     send_all,
     settings,
     socket_test,
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -4,8 +4,17 @@
 
 from yardlane.decisions.events import RequestArrived
 from yardlane.proxy.listener import Listener
-from tests.client_side import ManualClock, connect, hold_all, read_to_end, reject_each
-from tests.loopback import Script, ask, read_message, running, socket_test
+from tests.client_side import ManualClock, connect
+from tests.loopback import (
+    Script,
+    ask,
+    hold_all,
+    read_message,
+    read_to_end,
+    reject_each,
+    running,
+    socket_test,
+)
 
 
 @socket_test
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -9,8 +9,12 @@
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.client_state import TRANSITIONS, ConnectionEvent, State
-from tests.client_side import hold_all
-from tests.loopback import Script, running, socket_test
+from tests.loopback import (
+    Script,
+    hold_all,
+    running,
+    socket_test,
+)
 
 # A row for each event, with the state after it; a dot is an event that the state never meets.
 DESIGN = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -7,16 +7,17 @@
 from yardlane.decisions.events import RequestArrived
 from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S
 from yardlane.proxy.client_state import State
-from tests.client_side import (
-    ManualClock,
-    connect,
+from tests.client_side import ManualClock, connect, only_connection
+from tests.loopback import (
+    Script,
+    ask,
     hold_all,
-    only_connection,
     read_status,
     read_to_end,
     reject_each,
+    running,
+    socket_test,
 )
-from tests.loopback import Script, ask, running, socket_test
 
 
 @socket_test
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -6,8 +6,17 @@
 import pytest
 
 from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S, ReusePolicy
-from tests.client_side import read_status, running_with_backend
-from tests.loopback import Script, Streams, answer, ask, read_message, send_all, socket_test
+from tests.loopback import (
+    Script,
+    Streams,
+    answer,
+    ask,
+    read_message,
+    read_status,
+    running_with_backend,
+    send_all,
+    socket_test,
+)
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
 
 NO_QUARANTINE_S = 0.0
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -13,8 +13,8 @@
 import pytest
 
 from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
-from tests.client_side import HEALTH_CHECK
 from tests.loopback import (
+    HEALTH_CHECK,
     Peer,
     Streams,
     answer,
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -2,8 +2,19 @@
 
 import asyncio
 
-from tests.client_side import HEALTH_CHECK, running_with_backend
-from tests.loopback import Peer, answer, as_json, ask, member, read_message, running, socket_test, whole_list
+from tests.loopback import (
+    HEALTH_CHECK,
+    Peer,
+    answer,
+    as_json,
+    ask,
+    member,
+    read_message,
+    running,
+    running_with_backend,
+    socket_test,
+    whole_list,
+)
 
 
 @socket_test
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -10,15 +10,9 @@
 
 from yardlane.decisions.actions import Action, Fail, StartAttempt
 from yardlane.decisions.events import AttemptEnded, Event, Outcome
-from tests.client_side import (
-    HEALTH_CHECK,
-    PATIENT_CLASSES,
-    all_released,
-    attempt_each,
-    read_status,
-    running_with_backend,
-)
+from tests.client_side import PATIENT_CLASSES, all_released
 from tests.loopback import (
+    HEALTH_CHECK,
     LIMIT,
     DelayedConnections,
     Peer,
@@ -26,9 +20,12 @@
     answer,
     as_json,
     ask,
+    attempt_each,
     member,
     read_message,
+    read_status,
     running,
+    running_with_backend,
     send_all,
     settings,
     socket_test,
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -15,8 +15,17 @@
     TimerFired,
 )
 from yardlane.decisions.gateway import Gateway
-from tests.client_side import attempt_each, hold_all, read_status, running_with_backend
-from tests.loopback import Script, ask, running, settings, socket_test
+from tests.loopback import (
+    Script,
+    ask,
+    attempt_each,
+    hold_all,
+    read_status,
+    running,
+    running_with_backend,
+    settings,
+    socket_test,
+)
 
 UNKNOWN_REQUEST = 10**9
 EARLY_S = 0.002
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -4,8 +4,19 @@
 
 from yardlane.decisions.actions import Action, Reject
 from yardlane.decisions.events import Event, RequestArrived
-from tests.client_side import attempt_each, hold_all, read_status, reject_each, running_with_backend
-from tests.loopback import Script, answer, ask, read_message, running, socket_test
+from tests.loopback import (
+    Script,
+    answer,
+    ask,
+    attempt_each,
+    hold_all,
+    read_message,
+    read_status,
+    reject_each,
+    running,
+    running_with_backend,
+    socket_test,
+)
 
 GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
 
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -7,8 +7,16 @@
 from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
 from yardlane.errors import MalformedResponse
 from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, read_load_report
-from tests.client_side import read_status, running_with_backend
-from tests.loopback import Script, answer, ask, read_message, send_all, socket_test
+from tests.loopback import (
+    Script,
+    answer,
+    ask,
+    read_message,
+    read_status,
+    running_with_backend,
+    send_all,
+    socket_test,
+)
 from tests.upstream_side import forward
 
 CLOSE = b""  # the connection ends
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -15,17 +15,20 @@
 from yardlane.proxy.proxy import Proxy
 from yardlane.proxy.upstream_connection import UpstreamConnection
 from yardlane.proxy.upstream_pool import UpstreamPool
-from tests.client_side import HEALTH_CHECK, attempt_each, read_status, running_with_backend
 from tests.loopback import (
+    HEALTH_CHECK,
     Peer,
     RunningProxy,
     Script,
     answer,
     ask,
+    attempt_each,
     config,
     member,
     read_message,
+    read_status,
     running,
+    running_with_backend,
     send_all,
     settings,
     socket_test,
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -9,8 +9,19 @@
 
 from yardlane.decisions.actions import Action
 from yardlane.decisions.events import AttemptEnded, Event, Outcome
-from tests.client_side import attempt_each, read_status, running_with_backend
-from tests.loopback import Script, answer, ask, member, read_message, send_all, socket_test, whole_list
+from tests.loopback import (
+    Script,
+    answer,
+    ask,
+    attempt_each,
+    member,
+    read_message,
+    read_status,
+    running_with_backend,
+    send_all,
+    socket_test,
+    whole_list,
+)
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
 
 NO_QUARANTINE_S = 0.0
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -204,7 +204,7 @@
             self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._on_stalled)
 
     def _on_stalled(self) -> None:
-        """Upstreams write a response at once: a rest that is late mostly never comes."""
+        """Upstreams write a response at once: a rest that is late is not waited for until the deadline."""
         if self.attempt is not None:
             log.warning("a response from %s:%d stalled midway", *self.address)
             self._fail(Outcome.CONNECTION_LOST)
@@ -220,7 +220,7 @@
 
         An upstream begins a request once its last byte has arrived, and what it sends from then on
         acknowledges that byte. The kernel is asked only for as long as a quarantine after the connection is
-        used again, as the call takes a tenth of an attempt's processor time.
+        used again: the call costs a notable part of an attempt's processor time.
         """
         if self.state is SENDING:
             return True
