--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -2,6 +2,7 @@
 
 import ast
 import os
+import re
 import shutil
 import subprocess
 import sys
@@ -15,6 +16,7 @@
 MODULES = sorted(PACKAGE.rglob("*.py"))
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 POLICY = [ROOT / path for path in DEPLOY["policy"]]
+FILES_OF_THE_MODELS = {"connection_pool.py", "connection.py", "http11.py", "commands.py"}  # in DEVELOPERS.md
 DECISION_LIBRARIES = {
     "__future__",
     "abc",
@@ -74,6 +76,21 @@
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
+@pytest.mark.parametrize(
+    "page",
+    ["README.md", "DEVELOPERS.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md"],
+)
+def test_the_modules_that_a_page_names_exist(page: str) -> None:
+    text = (ROOT / page).read_text()
+    named = set(re.findall(r"`(?:yardlane/)?((?:\w+/)*\w+\.py)`", text))
+    files = [*MODULES, *(ROOT / "tests").rglob("*.py")]
+    existing = {path.name for path in files}
+    existing |= {
+        str(path.relative_to(base)) for base in (PACKAGE, ROOT) for path in files if base in path.parents
+    }
+    assert named <= existing | FILES_OF_THE_MODELS
+
+
 def test_the_decisions_do_no_input_or_output() -> None:
     assert PACKAGE / "decisions" / "gateway.py" in POLICY
     for path in (PACKAGE / "decisions").glob("*.py"):
