--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -22,7 +22,7 @@
 NO_QUARANTINE_S = 0.0
 
 
-def test_stray_bytes_of_one_upstream_cost_the_others_little_and_are_forgiven() -> None:
+def test_stray_bytes_of_one_upstream_cost_the_others_little_and_decay() -> None:
     """An upstream sends bytes that belong to no response, long after the last one. Its own connections are
     quarantined for twice as long; the others' quarantine only doubles, and all of it decays."""
     policy = ReusePolicy(keepalive_s=30.0)
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -8,6 +8,7 @@
 from yardlane.server import ACCEPT_AFTER_SIGTERM_S, shutdown_timeout_us
 from yardlane.proxy.client_state import State
 from tests.loopback import (
+    HEALTH_CHECK,
     Peer,
     RunningProxy,
     Script,
@@ -24,7 +25,6 @@
 )
 
 
-HEALTH = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 LATEST_NEW_CONNECTION_S = 0.4  # after SIGTERM, by the pages
 
 
@@ -214,7 +214,7 @@
     script = Script(send_all)
     async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
         idle, to_idle = await proxy.client()
-        to_idle.write(HEALTH)
+        to_idle.write(HEALTH_CHECK)
         await read_message(idle)
         client, to_proxy = await proxy.client()
         to_proxy.write(ask())
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -90,7 +90,7 @@
 
 
 @socket_test
-async def test_after_standing_still_the_decisions_still_word_the_answer() -> None:
+async def test_after_standing_still_the_decisions_still_give_the_answer() -> None:
     """The process stands still for longer than a queued request's time and grace. The timer of the decisions
     and the deadline guard are due at once then; the decisions reject the request, and a rejection promises
     the client more than the guard's failure does."""
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -207,7 +207,7 @@
             self.forget_request(request_id)
 
     def _on_overdue(self, request_id: int) -> None:
-        """A request's time and its grace are over. The decisions have the first word.
+        """A request's time and its grace are over. The decisions may still answer first.
 
         Where the process stood still, their own timer is due only now, and a rejection of theirs tells the
         client more than a failure. So they get a turn, and the guard answers behind it.
--- a/yardlane/proxy/upstream_state.py
+++ b/yardlane/proxy/upstream_state.py
@@ -40,12 +40,12 @@
 # Each event that a state may meet, and the state after it. Any other is a fault of this program: the
 # connection logs it and stays as it is.
 #
-# The table is drawn round one question: may the upstream have run the request? The answer decides whether
-# the request may be sent to another upstream, and no upstream answers it. It begins a request once the last
-# byte has arrived, so a request whose last byte the kernel never took has not run. That is why SENDING and
-# AWAITING are two states, and why SENDING ends in AWAITING or in CLOSED alone: a connection that is closed
-# while SENDING sends no further byte. From AWAITING on, only a whole response tells what became of the
-# request; whatever else ends the attempt leaves it open whether it ran (MAY_HAVE_RUN).
+# The states follow from one question: may the upstream have run the request? Only if not may a request that
+# is not idempotent be sent to another upstream. An upstream begins a request once its last byte has
+# arrived, so a request whose last byte the kernel never took has not run. That is why SENDING and AWAITING
+# are two states, and why SENDING leads to AWAITING or CLOSED alone: a connection that is closed while
+# SENDING sends no further byte. From AWAITING on the request may have run (MAY_HAVE_RUN); only a whole
+# response says what became of it.
 #
 # A response names no request. Bytes that come before a request was sent whole answer an earlier one. So
 # nothing of a response is read while IDLE or SENDING; such bytes close the connection.
