--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -203,7 +203,7 @@
             return
         delay_us = admission.release_delay_us(tenant, missing_units, self.now_us)
         tenant.next_release_at_us = self.now_us + delay_us
-        self.timers.schedule(tenant.next_release_at_us, lambda: self._release(tenant))
+        self.timers.schedule(tenant.next_release_at_us, self._release, tenant)
 
     # Attempts
 
@@ -227,7 +227,7 @@
             StartAttempt(request.id, endpoint.entry.endpoint_id, begin_within_us=begin_within_us)
         )
         overdue_at_us = self.now_us + overdue_after_us(self._mean_service_time_us(request))
-        self.timers.schedule(overdue_at_us, lambda: self._on_attempt_overdue(request, attempt))
+        self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
         """Hedge, or cancel if a retry could go now: the end of a cancelled attempt causes it."""
@@ -290,7 +290,7 @@
     # The end of requests
 
     def _schedule_answer(self, request: Request, at_us: int) -> None:
-        self.timers.schedule(at_us, lambda: self._on_answer_due(request))
+        self.timers.schedule(at_us, self._on_answer_due, request)
 
     def _on_answer_due(self, request: Request) -> None:
         """Answer a request that has queued for too long, or has to be answered before its client gives up."""
--- a/yardlane/decisions/timers.py
+++ b/yardlane/decisions/timers.py
@@ -13,6 +13,9 @@
 
 import heapq
 from collections.abc import Callable
+from typing import Any, TypeVarTuple
+
+Arguments = TypeVarTuple("Arguments")
 
 STALL_US = 100_000
 NEVER_US = -1
@@ -25,7 +28,7 @@
 
     def __init__(self) -> None:
         self.resumed_at_us = NEVER_US
-        self._queue: list[tuple[int, int, Callable[[], None]]] = []
+        self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._scheduled_count = 0
         self._timer_due_us = 0
 
@@ -33,10 +36,10 @@
         """The number of calls that are scheduled."""
         return len(self._queue)
 
-    def schedule(self, at_us: int, call: Callable[[], None]) -> None:
-        """Make this call in the first turn at or after `at_us`."""
+    def schedule(self, at_us: int, call: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
+        """Make this call, with these arguments, in the first turn at or after `at_us`."""
         self._scheduled_count += 1
-        heapq.heappush(self._queue, (at_us, self._scheduled_count, call))
+        heapq.heappush(self._queue, (at_us, self._scheduled_count, call, arguments))
 
     def detect_stall(self, now_us: int) -> None:
         """Note the end of a stall if this turn comes too late. To be called first in each turn."""
@@ -46,8 +49,8 @@
     def fire_due(self, now_us: int) -> None:
         """Make all calls that are due, including those that such a call schedules for now."""
         while self._queue and self._queue[0][0] <= now_us:
-            _, _, call = heapq.heappop(self._queue)
-            call()
+            _, _, call, arguments = heapq.heappop(self._queue)
+            call(*arguments)
 
     def next_delay_us(self, now_us: int) -> int | None:
         """The delay to set the caller's timer to; None if it is set early enough, or nothing is scheduled."""
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -11,7 +11,6 @@
 import logging
 from collections.abc import Callable
 from functools import partial
-from http import HTTPStatus
 from typing import Any
 
 from yardlane.config import Address, Config
@@ -39,14 +38,14 @@
 )
 from yardlane.proxy.attempt import Attempt
 from yardlane.proxy.client_request import ClientRequest
-from yardlane.proxy.client_response import retry_after_line
+from yardlane.proxy.client_response import Status, retry_after_line
 from yardlane.proxy.clock import Clock, call_after
 from yardlane.proxy.counter_client import CounterClient
 from yardlane.proxy.decision_loop import DecisionLoop
 from yardlane.proxy.endpoint_decoder import Addresses
 from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
-from yardlane.proxy.response import STATUS_OK, UpstreamResponse
+from yardlane.proxy.response import UpstreamResponse
 from yardlane.proxy.upstream_pool import UpstreamPool
 
 log = logging.getLogger("yardlane.proxy.proxy")
@@ -123,7 +122,7 @@
 
     def abandon_request(self, client_request: ClientRequest) -> None:
         """The connection ends and cannot wait for the answer; attempts go on as above."""
-        self._end_undecided(client_request.request_id, HTTPStatus.BAD_GATEWAY, FAILED_BODY)
+        self._end_undecided(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
     def can_serve(self) -> bool:
         """Whether the health check passes: not before there is an endpoint list."""
@@ -175,7 +174,7 @@
 
     def _end_all(self) -> None:
         for request_id in list(self.requests):
-            self._end_undecided(request_id, HTTPStatus.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
+            self._end_undecided(request_id, Status.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
 
     # The end of a request
 
@@ -234,7 +233,7 @@
 
     def fail_request(self, request_id: int) -> None:
         """Give the request its final answer where the decisions do not."""
-        self._end_undecided(request_id, HTTPStatus.INTERNAL_SERVER_ERROR, FAILED_BODY)
+        self._end_undecided(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
 
     def forget_request(self, request_id: int) -> None:
         """The decisions refer to the request no more."""
@@ -293,7 +292,7 @@
         if outcome is Outcome.OK and response is not None and not request.has_ended:
             content_type = response.content_type
             header_line = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
-            request.client_request.reply(STATUS_OK, response.body, header_line)
+            request.client_request.reply(Status.OK, response.body, header_line)
             self._end(request)
         if request.has_ended and not request.attempts_in_flight:
             self.decisions.forget_after_turn(attempt.request_id)
@@ -325,7 +324,7 @@
         if self.settings.may_send_retry_after:
             retry_after_us = min(action.retry_after_us, self.settings.max_retry_after_us)
         was_attempted = bool(request.attempts)
-        status = HTTPStatus.SERVICE_UNAVAILABLE if was_attempted else HTTPStatus.TOO_MANY_REQUESTS
+        status = Status.SERVICE_UNAVAILABLE if was_attempted else Status.TOO_MANY_REQUESTS
         request.client_request.reply(status, REJECTED_BODY, retry_after_line(retry_after_us))
         self._end_decided(action.request_id, request)
 
@@ -333,7 +332,7 @@
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
-        request.client_request.reply(HTTPStatus.BAD_GATEWAY, FAILED_BODY)
+        request.client_request.reply(Status.BAD_GATEWAY, FAILED_BODY)
         self._end_decided(action.request_id, request)
 
     # Counter and timers
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from http import HTTPStatus
-
 import httptools
 
 from yardlane.decisions.events import LoadReport, Outcome
@@ -15,9 +13,11 @@
 MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
 MAX_LENGTH_DIGITS = 9  # of Content-Length and Usage-Percent
 FIRST_FINAL_STATUS = 200
-STATUS_OK = HTTPStatus.OK.value
+STATUS_OK = 200
+STATUS_SERVICE_UNAVAILABLE = 503
+STATUS_GATEWAY_TIMEOUT = 504
 # With these an upstream's word that the request had no effect counts.
-REJECTION_STATUSES = frozenset({HTTPStatus.SERVICE_UNAVAILABLE.value, HTTPStatus.GATEWAY_TIMEOUT.value})
+REJECTION_STATUSES = frozenset({STATUS_SERVICE_UNAVAILABLE, STATUS_GATEWAY_TIMEOUT})
 
 # The figures of a load report that the decisions use, by their names in the settings and as plain words.
 LOAD_FIGURES = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
