--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -9,7 +9,7 @@
 from yardlane.decisions.actions import Action, Reject
 from yardlane.decisions.events import Event, RequestArrived
 from yardlane.proxy.client_connection import MAX_PIPELINED, MAX_REJECTED_PIPELINED, REQUEST_TIMEOUT_S
-from yardlane.proxy.client_state import State
+from yardlane.proxy.client_state import ClientState
 from tests.client_side import ManualClock, connect, only_connection, pipeline
 from tests.loopback import (
     HEALTH_CHECK,
@@ -99,7 +99,7 @@
         server = proxy.program.clients
         reader, writer = await proxy.client()
         writer.write(TOO_LARGE)
-        while not any(connection.state is State.CLOSING for connection in server.connections):
+        while not any(connection.state is ClientState.CLOSING for connection in server.connections):
             await asyncio.sleep(0)
         server.close_idle()
         connection = only_connection(proxy)
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -8,7 +8,7 @@
 
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_request import ClientRequest
-from yardlane.proxy.client_state import TRANSITIONS, ConnectionEvent, State
+from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 from tests.loopback import (
     Script,
     hold_all,
@@ -38,9 +38,9 @@
 
 
 def test_the_design_page_names_all_states_and_events() -> None:
-    assert STATES is not None and STATES[1].split(" | ") == [state.name for state in State]
-    assert list(ROWS) == [event.name for event in ConnectionEvent]
-    assert list(TRANSITIONS) == list(State)
+    assert STATES is not None and STATES[1].split(" | ") == [state.name for state in ClientState]
+    assert list(ROWS) == [event.name for event in ClientEvent]
+    assert list(TRANSITIONS) == list(ClientState)
 
 
 @socket_test
@@ -52,9 +52,9 @@
     async with running(Script(hold_all)) as proxy:
         server = proxy.program.clients
         with logged_by_connections() as lines:
-            for event, row in zip(ConnectionEvent, ROWS.values(), strict=True):
-                for before, cell in zip(State, row, strict=True):
-                    after = before if cell == NEVER else State[cell]
+            for event, row in zip(ClientEvent, ROWS.values(), strict=True):
+                for before, cell in zip(ClientState, row, strict=True):
+                    after = before if cell == NEVER else ClientState[cell]
                     connection = ClientConnection(server)
                     connection.state = before
                     server.connections[connection] = None
@@ -64,7 +64,7 @@
                     fault = f"a client connection in state {before.name} met event {event.name}"
                     assert lines == ([fault] if cell == NEVER else [])
                     lines.clear()
-                    ends = after is not before and after in (State.CLOSING, State.CLOSED)
+                    ends = after is not before and after in (ClientState.CLOSING, ClientState.CLOSED)
                     assert bool(connection.pending) is not ends
-                    assert (connection in server.connections) is not (ends and after is State.CLOSED)
+                    assert (connection in server.connections) is not (ends and after is ClientState.CLOSED)
                     server.connections.pop(connection, None)
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -6,7 +6,7 @@
 
 from yardlane.decisions.events import RequestArrived
 from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S
-from yardlane.proxy.client_state import State
+from yardlane.proxy.client_state import ClientState
 from tests.client_side import ManualClock, connect, only_connection
 from tests.loopback import (
     Script,
@@ -83,7 +83,7 @@
         [(_, writer)] = await connect(proxy, 1)
         writer.write(b"noise\r\n\r\n")
         connection = only_connection(proxy)
-        while connection.state is not State.CLOSING:
+        while connection.state is not ClientState.CLOSING:
             await asyncio.sleep(0)
         clock.advance(1.25)
         while proxy.program.clients.connections:
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -6,7 +6,7 @@
 from yardlane.decisions.actions import Reject, StartAttempt
 from yardlane.decisions.events import RequestArrived
 from yardlane.server import ACCEPT_AFTER_SIGTERM_S, shutdown_timeout_us
-from yardlane.proxy.client_state import State
+from yardlane.proxy.client_state import ClientState
 from tests.loopback import (
     HEALTH_CHECK,
     Peer,
@@ -174,7 +174,7 @@
         for _ in range(2):
             assert (await read_message(reader))[0].split()[1] == "429"
         connections = proxy.program.clients.connections
-        assert all(connection.state is State.CLOSING for connection in connections)
+        assert all(connection.state is ClientState.CLOSING for connection in connections)
         assert await reader.read() == b""
 
 
@@ -197,7 +197,7 @@
             client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             proxy.program.clients.is_draining = True
             writer.write(answer(200, body))
-            while client.state is not State.CLOSING:
+            while client.state is not ClientState.CLOSING:
                 await asyncio.sleep(0)
             assert proxy.program.clients.has_pending_work()
             received = b""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -34,12 +34,13 @@
 # What each part of the package may import of the others: imports point down only.
 MAY_IMPORT = {
     "decisions": {"decisions", "errors"},
-    "proxy": {"proxy", "decisions", "errors", "config", "settings_reader", "descriptors", "log"},
+    "proxy": {"proxy", "decisions", "errors", "config", "settings_reader", "descriptors", "log", "units"},
     "simulator": {"simulator", "decisions", "errors", "settings_reader"},
     "settings_reader": {"decisions", "errors"},
     "config": {"decisions", "errors", "settings_reader"},
     "descriptors": {"errors"},
     "errors": set(),
+    "units": set(),
     "log": {"errors"},
     "server": {"proxy", "decisions", "errors", "config", "descriptors", "log"},
     "__main__": {"proxy", "decisions", "errors", "config", "descriptors", "log", "server"},
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -38,8 +38,8 @@
         self.header_lines = header_lines
 
 
-class MalformedRequest(ClientProtocolError):
-    """A well-framed request that goes no further. Its connection stays usable."""
+class InvalidRequest(ClientProtocolError):
+    """A well-framed request that is not accepted (400, 405 or 409). Its connection stays usable."""
 
 
 class UnreadableStream(ClientProtocolError):
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -12,10 +12,10 @@
 from collections import deque
 from typing import Protocol, cast
 
-from yardlane.errors import MalformedRequest, UnreadableStream
+from yardlane.errors import InvalidRequest, UnreadableStream
 from yardlane.proxy.client_request import ClientRequest, RequestHandler
 from yardlane.proxy.client_response import CONTINUE, Status, encode_response
-from yardlane.proxy.client_state import TRANSITIONS, ConnectionEvent, State
+from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 from yardlane.proxy.request_parser import RequestParser
 from yardlane.proxy.request_validation import RequestRules, parse_request
 from yardlane.proxy.socket_probe import SocketProbe
@@ -29,14 +29,14 @@
 HEALTH_PATH = b"/_health"
 
 # A module's name is found faster than an enum's member, and these are asked for at each request.
-OPEN = State.OPEN
-LAST_REQUEST = State.LAST_REQUEST
-BROKEN = State.BROKEN
-CLOSING = State.CLOSING
-CLOSED = State.CLOSED
+OPEN = ClientState.OPEN
+LAST_REQUEST = ClientState.LAST_REQUEST
+BROKEN = ClientState.BROKEN
+CLOSING = ClientState.CLOSING
+CLOSED = ClientState.CLOSED
 
 
-class ConnectionOwner(Protocol):
+class ClientConnectionOwner(Protocol):
     """What a connection shares with the others of its server."""
 
     handler: RequestHandler
@@ -57,13 +57,13 @@
 class ClientConnection(asyncio.Protocol):
     """Reads requests, keeps their responses in order, and ends what takes too long."""
 
-    def __init__(self, server: ConnectionOwner) -> None:
+    def __init__(self, server: ClientConnectionOwner) -> None:
         self.server = server
         self.parser = RequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.probe: SocketProbe | None = None  # made at the first look
         self.pending: deque[ClientRequest] = deque()  # in the order of their responses
-        self.state = State.ACCEPTED
+        self.state = ClientState.ACCEPTED
         self.is_write_buffer_full = False
         self.has_sent_request = False
         self.last_active_s = server.now()  # when the last response was given, or CLOSING began
@@ -71,7 +71,7 @@
 
     # The state
 
-    def _apply(self, event: ConnectionEvent) -> bool:
+    def _apply(self, event: ClientEvent) -> bool:
         """Change the state by the table; whether it did change."""
         before = self.state
         after = TRANSITIONS[before].get(event)
@@ -137,13 +137,13 @@
         """The transport is up, unless the connection had to make room meanwhile."""
         transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
         self.transport = transport
-        if not self._apply(ConnectionEvent.CONNECTED):
+        if not self._apply(ClientEvent.CONNECTED):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The transport's last call."""
         self.transport = None
-        self._apply(ConnectionEvent.TRANSPORT_LOST)
+        self._apply(ClientEvent.TRANSPORT_LOST)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of requests; dropped once no further request is handled."""
@@ -214,7 +214,7 @@
             request.parsed = parsed
             self.server.open_trace_ids.add(parsed.trace_id)
             self.server.handler.handle_request(request, parsed)
-        except MalformedRequest as error:
+        except InvalidRequest as error:
             request.reply(error.status, error.text.encode() + b"\n", error.header_lines)
         except Exception:  # a fault of ours in one request must not end the others of the connection
             log.exception("a request could not be handled")
@@ -260,7 +260,7 @@
         """`request`, the newest, is the last: its response ends the connection."""
         if not request.closes_connection:
             request.closes_connection = True
-            self._apply(ConnectionEvent.LAST_REQUEST_READ)
+            self._apply(ClientEvent.LAST_REQUEST_READ)
 
     def _close_after_pending(self) -> None:
         """The client asked for another protocol: what follows is not HTTP."""
@@ -274,13 +274,13 @@
 
         Closed with bytes unread, the connection would be reset, and the reset may overtake the response.
         """
-        if self._apply(ConnectionEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
+        if self._apply(ClientEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
             self.transport.write_eof()
             self._update_reading()
 
     def _reject_stream(self, error: UnreadableStream) -> None:
         """Answer the error behind the responses that are pending, then close."""
-        if not self._apply(ConnectionEvent.STREAM_BROKEN):
+        if not self._apply(ClientEvent.STREAM_BROKEN):
             return
         self.parser.abandon_message()
         request = ClientRequest(self)
@@ -302,12 +302,12 @@
 
     def close_idle(self) -> None:
         """Close between requests. What has come meanwhile is not read, and the client may send it again."""
-        if self._apply(ConnectionEvent.IDLE_CLOSED) and self.transport is not None:
+        if self._apply(ClientEvent.IDLE_CLOSED) and self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
         """End at once, without what is still to be written."""
-        self._apply(ConnectionEvent.ABORTED)
+        self._apply(ClientEvent.ABORTED)
 
     def has_client_left(self) -> bool:
         """Whether the client has closed its side or reset, also where the loop has not read so far."""
@@ -330,7 +330,7 @@
         return has_left
 
     def _on_client_left(self) -> None:
-        if self._apply(ConnectionEvent.CLIENT_LEFT) and self.transport is not None:
+        if self._apply(ClientEvent.CLIENT_LEFT) and self.transport is not None:
             self.transport.close()
 
     # Timeouts
--- a/yardlane/proxy/client_response.py
+++ b/yardlane/proxy/client_response.py
@@ -5,6 +5,8 @@
 import math
 from enum import IntEnum
 
+from yardlane.units import MS_PER_S, US_PER_MS
+
 
 class Status(IntEnum):
     """The statuses that clients are answered with."""
@@ -37,8 +39,6 @@
 }
 UNKNOWN_REASON = b"Other"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-US_PER_MS = 1000
-MS_PER_S = 1000
 
 
 def encode_response(status: int, body: bytes, header_lines: bytes, closes_connection: bool) -> bytes:
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -8,7 +8,7 @@
 from yardlane.config import Config
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_request import RequestHandler
-from yardlane.proxy.client_state import State
+from yardlane.proxy.client_state import ClientState
 from yardlane.proxy.listener import Listener
 from yardlane.proxy.request_validation import RequestRules
 
@@ -84,7 +84,7 @@
 
     def _find_unused(self) -> ClientConnection | None:
         for connection in self.connections:
-            if connection.state is State.CLOSING:
+            if connection.state is ClientState.CLOSING:
                 return connection
             if connection.is_idle() and not connection.has_sent_request:
                 return connection
@@ -142,7 +142,7 @@
     def awaits_first_request(self) -> bool:
         """Whether a connection has sent no request so far."""
         return any(
-            not (connection.has_sent_request or connection.state is State.CLOSING)
+            not (connection.has_sent_request or connection.state is ClientState.CLOSING)
             for connection in self.connections
         )
 
--- a/yardlane/proxy/client_state.py
+++ b/yardlane/proxy/client_state.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from enum import Enum, auto
+from enum import IntEnum, auto
 
 
-class State(Enum):
+class ClientState(IntEnum):
     """Where a client's connection stands."""
 
     ACCEPTED = auto()  # its transport is not up yet
@@ -16,7 +16,7 @@
     CLOSED = auto()  # the transport is lost, or aborted
 
 
-class ConnectionEvent(Enum):
+class ClientEvent(IntEnum):
     """What happens to a client's connection."""
 
     CONNECTED = auto()  # its transport is up
@@ -38,45 +38,45 @@
 #   reset would take the last response from a client that is still reading it. Only ABORTED ends it early.
 # - CLOSED may still see its transport come up: one accepted connection may be aborted to make room for
 #   another before that.
-TRANSITIONS: dict[State, dict[ConnectionEvent, State]] = {
-    State.ACCEPTED: {
-        ConnectionEvent.CONNECTED: State.OPEN,
-        ConnectionEvent.IDLE_CLOSED: State.CLOSED,
-        ConnectionEvent.ABORTED: State.CLOSED,
-        ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
+TRANSITIONS: dict[ClientState, dict[ClientEvent, ClientState]] = {
+    ClientState.ACCEPTED: {
+        ClientEvent.CONNECTED: ClientState.OPEN,
+        ClientEvent.IDLE_CLOSED: ClientState.CLOSED,
+        ClientEvent.ABORTED: ClientState.CLOSED,
+        ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
-    State.OPEN: {
-        ConnectionEvent.LAST_REQUEST_READ: State.LAST_REQUEST,
-        ConnectionEvent.STREAM_BROKEN: State.BROKEN,
-        ConnectionEvent.IDLE_CLOSED: State.CLOSING,
-        ConnectionEvent.CLIENT_LEFT: State.CLOSING,
-        ConnectionEvent.ABORTED: State.CLOSED,
-        ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
+    ClientState.OPEN: {
+        ClientEvent.LAST_REQUEST_READ: ClientState.LAST_REQUEST,
+        ClientEvent.STREAM_BROKEN: ClientState.BROKEN,
+        ClientEvent.IDLE_CLOSED: ClientState.CLOSING,
+        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.ABORTED: ClientState.CLOSED,
+        ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
-    State.LAST_REQUEST: {
-        ConnectionEvent.LAST_REQUEST_READ: State.LAST_REQUEST,
-        ConnectionEvent.STREAM_BROKEN: State.LAST_REQUEST,
-        ConnectionEvent.LAST_RESPONSE_WRITTEN: State.CLOSING,
-        ConnectionEvent.CLIENT_LEFT: State.CLOSING,
-        ConnectionEvent.ABORTED: State.CLOSED,
-        ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
+    ClientState.LAST_REQUEST: {
+        ClientEvent.LAST_REQUEST_READ: ClientState.LAST_REQUEST,
+        ClientEvent.STREAM_BROKEN: ClientState.LAST_REQUEST,
+        ClientEvent.LAST_RESPONSE_WRITTEN: ClientState.CLOSING,
+        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.ABORTED: ClientState.CLOSED,
+        ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
-    State.BROKEN: {
-        ConnectionEvent.STREAM_BROKEN: State.BROKEN,
-        ConnectionEvent.LAST_RESPONSE_WRITTEN: State.CLOSING,
-        ConnectionEvent.CLIENT_LEFT: State.CLOSING,
-        ConnectionEvent.ABORTED: State.CLOSED,
-        ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
+    ClientState.BROKEN: {
+        ClientEvent.STREAM_BROKEN: ClientState.BROKEN,
+        ClientEvent.LAST_RESPONSE_WRITTEN: ClientState.CLOSING,
+        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.ABORTED: ClientState.CLOSED,
+        ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
-    State.CLOSING: {
-        ConnectionEvent.STREAM_BROKEN: State.CLOSING,
-        ConnectionEvent.IDLE_CLOSED: State.CLOSING,
-        ConnectionEvent.CLIENT_LEFT: State.CLOSING,
-        ConnectionEvent.ABORTED: State.CLOSED,
-        ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
+    ClientState.CLOSING: {
+        ClientEvent.STREAM_BROKEN: ClientState.CLOSING,
+        ClientEvent.IDLE_CLOSED: ClientState.CLOSING,
+        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.ABORTED: ClientState.CLOSED,
+        ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
-    State.CLOSED: {
-        ConnectionEvent.CONNECTED: State.CLOSED,
-        ConnectionEvent.TRANSPORT_LOST: State.CLOSED,
+    ClientState.CLOSED: {
+        ClientEvent.CONNECTED: ClientState.CLOSED,
+        ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
 }
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -9,8 +9,9 @@
 from yardlane.config import Address
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import CounterResult
-from yardlane.proxy.counter_connection import PING_INTERVAL_S, US_PER_S, CounterCall, CounterConnection
+from yardlane.proxy.counter_connection import PING_INTERVAL_S, CounterCall, CounterConnection
 from yardlane.proxy.counter_protocol import format_add
+from yardlane.units import US_PER_S
 
 CONNECTIONS = 4
 
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -26,6 +26,7 @@
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.errors import MalformedCounterReply
 from yardlane.proxy.counter_protocol import MAX_LOGGED_BYTES, PING, check_pong, parse_reply
+from yardlane.units import US_PER_S
 
 log = logging.getLogger("yardlane.proxy.counter_connection")
 
@@ -45,7 +46,6 @@
 DRAIN_TIMEOUT_S = 1.5
 # A timer may fire so much early by its rounding: what is due then counts as due.
 TIMER_TOLERANCE_S = 0.0005
-US_PER_S = 1_000_000
 
 
 class CounterCall:
--- a/yardlane/proxy/counter_protocol.py
+++ b/yardlane/proxy/counter_protocol.py
@@ -15,12 +15,12 @@
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import Outcome
 from yardlane.errors import MalformedCounterReply
+from yardlane.units import US_PER_MS
 
 PING = b"ping\r\n"
 # float() takes more than this: 1_0, nan.
 TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,3})?")
 MAX_LOGGED_BYTES = 80
-US_PER_MS = 1_000
 
 
 def format_add(action: AddToCounter) -> bytes:
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -18,13 +18,13 @@
 from yardlane.proxy.discovery_connection import DiscoveryConnection
 from yardlane.proxy.discovery_timing import (
     INITIAL_BACKOFF_S,
-    MS_PER_S,
     RECOVERY_WATCH_TIMEOUT_MS,
     WATCH_TIMEOUT_MS,
     max_backoff_s,
     response_timeout_s,
 )
 from yardlane.proxy.endpoint_decoder import Addresses, DecodedList, EndpointDecoder, parse_json
+from yardlane.units import MS_PER_S
 
 log = logging.getLogger("yardlane.proxy.discovery_client")
 
--- a/yardlane/proxy/discovery_timing.py
+++ b/yardlane/proxy/discovery_timing.py
@@ -7,6 +7,8 @@
 
 from __future__ import annotations
 
+from yardlane.units import MS_PER_S, US_PER_S
+
 # Bounds of the pages. They count from when discovery has the change and can be reached, from when a watch
 # fell silent, or from SIGHUP.
 NOTIFIED_WITHIN_US = 6_000_000
@@ -28,9 +30,6 @@
 # Where the grace is next to nothing, a discovery that answers must still be understood.
 MIN_RESPONSE_TIMEOUT_S = 0.05
 
-MS_PER_S = 1_000
-US_PER_S = 1_000_000
-
 
 def response_timeout_s(drain_grace_us: int) -> float:
     """Seconds for a connection to come up, and for a response that is due."""
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -27,6 +27,7 @@
 from yardlane.config import Address, parse_address
 from yardlane.decisions.events import Endpoint, EndpointListUpdate, EndpointState, UpdateKind
 from yardlane.errors import ConfigError, MalformedEndpoint, MalformedEndpointList
+from yardlane.units import US_PER_MS
 
 log = logging.getLogger("yardlane.proxy.endpoint_decoder")
 
@@ -47,7 +48,6 @@
 # Of zones, and of hardware kinds. Names that are ever new would otherwise fill the memory in a day.
 MAX_NAMES = 64
 MAX_LOGGED_VALUE_CHARS = 60
-US_PER_MS = 1_000
 
 T = TypeVar("T")
 Addresses = dict[bytes, Address]
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -18,7 +18,7 @@
 
 from yardlane.config import Config
 from yardlane.decisions.settings import Idempotency, QuotaPlan, RequestClass
-from yardlane.errors import MalformedRequest
+from yardlane.errors import InvalidRequest
 from yardlane.proxy.client_response import Status
 from yardlane.proxy.request_parser import (
     EXPIRES_IN_HEADER,
@@ -32,6 +32,7 @@
     TRACE_ID_HEADER,
     RequestParser,
 )
+from yardlane.units import US_PER_MS
 
 MAX_TIME_LEFT_US = 3_600_000_000
 TRANSIT_MARGIN_US = 10_000  # the way here and back, and our own turn, out of the client's time
@@ -40,7 +41,8 @@
 QUOTA_INFO_CACHE_SIZE = 512  # few texts recur; the others must not fill the memory
 TENANT_BASE = 16
 TENANT_LIMIT = 2**33
-US_PER_UNIT = {b"m": 1000, b"u": 1}
+# The unit letter of X-Expires-In: `m` is milliseconds, `u` is microseconds.
+US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
 TENANT = re.compile(rb"[0-9a-fA-F]{16}")
 DURATION = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
@@ -142,7 +144,7 @@
 def parse_request(
     message: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
 ) -> ParsedRequest:
-    """The request that `message` holds; raises `MalformedRequest`."""
+    """The request that `message` holds; raises `InvalidRequest`."""
     headers = message.headers
     class_rule = _read_class(headers, rules)
     plan_rule = _read_plan(headers, rules)
@@ -170,8 +172,8 @@
     )
 
 
-def _bad_request(text: str) -> MalformedRequest:
-    return MalformedRequest(Status.BAD_REQUEST, text)
+def _bad_request(text: str) -> InvalidRequest:
+    return InvalidRequest(Status.BAD_REQUEST, text)
 
 
 def _read_class(headers: Mapping[bytes, bytes], rules: RequestRules) -> ClassRule:
@@ -192,7 +194,7 @@
     if HOST_HEADER not in message.headers and message.http_version() == "1.1":
         raise _bad_request("no Host")
     if message.method != rule.method:
-        raise MalformedRequest(
+        raise InvalidRequest(
             Status.METHOD_NOT_ALLOWED,
             f"the class wants {rule.method.decode()}",
             b"Allow: " + rule.method + b"\r\n",
@@ -207,7 +209,7 @@
     if not TOKEN.fullmatch(trace_id):
         raise _bad_request("bad X-Trace-Id")
     if trace_id in open_trace_ids:
-        raise MalformedRequest(Status.CONFLICT, "X-Trace-Id of an open request")
+        raise InvalidRequest(Status.CONFLICT, "X-Trace-Id of an open request")
     return trace_id
 
 
@@ -231,7 +233,7 @@
     duration = DURATION.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
         raise _bad_request("bad X-Expires-In")
-    expires_in_us = float(duration[1]) * US_PER_UNIT[duration[2]]
+    expires_in_us = float(duration[1]) * US_PER_EXPIRES_IN_UNIT[duration[2]]
     if not 0 < expires_in_us <= MAX_TIME_LEFT_US:
         raise _bad_request("bad X-Expires-In")
     return max(1, int(min(expires_in_us, deadline_us)) - TRANSIT_MARGIN_US)
