--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -61,7 +61,7 @@
                     connection.pending.append(ClientRequest(connection))
                     assert connection._apply(event) is (after is not before)
                     assert connection.state is after
-                    fault = f"a client connection in state {before.name} met event {event.name}"
+                    fault = f"unexpected event {event.name} in state {before.name} of a client connection"
                     assert lines == ([fault] if cell == NEVER else [])
                     lines.clear()
                     ends = after is not before and after in (ClientState.CLOSING, ClientState.CLOSED)
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
+import pytest
+
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.proxy.counter_connection import (
     DEAD_AFTER_TIMEOUTS,
@@ -36,6 +38,9 @@
         self.tasks += 1
         return object()
 
+    async def create_connection(self, *_: object) -> None:
+        raise TimeoutError  # without a text, as `asyncio.timeout` raises it
+
     def advance(self, seconds: float) -> None:
         end_s = self.now_s + seconds
         while self.timers and self.timers[0][0] <= end_s:
@@ -101,6 +106,16 @@
     assert counter.loop.tasks == 2
 
 
+def test_a_connect_that_times_out_is_logged_with_its_reason(caplog: pytest.LogCaptureFixture) -> None:
+    """The counter's host answers nothing at all, so connecting times out with an error that has no text. The
+    line in the log must still say what happened."""
+    counter = ConnectionOnManualClock()
+    counter.call()
+    asyncio.run(counter.connection._connect())
+    assert counter.outcomes() == [Outcome.NOT_CONNECTED]
+    assert caplog.messages == ["counter: cannot be reached: timed out"]
+
+
 def test_a_call_that_was_not_written_in_time_is_never_written() -> None:
     """The connection comes up after a call has timed out. Its result said that nothing was added, so it must
     not be written any more."""
@@ -133,10 +148,10 @@
     counter.call()
     transport = counter.connect()
     counter.loop.advance(TIMEOUT_S * (DEAD_AFTER_TIMEOUTS - 1))
-    counter.connection.ping_if_idle()
+    counter.connection.check_alive()
     assert counter.outcomes() == [Outcome.TIMED_OUT] and not transport.is_closed
     counter.loop.advance(TIMEOUT_S * 1.1)
-    counter.connection.ping_if_idle()
+    counter.connection.check_alive()
     assert transport.is_closed
     assert counter.outcomes() == [Outcome.TIMED_OUT]  # one result, not two
 
@@ -148,10 +163,10 @@
     transport = counter.connect()
     counter.connection.data_received(b"ok 1\r\n")
     counter.loop.advance(PING_INTERVAL_S * 0.9)
-    counter.connection.ping_if_idle()
+    counter.connection.check_alive()
     assert not transport.written.endswith(b"ping\r\n")
     counter.loop.advance(PING_INTERVAL_S * 0.2)
-    counter.connection.ping_if_idle()
+    counter.connection.check_alive()
     assert transport.written.endswith(b"ping\r\n")
     counter.connection.data_received(b"pong\r\n")
     counter.call(2)
@@ -167,7 +182,7 @@
     transport = counter.connect()
     counter.connection.data_received(b"ok 1\r\n")
     counter.loop.advance(PING_INTERVAL_S * 1.1)
-    counter.connection.ping_if_idle()
+    counter.connection.check_alive()
     counter.connection.data_received(b"ok 2\r\n")
     assert transport.is_closed
     assert [result.total for result in counter.results] == [1.0]
--- a/tests/proxy/test_discovery_connection.py
+++ b/tests/proxy/test_discovery_connection.py
@@ -7,7 +7,7 @@
 
 from tests.discovery_responses import ENDLESS_HEAD
 from tests.loopback import Peer, answer, read_message, socket_test
-from yardlane.errors import DiscoveryError
+from yardlane.errors import DiscoveryError, DiscoveryUnreachable
 from yardlane.proxy.discovery_connection import DiscoveryConnection
 
 
@@ -87,7 +87,7 @@
         request = connection.get(b"/catalog/members")
         _, writer = await discovery.connection()
         writer.transport.abort()
-        with pytest.raises(ConnectionResetError):
+        with pytest.raises(DiscoveryUnreachable):
             await request
-        with pytest.raises(ConnectionResetError):
+        with pytest.raises(DiscoveryUnreachable):
             await connection.get(b"/catalog/members")
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -122,7 +122,7 @@
 
 
 def test_sighup_reads_the_file_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """First a file that is no JSON: the old configuration goes on. Then one with another discovery: it is
+    """First a file that is no JSON: the old configuration is kept. Then one with another discovery: it is
     used. At last SIGHUP comes during the graceful shutdown, which goes on to its end."""
     path = tmp_path / "config.json"
 
@@ -135,7 +135,7 @@
             await old.connection()  # it has started
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
-            while b"the old configuration goes on" not in await process.stderr.readline():
+            while b"keeping the old configuration" not in await process.stderr.readline():
                 pass
             path.write_text(json.dumps(configuration(new, counter, listen=listen)))
             process.send_signal(signal.SIGHUP)
--- a/yardlane/descriptors.py
+++ b/yardlane/descriptors.py
@@ -2,7 +2,8 @@
 
 A process without a free descriptor can accept nobody and connect nowhere. If clients could take all of them,
 discovery and the upstreams would be shut out for as long as the clients stay. So each kind of connection has
-a limit, and with what the process itself needs the limits stay under the descriptors that it may hold.
+a limit, and with what the process itself needs the limits stay under the descriptors that it may hold (but
+see `divide` for a process that may hold next to none).
 """
 
 from __future__ import annotations
@@ -28,7 +29,11 @@
 
 
 def divide(descriptors: int) -> ConnectionLimits:
-    """Even halves: requests come from a third of all, and each of them may need an upstream connection."""
+    """Even halves: requests come from a third of all, and each of them may need an upstream connection.
+
+    Under `RESERVED_DESCRIPTORS + MIN_CONNECTIONS` descriptors the limits are those of `MIN_CONNECTIONS`, so
+    they may add up to more than there are: the process can then run out of descriptors.
+    """
     connections = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
     clients = connections // 2
     return ConnectionLimits(clients, connections - clients)
@@ -40,6 +45,8 @@
     if allowed == resource.RLIM_INFINITY or configured <= allowed:
         return configured
     log.warning(
-        "limits.sockets is %d, but this process may hold %d descriptors: using these", configured, allowed
+        "limits.sockets is %d, but this process may hold %d descriptors: using the lower limit",
+        configured,
+        allowed,
     )
     return allowed
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -50,6 +50,13 @@
     """A poll of discovery that brought no endpoint list, though the connection held."""
 
 
+class DiscoveryUnreachable(YardlaneError):
+    """No connection to discovery came up, or it ended or timed out before the response was whole.
+
+    It says nothing about the list: the version that we have still holds.
+    """
+
+
 class MalformedEndpointList(DiscoveryError):
     """A response that cannot be read as an endpoint list, or does not follow the one before."""
 
--- a/yardlane/log.py
+++ b/yardlane/log.py
@@ -10,7 +10,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets `LINES_PER_S` lines pass in each second and counts the others; the next second's first line says
+    """Lets `LINES_PER_S` lines pass in each second and drops the others; the next line that is written says
     how many were dropped.
 
     It guards against a flood of failures, each with its line: writing them would take the processor that the
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -72,11 +72,14 @@
     # The state
 
     def _apply(self, event: ClientEvent) -> bool:
-        """Change the state by the table; whether it did change."""
+        """Change the state by the table; True only if it changed.
+
+        False also for an event that leaves the state as it is, and for one that the state must never meet.
+        """
         before = self.state
         after = TRANSITIONS[before].get(event)
         if after is None:
-            log.error("a client connection in state %s met event %s", before.name, event.name)
+            log.error("unexpected event %s in state %s of a client connection", event.name, before.name)
             return False
         if after is before:
             return False
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -34,7 +34,7 @@
         self.on_result = on_result
         self.loop = loop
         self.connections = self._make_connections()
-        loop.call_later(PING_INTERVAL_S / 2, self._ping)
+        loop.call_later(PING_INTERVAL_S / 2, self._check_connections)
 
     def add(self, action: AddToCounter) -> None:
         """Start a call."""
@@ -61,7 +61,7 @@
         index = zlib.crc32(b"%x" % call.key) % CONNECTIONS
         self.connections[index].send(call)
 
-    def _ping(self) -> None:
-        self.loop.call_later(PING_INTERVAL_S / 2, self._ping)
+    def _check_connections(self) -> None:
+        self.loop.call_later(PING_INTERVAL_S / 2, self._check_connections)
         for connection in self.connections:
-            connection.ping_if_idle()
+            connection.check_alive()
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -49,7 +49,11 @@
 
 
 class CounterCall:
-    """A call from its start to its answer. A ping has no key, and nobody awaits its result."""
+    """A call from its start to its answer. A ping has no key, and nobody awaits its result.
+
+    `has_result` says that `on_result` has had the call's result, or must get none: it is true of a ping from
+    the start, so that no end of a connection reports one.
+    """
 
     __slots__ = ("has_result", "is_ping", "is_written", "key", "line", "started_at_s")
 
@@ -112,8 +116,8 @@
             left_s = call.started_at_s + self.timeout_s - self.loop.time()
             self.call_timer = self.loop.call_later(max(0.0, left_s), self._time_out_calls)
 
-    def ping_if_idle(self) -> None:
-        """Keep the counter from closing an idle connection; drop one that is dead."""
+    def check_alive(self) -> None:
+        """Drop the connection if it is dead; ping if it is idle, as the counter would close it."""
         if self.transport is None:
             return
         now_s = self.loop.time()
@@ -158,7 +162,7 @@
             async with asyncio.timeout(max(MIN_CONNECT_TIMEOUT_S, self.timeout_s)):
                 await self.loop.create_connection(lambda: self, *self.address)
         except (OSError, TimeoutError) as error:
-            self._drop(f"cannot be reached: {error or 'timed out'}")
+            self._drop(f"cannot be reached: {str(error) or 'timed out'}")
         finally:
             self.connect_task = None
 
@@ -182,7 +186,10 @@
             self._drop(f"connection ended: {exc or 'closed'}")
 
     def _drop(self, reason: str) -> None:
-        """Close the connection; every call on it ends. A failure is logged once until an answer comes."""
+        """Close the connection; every call on it ends.
+
+        A failure is logged once until an answer comes; `reason` is the text of that line and decides nothing.
+        """
         if not (self.is_failing or self.is_closing):
             self.is_failing = True
             log.warning("counter: %s", reason)
@@ -234,7 +241,9 @@
             raise
         self._note_answer()
         if reply.is_error:
-            log.warning("counter: %s to %s", line, call.line)
+            log.warning(
+                "counter answered %r to call %r", line[:MAX_LOGGED_BYTES], call.line[:MAX_LOGGED_BYTES]
+            )
         self._finish(call, reply.outcome, reply.total)
 
     def _note_answer(self) -> None:
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -14,7 +14,7 @@
 
 from yardlane.config import Address, Config
 from yardlane.decisions.events import EndpointListUpdate, UpdateKind
-from yardlane.errors import DiscoveryError, MalformedEndpointList
+from yardlane.errors import DiscoveryError, DiscoveryUnreachable, MalformedEndpointList
 from yardlane.proxy.discovery_connection import DiscoveryConnection
 from yardlane.proxy.discovery_timing import (
     INITIAL_BACKOFF_S,
@@ -55,7 +55,11 @@
         self.task: asyncio.Task[None] | None = None
 
     def load_cached(self) -> None:
-        """Pass on the list that the configuration brought; an empty one where that cannot be read."""
+        """Pass on the list that the configuration brought; an empty one where that cannot be read.
+
+        A configuration without a list (no `known`) is such a case as well, with the same line in the log:
+        "cached list ignored: no list of members".
+        """
         try:
             decoded = self.decoder.decode(self.cached_list, UpdateKind.CACHED)
         except MalformedEndpointList as error:
@@ -96,11 +100,11 @@
                 self.watch_timeout_ms = WATCH_TIMEOUT_MS
 
     def _poll_failed(self, error: Exception) -> None:
-        is_network_error = isinstance(error, OSError | TimeoutError)
+        is_network_error = isinstance(error, OSError | DiscoveryUnreachable)
         if is_network_error or isinstance(error, DiscoveryError):
-            log.warning("discovery: %.200s", str(error) or "timed out")
+            log.warning("discovery: %.200s", error)
         else:
-            log.exception("discovery")
+            log.exception("discovery: a poll failed by an error of this program")
         if not is_network_error:
             self.version = NO_VERSION
         if self.connection is not None:
@@ -117,7 +121,7 @@
         base_version = self.version
         body = await self._request(connection, base_version)
         decoded = self.decoder.decode(parse_json(body))
-        is_new = self._apply(decoded, base_version)
+        is_new = self._take_over(decoded, base_version)
         # A discovery that answers every watch at once, with nothing new, must not take the processor.
         if not is_new and loop.time() < started_at_s + INITIAL_BACKOFF_S:
             await asyncio.sleep(INITIAL_BACKOFF_S)
@@ -125,13 +129,15 @@
     async def _usable_connection(self) -> DiscoveryConnection:
         if self.connection is not None and self.connection.is_usable():
             return self.connection
-        async with asyncio.timeout(self.response_timeout_s):
-            connection = DiscoveryConnection(self.address)
-            self.connection = connection  # before it is up, so that `stop` can close it
-            try:
+        connection = DiscoveryConnection(self.address)
+        self.connection = connection  # before it is up, so that `stop` can close it
+        try:
+            async with asyncio.timeout(self.response_timeout_s):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
-            except ValueError as error:  # a host that cannot be a name
-                raise DiscoveryError(f"no address: {error}") from None
+        except TimeoutError:
+            raise DiscoveryUnreachable("timed out while connecting") from None
+        except ValueError as error:  # a host that cannot be a name
+            raise DiscoveryError(f"no address: {error}") from None
         return connection
 
     async def _request(self, connection: DiscoveryConnection, base_version: int) -> bytearray:
@@ -144,11 +150,17 @@
         if base_version != NO_VERSION:
             wait_ms = self.watch_timeout_ms
             path += b"?index=%d&wait=%d" % (base_version, wait_ms)
-        async with asyncio.timeout(self.response_timeout_s + wait_ms / MS_PER_S):
-            return await connection.get(path)
+        try:
+            async with asyncio.timeout(self.response_timeout_s + wait_ms / MS_PER_S):
+                return await connection.get(path)
+        except TimeoutError:
+            raise DiscoveryUnreachable("timed out while waiting for a response") from None
+
+    def _take_over(self, decoded: DecodedList, base_version: int) -> bool:
+        """Take over a response and pass on its update; whether the next poll may follow at once.
 
-    def _apply(self, decoded: DecodedList, base_version: int) -> bool:
-        """Take over a response and pass on its update. False where it brought nothing new or is ambiguous."""
+        It may not where the response brought nothing new or is ambiguous.
+        """
         update = decoded.update
         is_delta = update.kind is UpdateKind.DELTA
         if is_delta and base_version == NO_VERSION:
--- a/yardlane/proxy/discovery_connection.py
+++ b/yardlane/proxy/discovery_connection.py
@@ -8,7 +8,7 @@
 import httptools
 
 from yardlane.config import Address
-from yardlane.errors import DiscoveryError
+from yardlane.errors import DiscoveryError, DiscoveryUnreachable
 
 MAX_BODY_BYTES = 8_000_000
 HTTP_OK = 200
@@ -17,7 +17,7 @@
 class DiscoveryConnection(asyncio.Protocol):
     """A connection that is reused until either side ends it.
 
-    A request fails with ConnectionResetError where the connection ends first, and with DiscoveryError where
+    A request fails with DiscoveryUnreachable where the connection ends first, and with DiscoveryError where
     the response is not HTTP, has another status than 200 or a body over `MAX_BODY_BYTES`. After either the
     connection is closed.
     """
@@ -34,7 +34,7 @@
     def get(self, path: bytes) -> asyncio.Future[bytearray]:
         """Send a request; the body of its response."""
         if self.transport is None:  # it was lost in the same turn of the loop in which it came up
-            raise ConnectionResetError("connection ended")
+            raise DiscoveryUnreachable("connection ended")
         self.body = bytearray()
         self.response = asyncio.get_running_loop().create_future()
         self.transport.write(b"GET " + path + b" HTTP/1.1\r\nHost: " + self.host_header + b"\r\n\r\n")
@@ -63,7 +63,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """It has ended, by either side."""
         self.transport = None
-        self._fail(ConnectionResetError("connection ended"))
+        self._fail(DiscoveryUnreachable("connection ended"))
 
     def data_received(self, data: bytes) -> None:
         """Bytes of a response, which the parser takes apart."""
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -77,7 +77,7 @@
         try:
             config = load(os.environ, is_reload=True)
         except ConfigError as error:
-            log.error("the old configuration goes on: %s", error.one_line())
+            log.error("keeping the old configuration: %s", error.one_line())
             return
         log.info(
             "configuration read again: discovery %s:%d, counter %s:%d",
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -1,7 +1,7 @@
 """The simulator's command: standard input to standard output, one `Gateway` for each instance on the wire.
 
 Exit codes: 0 at the end of the input, 2 for input or settings that are malformed, with one plain line on
-standard error. A decision that raises is reported on the wire, and ends the day there.
+standard error. A decision that raises is reported on the wire, and ends the simulation there.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         for instance, events in events_by_instance.items():
             try:
                 actions = self.gateways[instance].handle(clock_us, events)
-            except Exception as error:  # whatever it is: the day ends with its text
+            except Exception as error:  # whatever it is: the simulation ends with its text
                 records.append(encode_exception(instance, f"{type(error).__name__}: {error}"))
                 break
             records += [encode_action(instance, action) for action in actions]
@@ -76,7 +76,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except YardlaneError as error:
-        print(f"yardlane: {error}", file=sys.stderr)
+        print("yardlane:", error.one_line(), file=sys.stderr)
         return EXIT_MALFORMED_INPUT
     return EXIT_END_OF_INPUT
 
