--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -78,7 +78,15 @@
 
 @pytest.mark.parametrize(
     "page",
-    ["README.md", "DEVELOPERS.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md"],
+    [
+        "README.md",
+        "DEVELOPERS.md",
+        "docs/architecture.md",
+        "docs/design.md",
+        "docs/glossary.md",
+        "docs/open.md",
+        "docs/measurements.md",
+    ],
 )
 def test_the_modules_that_a_page_names_exist(page: str) -> None:
     text = (ROOT / page).read_text()
