--- a/tests/decisions/test_rate_ceiling.py
+++ b/tests/decisions/test_hard_rate.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from tests.gateway_driver import CEILED, MS, IDEMPOTENT, SECOND, GatewayDriver, make_quota_plan, of_type
+from tests.gateway_driver import HARD_RATED, MS, IDEMPOTENT, SECOND, GatewayDriver, make_quota_plan, of_type
 from yardlane.decisions.actions import Action, AddToCounter, StartAttempt
 from yardlane.decisions.events import CounterResult, Outcome, RequestArrived
 from yardlane.decisions.quota import TenantDemand
-from yardlane.decisions.rate_ceiling import RateCeiling, compute_even_share
+from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
 
 PLAN = make_quota_plan(
     rate_per_s=6.5, burst=13.0, hard_rate_per_s=13.0, hard_rate_depth=19.0, hard_rate_slack=2.0
@@ -218,11 +218,11 @@
     driver = GatewayDriver(gateway_count=10, quota_plans=(TEN_GATEWAYS_PLAN,))
     ask_steadily(driver, 4, 200 * MS)
     assert ask_steadily(driver, 10, 200 * MS) > 40  # alone it is asked 5 units a second of a quota of 6
-    ceiling = driver.gateway.tenants[4, 0].ceiling
-    assert ceiling.rate_share(driver.now) > 0.3  # three even shares
+    bucket = driver.gateway.tenants[4, 0].hard_rate
+    assert bucket.rate_share(driver.now) > 0.3  # three even shares
     driver.counter_answers = False
     driver.run(20 * SECOND)
-    assert ceiling.rate_share(driver.now) < 0.11
+    assert bucket.rate_share(driver.now) < 0.11
 
 
 def test_a_hard_rate_holds_over_ten_gateways_whose_demand_moves() -> None:
@@ -261,14 +261,14 @@
 
 def test_the_bucket_fills_by_its_share_and_never_beyond_its_depth() -> None:
     demand = TenantDemand(PLAN, gateway_count=2, counter_timeout_us=COUNTER_TIMEOUT_US, now_us=0)
-    ceiling = RateCeiling(PLAN, demand, even_share=0.5, uptime_us=0, now_us=0)
-    assert ceiling.units == 0.5 * PLAN.hard_rate_slack / 2
-    ceiling.refill(SECOND)
-    assert ceiling.units == pytest.approx(0.5 + 0.5 * PLAN.hard_rate_per_s)
-    assert not ceiling.is_full()
-    assert ceiling.time_to_fill_us(1.3, SECOND) == pytest.approx(200 * MS, abs=1)
-    ceiling.refill(60 * SECOND)
-    assert ceiling.units == 0.5 * PLAN.hard_rate_depth and ceiling.is_full()
+    bucket = HardRateBucket(PLAN, demand, even_share=0.5, uptime_us=0, now_us=0)
+    assert bucket.units == 0.5 * PLAN.hard_rate_slack / 2
+    bucket.refill(SECOND)
+    assert bucket.units == pytest.approx(0.5 + 0.5 * PLAN.hard_rate_per_s)
+    assert not bucket.is_full()
+    assert bucket.time_to_fill_us(1.3, SECOND) == pytest.approx(200 * MS, abs=1)
+    bucket.refill(60 * SECOND)
+    assert bucket.units == 0.5 * PLAN.hard_rate_depth and bucket.is_full()
 
 
 def test_a_hard_rate_holds_over_restarts_without_a_counter() -> None:
@@ -276,7 +276,7 @@
     for _ in range(3):
         driver = GatewayDriver(has_shared_counter=False)
         for _ in range(40):
-            _, actions = driver.ask(quota_plan=CEILED)
+            _, actions = driver.ask(quota_plan=HARD_RATED)
             forwarded += bool(of_type(StartAttempt, actions))
     assert forwarded <= 3
 
@@ -284,7 +284,7 @@
 def test_a_bucket_fills_at_this_gateways_share_of_the_hard_rate() -> None:
     driver = GatewayDriver()
     for _ in range(40):
-        driver.ask(quota_plan=CEILED)
+        driver.ask(quota_plan=HARD_RATED)
     driver.run(SECOND)
     forwarded = {action.request_id for _, action in driver.log if isinstance(action, StartAttempt)}
     assert 1 <= len(forwarded) <= 3
@@ -292,5 +292,5 @@
 
 def test_a_gateway_that_does_not_serve_a_tenant_forwards_nothing_of_a_hard_rate() -> None:
     driver = GatewayDriver(rank=2)
-    actions = driver.give(RequestArrived(1, 4, CEILED, IDEMPOTENT, SECOND, 1.0, 0, 2))
+    actions = driver.give(RequestArrived(1, 4, HARD_RATED, IDEMPOTENT, SECOND, 1.0, 0, 2))
     assert not of_type(StartAttempt, actions)
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -16,7 +16,16 @@
 
 from hypothesis import given, settings, strategies
 
-from tests.gateway_driver import CEILED, CLASSES, MS, PLANS, IDEMPOTENT, SECOND, GatewayDriver, make_endpoint
+from tests.gateway_driver import (
+    HARD_RATED,
+    CLASSES,
+    MS,
+    PLANS,
+    IDEMPOTENT,
+    SECOND,
+    GatewayDriver,
+    make_endpoint,
+)
 from yardlane.decisions.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, Outcome, RequestEnded, UpdateKind
 from yardlane.decisions.settings import Idempotency
@@ -63,7 +72,7 @@
         self.endpoint_states: dict[bytes, EndpointState] = {}
         self.endpoint_zones: dict[bytes, int] = {}
         # This gateway's part of the hard rate's token bucket: a third, as there are three gateways.
-        self.hard_rate_units = PLANS[CEILED].hard_rate_slack / 3
+        self.hard_rate_units = PLANS[HARD_RATED].hard_rate_slack / 3
         self.hard_rate_at_us = driver.now
 
     def check_new_actions(self) -> None:
@@ -93,7 +102,7 @@
         if not self.driver.settings.may_hedge:
             assert not any(attempt.in_flight for attempt in request.attempts)
         assert self.endpoint_states[action.endpoint_id] is EndpointState.READY
-        if request.plan == CEILED and not request.attempts:
+        if request.plan == HARD_RATED and not request.attempts:
             self._check_hard_rate(at_us)
         request.attempts.append(SentAttempt(at_us, action.endpoint_id))
 
@@ -107,8 +116,8 @@
             assert at_us - first.sent_at_us < request_class.idempotency_window_us
 
     def _check_hard_rate(self, at_us: int) -> None:
-        depth = PLANS[CEILED].hard_rate_depth / 3
-        units_per_s = PLANS[CEILED].hard_rate_per_s / 3
+        depth = PLANS[HARD_RATED].hard_rate_depth / 3
+        units_per_s = PLANS[HARD_RATED].hard_rate_per_s / 3
         filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_at_us) / SECOND
         self.hard_rate_units = min(depth, filled) - 1.0
         self.hard_rate_at_us = at_us
--- a/tests/decisions/test_tenant.py
+++ b/tests/decisions/test_tenant.py
@@ -1,19 +1,19 @@
 """Which tenants a gateway keeps, and that they are kept apart."""
 
-from tests.gateway_driver import CEILED, MS, RATED, SECOND, GatewayDriver
+from tests.gateway_driver import HARD_RATED, MS, RATED, SECOND, GatewayDriver
 
 
 def test_an_idle_tenant_is_forgotten_only_once_its_part_of_the_hard_rate_is_full() -> None:
     driver = GatewayDriver()
     driver.run(5 * SECOND)
-    assert driver.serve(tenant=6, quota_plan=CEILED)
+    assert driver.serve(tenant=6, quota_plan=HARD_RATED)
     driver.serve(tenant=5, quota_plan=RATED)
     driver.run(21 * SECOND)
-    ceiling = driver.gateway.tenants[6, CEILED].ceiling
-    ceiling.refill(driver.now)
-    ceiling.units = -3.0  # below its part for some seconds more
+    bucket = driver.gateway.tenants[6, HARD_RATED].hard_rate
+    bucket.refill(driver.now)
+    bucket.units = -3.0  # below its part for some seconds more
     driver.serve(tenant=7, quota_plan=RATED)
-    assert set(driver.gateway.tenants) == {(6, CEILED), (5, RATED), (7, RATED)}
+    assert set(driver.gateway.tenants) == {(6, HARD_RATED), (5, RATED), (7, RATED)}
     driver.run(19 * SECOND)
     driver.serve(tenant=7, quota_plan=RATED)
     assert set(driver.gateway.tenants) == {(7, RATED)}
@@ -24,7 +24,7 @@
     driver = GatewayDriver(gateway_count=2)
     driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
     for number in range(2, 1500):
-        driver.serve(tenant=number, quota_plan=(RATED, CEILED)[number % 2], gateway_count=2)
+        driver.serve(tenant=number, quota_plan=(RATED, HARD_RATED)[number % 2], gateway_count=2)
         driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
         driver.run(100 * MS)
     assert len(driver.gateway.tenants) <= 210  # those of the last 20 s and the regular one
@@ -34,9 +34,9 @@
 
 def test_a_request_that_names_another_plan_leaves_the_tenants_plan_alone() -> None:
     driver = GatewayDriver()
-    driver.serve(tenant=9, quota_plan=CEILED, units=1.0)
+    driver.serve(tenant=9, quota_plan=HARD_RATED, units=1.0)
     driver.serve(tenant=9, quota_plan=RATED)
     assert [tenant.plan for tenant in driver.gateway.tenants.values()] == [
-        driver.settings.quota_plans[CEILED],
+        driver.settings.quota_plans[HARD_RATED],
         driver.settings.quota_plans[RATED],
     ]
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -26,7 +26,7 @@
 MS = 1_000
 SECOND = 1_000_000
 IDEMPOTENT, KEYED, NON_IDEMPOTENT = 0, 1, 2
-FREE, RATED, CAPPED, CEILED = 0, 1, 2, 3
+FREE, RATED, CAPPED, HARD_RATED = 0, 1, 2, 3
 
 
 def make_request_class(
--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -83,4 +83,4 @@
     """When to look again at a queue whose first request lacks units of the hard rate, or an endpoint."""
     if missing_units <= 0.0:
         return NO_ENDPOINT_RETRY_US
-    return NO_ENDPOINT_RETRY_US + tenant.ceiling.time_to_fill_us(missing_units, now_us)
+    return NO_ENDPOINT_RETRY_US + tenant.hard_rate.time_to_fill_us(missing_units, now_us)
--- a/yardlane/decisions/attempt_record.py
+++ b/yardlane/decisions/attempt_record.py
@@ -15,15 +15,15 @@
     that timed out or lost its connection may have taken effect.
     """
 
-    __slots__ = ("endpoint", "in_flight", "may_have_run", "sent_at_us")
+    __slots__ = ("endpoint", "is_in_flight", "may_have_run", "sent_at_us")
 
     def __init__(self, endpoint: EndpointRecord, sent_at_us: int) -> None:
         self.endpoint = endpoint
         self.sent_at_us = sent_at_us
-        self.in_flight = True
+        self.is_in_flight = True
         self.may_have_run = True
 
     def end(self, outcome: Outcome) -> None:
         """Note how the attempt ended."""
-        self.in_flight = False
+        self.is_in_flight = False
         self.may_have_run = outcome not in NEVER_RAN
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -2,15 +2,15 @@
 
 Queues in front of the endpoints cost the latency objective of every request behind them; requests wait in
 the gateway instead, where they can still be rejected. The endpoints do not say how many attempts they bear,
-so the limit is adaptive. An answer within `GOOD_LATENCY_SHARE` of its class's latency objective widens it,
+so the limit is adaptive. A response within `GOOD_LATENCY_SHARE` of its class's latency objective widens it,
 a later one narrows it. The steps get smaller away from `base_limit` and larger towards it, so the limit
-settles: at about `base_limit` while half of the answers are late, at twice that while a fifth is.
+settles: at about `base_limit` while half of the responses are late, at twice that while a fifth is.
 
 `base_limit` is `ATTEMPTS_PER_ENDPOINT` for each endpoint that is ready, divided by the number of gateways.
 In a large set that is less than one: there the limit is kept by pacing, an attempt each mean service time /
 limit.
 
-A class whose answers earn more for their service time than the mean (`service_time.py`) gets a wider limit,
+A class whose responses earn more for their service time than the mean (`service_time.py`) gets a wider limit,
 up to `CLASS_FAVOUR` times as wide, and one that earns less a narrower one.
 """
 
@@ -62,8 +62,8 @@
         """Count the end of an attempt."""
         self.in_flight -= 1
 
-    def record_answer(self, elapsed_us: int, latency_objective_us: int) -> None:
-        """Adapt the limit to the time of an answer."""
+    def record_response(self, elapsed_us: int, latency_objective_us: int) -> None:
+        """Adapt the limit to the time of a response."""
         relative_limit = self.limit / self.base_limit
         if elapsed_us > GOOD_LATENCY_SHARE * latency_objective_us:
             step = -min(self.limit, relative_limit)
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -1,7 +1,7 @@
 """When this gateway polls the shared counter for a tenant, under which key, and how it backs off.
 
 A poll adds the tenant's unreported demand to a count that all gateways share, and reads the total in the
-same call. The request that causes it waits for the answer, and is admitted by the new total
+same call. The request that causes it waits for the reply, and is admitted by the new total
 (`admission.py`).
 
 **When.** With a valid total, a tenant is polled once the total is older than one decay time. In a fleet of
@@ -10,11 +10,11 @@
 total each request polls. Polls are made only for a plan that has a quota, and if there is a counter.
 
 **Backoff.** A counter serves its calls in turn, also those that nobody waits for any longer. Gateways that
-poll a little more than it bears would therefore keep it late for good, and all its answers would time out.
+poll a little more than it bears would therefore keep it late for good, and all its replies would time out.
 So each late, rejected or lost poll raises the backoff factor, by which the time between polls is
 multiplied, and each prompt one lowers it. Where every request polls, only one in so many does; its amount
 is multiplied instead, to stand for those that were not made. The factors balance with 3 in 10 polls late,
-or 2 in 5 lost. The factor also decays with time: with so few polls made, few answers could show that the
+or 2 in 5 lost. The factor also decays with time: with so few polls made, few replies could show that the
 counter is well again.
 
 **Counts.** A tenant's count has a new key for each period of several decay times, so that the counter can
@@ -46,7 +46,7 @@
 LOST_FACTOR = 1.15  # less than for a late one: a lost poll need not show load
 PROMPT_FACTOR = 0.9
 BACKOFF_DECAY_US = 10 * SECOND_US
-LATE_SHARE = 0.5  # of the counter's time-out: an answer that takes longer is late
+LATE_SHARE = 0.5  # of the counter's time-out: a reply that takes longer is late
 
 PERIOD_DECAY_TIMES = 8
 LONGEST_PERIOD_US = 50 * SECOND_US
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class PendingCall:
-    """A poll without an answer yet, the request that waits for it, and the demand that it reports."""
+    """A poll without a reply yet, the request that waits for it, and the demand that it reports."""
 
     request: Request
     reported_demand: float
--- a/yardlane/decisions/events.py
+++ b/yardlane/decisions/events.py
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """An answer began to flow to the client: that is the final one, whatever comes of it."""
+    """A response began to flow to the client: it is the final answer, whatever comes of it."""
 
     request_id: int
     attempt_index: int
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class RequestEnded:
-    """A request ended by no decision: mostly, its client disconnected. It gets no answer any more."""
+    """A request ended by no decision: mostly, its client disconnected. It gets no final answer."""
 
     request_id: int
 
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -4,7 +4,7 @@
 
 1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first.
 2. `admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`).
-3. It leaves the queue once the tenant's concurrency bound, the hard rate (`rate_ceiling`) and the limit on
+3. It leaves the queue once the tenant's concurrency bound, the hard rate (`hard_rate`) and the limit on
    all attempts (`concurrency`) allow it, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
 4. Its attempts end, or are overdue: `outliers`, `service_time` and `concurrency` learn from that, and
    `retries` says whether another attempt may follow, and else what the final answer is.
@@ -134,11 +134,11 @@
         tenant = self._find_tenant(event)
         request = Request(event, tenant, self.now_us, self.settings.tick_us)
         self.requests[event.request_id] = request
-        request_class = self.settings.request_classes[request.request_class]
+        request_class = self.settings.request_classes[request.class_index]
         service_time_us = self._mean_service_time_us(request)
         queueing_us = admission.longest_queueing_us(request_class, service_time_us, event.time_left_us)
-        self._schedule_answer(request, min(request.answer_by_us, self.now_us + queueing_us))
-        self.service_times.record_arrival(request.request_class)
+        self._schedule_final_answer(request, min(request.final_answer_by_us, self.now_us + queueing_us))
+        self.service_times.record_arrival(request.class_index)
         weight = admission.demand_weight(tenant.plan, request.units, service_time_us)
         capacity = admission.capacity(tenant, request.units, service_time_us)
         tenant.demand.add(weight, self.now_us)
@@ -167,17 +167,17 @@
             service_time_us = self._mean_service_time_us(request)
             capacity = admission.capacity(request.tenant, request.units, service_time_us)
             request.tenant.apply_total(result.total, call.period_index, capacity, self.now_us)
-        if not request.ended:
+        if not request.has_ended:
             self._admit(request)
 
     def _admit(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
         if not admission.admit(tenant, request.units, self._mean_service_time_us(request), self.now_us):
-            self._answer(request)
+            self._reject_or_fail(request)
             return
         tenant.queue.append(request)
-        request.queued = True
+        request.is_queued = True
         self._release(tenant)
 
     def _release(self, tenant: Tenant) -> None:
@@ -190,7 +190,7 @@
                 self._release_later(tenant, missing_units)
                 return
             del tenant.queue[0]
-            request.queued = False
+            request.is_queued = False
             service_time_us = self._mean_service_time_us(request)
             weight = admission.demand_weight(tenant.plan, request.units, service_time_us)
             tenant.record_first_attempt(request.units, weight)
@@ -208,7 +208,7 @@
     # Attempts
 
     def _choose_endpoint(self, request: Request) -> EndpointRecord | None:
-        value = self.service_times.relative_value(request.request_class)
+        value = self.service_times.relative_value(request.class_index)
         if not self.concurrency.admits(value, self._mean_service_time_us(request), self.now_us):
             return None
         candidates = self.retries.candidates(request, self.endpoints)
@@ -231,7 +231,7 @@
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
         """Hedge, or cancel if a retry could go now: the end of a cancelled attempt causes it."""
-        if not attempt.in_flight:
+        if not attempt.is_in_flight:
             return
         self.outliers.record_overdue(attempt)
         if self.settings.may_hedge:
@@ -247,10 +247,10 @@
         if attempt is None:
             return
         self._record_end(request, attempt, event)
-        if event.request_ended or request.ended:
+        if event.request_ended or request.has_ended:
             self._end(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
-            self._answer(request)
+            self._reject_or_fail(request)
         self._release(request.tenant)
 
     def _record_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
@@ -264,10 +264,10 @@
         service_time_us = self._mean_service_time_us(request)
         if event.outcome is Outcome.OK:
             endpoint.last_success_at_us = self.now_us
-            request_class = self.settings.request_classes[request.request_class]
-            self.concurrency.record_answer(event.elapsed_us, request_class.latency_objective_us)
-            self.outliers.record_answer(attempt, plan, event.elapsed_us, service_time_us)
-            self.service_times.record_answer(request.request_class, event.elapsed_us)
+            request_class = self.settings.request_classes[request.class_index]
+            self.concurrency.record_response(event.elapsed_us, request_class.latency_objective_us)
+            self.outliers.record_response(attempt, plan, event.elapsed_us, service_time_us)
+            self.service_times.record_response(request.class_index, event.elapsed_us)
         else:
             self.outliers.record_failure(attempt, plan, event.outcome, event.elapsed_us, service_time_us)
         if event.load is not None:
@@ -289,36 +289,37 @@
 
     # The end of requests
 
-    def _schedule_answer(self, request: Request, at_us: int) -> None:
-        self.timers.schedule(at_us, self._on_answer_due, request)
+    def _schedule_final_answer(self, request: Request, at_us: int) -> None:
+        self.timers.schedule(at_us, self._on_final_answer_due, request)
 
-    def _on_answer_due(self, request: Request) -> None:
-        """Answer a request that has queued for too long, or has to be answered before its client gives up."""
-        if request.ended:
+    def _on_final_answer_due(self, request: Request) -> None:
+        """End a request that has queued for too long, or whose client is about to give up."""
+        if request.has_ended:
             return
-        if request.queued or self.now_us >= request.answer_by_us:
-            self._answer(request)
+        if request.is_queued or self.now_us >= request.final_answer_by_us:
+            self._reject_or_fail(request)
         else:
-            self._schedule_answer(request, request.answer_by_us)
+            self._schedule_final_answer(request, request.final_answer_by_us)
 
-    def _answer(self, request: Request) -> None:
+    def _reject_or_fail(self, request: Request) -> None:
+        """Give a request its final answer where no endpoint gives it."""
         self.actions.append(self.retries.final_answer(request, self._mean_service_time_us(request)))
         self._end(request)
 
     def _on_request_ended(self, request_id: int) -> None:
-        """The client disconnected, or its answer flows: nothing more is to be sent or answered."""
+        """The client disconnected, or a response flows to it: nothing more is to be sent."""
         request = self.requests.get(request_id)
         if request is not None:
             self._end(request)
 
     def _end(self, request: Request) -> None:
         """End a request; it is kept while an attempt of it is in flight."""
-        request.ended = True
-        if request.queued:
+        request.has_ended = True
+        if request.is_queued:
             request.tenant.queue.remove(request)
-            request.queued = False
+            request.is_queued = False
         if not request.has_attempt_in_flight():
             self.requests.pop(request.id, None)
 
     def _mean_service_time_us(self, request: Request) -> float:
-        return self.service_times.mean_us[request.request_class]
+        return self.service_times.mean_us[request.class_index]
--- a/yardlane/decisions/rate_ceiling.py
+++ b/yardlane/decisions/hard_rate.py
@@ -45,7 +45,7 @@
     return 1.0 / gateway_count if serves_tenant else 0.0
 
 
-class RateCeiling:
+class HardRateBucket:
     """The bucket of one tenant at this gateway, in units; `uptime_us` is since the process started."""
 
     __slots__ = (
@@ -105,7 +105,7 @@
         units_per_us = self._plan.hard_rate_per_s * self.rate_share(now_us) / SECOND_US
         return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_RATE, units_per_us)))
 
-    def release_on_first_total(self) -> None:
+    def grant_on_first_total(self) -> None:
         """Fill up to half of the bucket, less so the more of the hard rate the fleet's first total asks.
 
         A gateway that starts anew does not know whether its predecessor emptied the bucket. In a flood it
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -60,8 +60,8 @@
         """The candidate of the least cost that the request was not sent to yet; None if there is none."""
         used = [attempt.endpoint for attempt in request.attempts]
         plan = request.tenant.plan
-        objective_us = self._settings.request_classes[request.request_class].latency_objective_us
-        service_time_us = self._service_times.mean_us[request.request_class]
+        objective_us = self._settings.request_classes[request.class_index].latency_objective_us
+        service_time_us = self._service_times.mean_us[request.class_index]
         best = None
         least_cost_us = math.inf
         for endpoint in candidates:
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -6,16 +6,16 @@
 fade while an endpoint is not used, so that it is tried again and can recover.
 
 What counts:
-- an answer: as no failure, of all and of its plan, and with its time;
+- a response: as no failure, of all and of its plan, and with its time;
 - a rejection: as a failure of its plan;
 - any other failure: as a failure of all; but not one that the client or this gateway caused, as a cancelled
   or unsent attempt, or a timeout sooner than `OVERDUE_MULTIPLE` mean service times, where the request came
   with little time left;
 - an attempt in flight for `OVERDUE_MULTIPLE` means: as that latency, long before any timeout. It is also a
-  failure, unless the endpoint has answered another attempt that was in flight meanwhile: then it is slow, not
-  silent.
+  failure, unless the endpoint has responded to another attempt that was in flight meanwhile: then it is
+  slow, not silent.
 
-Nothing counts of an attempt that was in flight while the gateway itself stalled (`timers.py`): answers that
+Nothing counts of an attempt that was in flight while the gateway itself stalled (`timers.py`): responses that
 lay unread would make outliers of all endpoints at once.
 """
 
@@ -53,10 +53,10 @@
     def __init__(self, timers: Timers) -> None:
         self._timers = timers
 
-    def record_answer(
+    def record_response(
         self, attempt: AttemptRecord, plan: QuotaPlan, elapsed_us: int, mean_service_time_us: float
     ) -> None:
-        """Count an attempt that was answered."""
+        """Count an attempt that got a response."""
         if self._was_in_flight_during_stall(attempt):
             return
         _add_failure_sample(attempt.endpoint, None, 0.0)
@@ -71,7 +71,7 @@
         elapsed_us: int,
         mean_service_time_us: float,
     ) -> None:
-        """Count an attempt that ended without an answer."""
+        """Count an attempt that ended without a response."""
         if self._was_in_flight_during_stall(attempt) or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         if outcome is Outcome.TIMED_OUT and elapsed_us < OVERDUE_MULTIPLE * mean_service_time_us:
@@ -82,8 +82,8 @@
         """Count an attempt that is in flight for much longer than usual."""
         if self._was_in_flight_during_stall(attempt):
             return
-        answered_since = attempt.endpoint.last_success_at_us > attempt.sent_at_us
-        _add_failure_sample(attempt.endpoint, None, 0.0 if answered_since else 1.0)
+        responded_since = attempt.endpoint.last_success_at_us > attempt.sent_at_us
+        _add_failure_sample(attempt.endpoint, None, 0.0 if responded_since else 1.0)
         _add_latency_sample(attempt.endpoint, OVERDUE_MULTIPLE)
 
     def _was_in_flight_during_stall(self, attempt: AttemptRecord) -> bool:
--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -10,40 +10,40 @@
     from yardlane.decisions.attempt_record import AttemptRecord
     from yardlane.decisions.tenant import Tenant
 
-ANSWER_MARGIN_TICKS = 2  # before the client gives up, as a timer may fire a tick late
+FINAL_ANSWER_MARGIN_TICKS = 2  # before the client gives up, as a timer may fire a tick late
 
 
 class Request:
-    """A request, kept until it is answered and no attempt of it is in flight.
+    """A request, kept until it has its final answer and no attempt of it is in flight.
 
-    `request_class` is an index into the settings' classes; `units` is its cost against a rate. The client
-    gives up at `gives_up_at_us`; timers may fire late, so the final answer is decided by `answer_by_us`.
+    `class_index` is an index into the settings' classes; `units` is its cost against a rate. The client
+    gives up at `gives_up_at_us`; as timers may fire late, its final answer is due by `final_answer_by_us`.
     """
 
     __slots__ = (
-        "answer_by_us",
         "arrived_at_us",
         "attempts",
-        "ended",
+        "class_index",
+        "final_answer_by_us",
         "gives_up_at_us",
+        "has_ended",
         "id",
-        "queued",
-        "request_class",
+        "is_queued",
         "tenant",
         "units",
     )
 
     def __init__(self, event: RequestArrived, tenant: Tenant, now_us: int, tick_us: int) -> None:
         self.id = event.request_id
-        self.request_class = event.request_class
+        self.class_index = event.request_class
         self.units = event.units
         self.tenant = tenant
         self.arrived_at_us = now_us
         self.gives_up_at_us = now_us + event.time_left_us
-        self.answer_by_us = max(now_us, self.gives_up_at_us - ANSWER_MARGIN_TICKS * tick_us)
+        self.final_answer_by_us = max(now_us, self.gives_up_at_us - FINAL_ANSWER_MARGIN_TICKS * tick_us)
         self.attempts: list[AttemptRecord] = []
-        self.ended = False
-        self.queued = False
+        self.has_ended = False
+        self.is_queued = False
 
     def first_attempt_that_may_have_run(self) -> AttemptRecord | None:
         """The first attempt that may have taken effect: an idempotency key counts from it."""
@@ -54,10 +54,10 @@
 
     def attempt_in_flight(self, index: int) -> AttemptRecord | None:
         """The attempt of this index, unless it has ended: a second end must not free its slot again."""
-        if index < len(self.attempts) and self.attempts[index].in_flight:
+        if index < len(self.attempts) and self.attempts[index].is_in_flight:
             return self.attempts[index]
         return None
 
     def has_attempt_in_flight(self) -> bool:
         """Whether any attempt has not ended."""
-        return any(attempt.in_flight for attempt in self.attempts)
+        return any(attempt.is_in_flight for attempt in self.attempts)
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -1,6 +1,6 @@
 """Retries and hedged requests: whether a request may get a further attempt and where, and its final answer.
 
-A retry follows an attempt that ended without an answer. A hedged request is a further attempt while an
+A retry follows an attempt that ended without a response. A hedged request is a further attempt while an
 overdue one is still in flight; where the settings do not allow hedging, the overdue one is cancelled first.
 Both have to keep these rules:
 
@@ -16,7 +16,7 @@
 
 The final answer is `Reject`, with the promise that the client may safely send the request again, or `Fail`
 without it. The promise holds if no attempt may have run, or if a repeat does no harm wherever it arrives.
-`Retry-After` is `RETRY_AFTER_SHARE` of the mean service time: some of what is in flight is answered by
+`Retry-After` is `RETRY_AFTER_SHARE` of the mean service time: some of what is in flight has ended by
 then, and a client that returns later cannot be served within the objective.
 """
 
@@ -56,7 +56,7 @@
 
     def may_retry(self, request: Request, mean_service_time_us: float, now_us: int) -> bool:
         """Whether a request may get a further attempt now."""
-        if request.ended or self.budget < 1.0 or len(request.attempts) >= self._settings.max_attempts:
+        if request.has_ended or self.budget < 1.0 or len(request.attempts) >= self._settings.max_attempts:
             return False
         request_class = self._class_of(request)
         objective_ends_at_us = request.arrived_at_us + request_class.latency_objective_us
@@ -86,7 +86,7 @@
         return max(SHORTEST_BOUND_US, first.sent_at_us + request_class.idempotency_window_us - now_us)
 
     def final_answer(self, request: Request, mean_service_time_us: float) -> Reject | Fail:
-        """The answer to a request that gets no further attempt."""
+        """The final answer to a request that gets no further attempt."""
         may_have_run = request.first_attempt_that_may_have_run() is not None
         if may_have_run and not _is_repeatable_anywhere(self._class_of(request)):
             return Fail(request.id)
@@ -98,7 +98,7 @@
         return int(min(RETRY_AFTER_SHARE * mean_service_time_us, self._settings.max_retry_after_us))
 
     def _class_of(self, request: Request) -> RequestClass:
-        return self._settings.request_classes[request.request_class]
+        return self._settings.request_classes[request.class_index]
 
 
 def _may_repeat(request_class: RequestClass, first: AttemptRecord, now_us: int) -> bool:
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -17,7 +17,7 @@
     is_limit_below_gateway_count,
     split_concurrency_limit,
 )
-from yardlane.decisions.rate_ceiling import RateCeiling, compute_even_share
+from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
 from yardlane.decisions.request import Request
 from yardlane.decisions.settings import Settings
 
@@ -37,10 +37,10 @@
     __slots__ = (
         "admission_credit",
         "burst",
-        "ceiling",
         "concurrency_bound",
         "demand",
         "gateway_count",
+        "hard_rate",
         "has_limit_below_gateway_count",
         "in_flight",
         "next_release_at_us",
@@ -70,7 +70,7 @@
         self.demand = TenantDemand(plan, gateway_count, settings.counter_timeout_us, now_us)
         self.periods = CountingPeriods(event.tenant, tenant_key, self.demand.decay_us)
         self.burst = BurstEstimate(plan, self.demand, now_us)
-        self.ceiling = RateCeiling(plan, self.demand, share, now_us - started_at_us, now_us)
+        self.hard_rate = HardRateBucket(plan, self.demand, share, now_us - started_at_us, now_us)
         self.concurrency_bound = even_concurrency_bound(plan.concurrency_limit, gateway_count)
         self.has_limit_below_gateway_count = is_limit_below_gateway_count(plan, gateway_count)
 
@@ -79,7 +79,7 @@
         if self.plan.rate_per_s:
             self.burst.refill(now_us)
         if self.plan.hard_rate_per_s:
-            self.ceiling.refill(now_us)
+            self.hard_rate.refill(now_us)
 
     def has_free_slot(self) -> bool:
         """Whether the concurrency bound allows one more request in flight."""
@@ -90,12 +90,12 @@
         if not self.plan.hard_rate_per_s:
             return 0.0
         self.refill(now_us)
-        return units - self.ceiling.units
+        return units - self.hard_rate.units
 
     def record_first_attempt(self, units: float, weight: float) -> None:
         """Take a request that is forwarded off the token buckets."""
         if self.plan.hard_rate_per_s:
-            self.ceiling.take(units)
+            self.hard_rate.take(units)
         if self.plan.rate_per_s:
             self.burst.take(units, weight)
 
@@ -118,14 +118,14 @@
         start_us = self.periods.start_us(period_index)
         self.demand.apply_total(total, period_index, start_us, capacity, now_us)
         if is_first and self.plan.hard_rate_per_s:
-            self.ceiling.release_on_first_total()
+            self.hard_rate.grant_on_first_total()
 
     def is_forgettable(self, now_us: int) -> bool:
         """Whether nothing that is known of this tenant matters any more."""
         if now_us - self.demand.last_request_at_us <= TOTAL_VALID_US or self.in_flight or self.queue:
             return False
         self.refill(now_us)
-        return self.ceiling.is_full()
+        return self.hard_rate.is_full()
 
 
 def forget_idle(tenants: dict[TenantId, Tenant], now_us: int) -> None:
--- a/yardlane/decisions/timers.py
+++ b/yardlane/decisions/timers.py
@@ -5,8 +5,8 @@
 they were scheduled. Times are microseconds of the gateway's own clock.
 
 A stall is a turn that comes more than `STALL_US` after the timer was due: the process was stopped or had no
-processor. Answers that came meanwhile are read late, so that every attempt in flight looks overdue and every
-endpoint slow. `resumed_at_us` is the end of the last stall; `outliers.py` ignores attempts sent before it.
+processor. Responses that came meanwhile are read late, so that every attempt in flight looks overdue and
+every endpoint slow. `resumed_at_us` is the end of the last stall; `outliers.py` ignores attempts sent before.
 """
 
 from __future__ import annotations
