--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -8,7 +8,7 @@
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_server import ClientServer
 from tests.loopback import (
-    RunningProxy,
+    RunningServer,
     Streams,
     ask,
     settings,
@@ -34,10 +34,10 @@
         self.server.reap()
 
 
-async def connect(proxy: RunningProxy, count: int) -> list[Streams]:
+async def connect(server: RunningServer, count: int) -> list[Streams]:
     """So many new clients, each with its connection up at the proxy."""
-    streams = [await proxy.client() for _ in range(count)]
-    connections = proxy.program.clients.connections
+    streams = [await server.client() for _ in range(count)]
+    connections = server.clients.connections
     while len(connections) < count or not all(connection.transport for connection in connections):
         await asyncio.sleep(0)
     return streams
@@ -48,9 +48,9 @@
     return b"".join(ask("look", f"t{n}", **changes) for n in range(count))
 
 
-def only_connection(proxy: RunningProxy) -> ClientConnection:
+def only_connection(server: RunningServer) -> ClientConnection:
     """The one client connection that is open."""
-    [connection] = proxy.program.clients.connections
+    [connection] = server.clients.connections
     return connection
 
 
@@ -61,8 +61,8 @@
     made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
 
 
-async def all_released(proxy: RunningProxy) -> None:
+async def all_released(server: RunningServer) -> None:
     """All that the requests held is given back: their entries, their attempts, their descriptors."""
-    while proxy.program.proxy.requests or proxy.program.pool.connections:
+    while server.proxy.requests or server.pool.connections:
         await asyncio.sleep(0)
-    assert proxy.unanswered == 0 and not proxy.program.clients.open_trace_ids
+    assert server.unanswered == 0 and not server.clients.open_trace_ids
--- a/tests/counter_calls.py
+++ b/tests/counter_calls.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from tests.loopback import Peer, RunningProxy, Streams, settings
+from tests.loopback import Peer, RunningServer, Streams, settings
 from yardlane.decisions.actions import AddToCounter
 
 
@@ -11,9 +11,9 @@
     return settings(family_info={"shared_counter": True, "count_wait_us": 5_000_000, **changes})
 
 
-def add(proxy: RunningProxy, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
+def add(server: RunningServer, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
     """Let the decisions ask for a call."""
-    proxy.program.proxy.apply(AddToCounter(key, amount, lifetime_us))
+    server.proxy.apply(AddToCounter(key, amount, lifetime_us))
 
 
 async def first_call(counter: Peer) -> Streams:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -202,15 +202,15 @@
     return f"{'POST' if kind == 'file' else 'GET'} /api?q=1 HTTP/1.1\r\nHost: svc\r\n{lines}\r\n".encode()
 
 
-class RunningProxy:
-    """The whole program, running in this test's loop; it counts the requests that have not ended yet."""
+class RunningServer(Server):
+    """The whole program in this test's loop; it counts the requests that have not ended yet."""
 
-    def __init__(self, program: Server) -> None:
-        self.program = program
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
+        super().__init__(config, loop, decider)
         self.writers: list[asyncio.StreamWriter] = []
         self.unanswered = 0  # each request ends exactly once: fewer ends leave it above 0, more below
-        handle_request = program.proxy.handle_request
-        end = program.proxy._end
+        handle_request = self.proxy.handle_request
+        end = self.proxy._end
 
         def count_request(client_request: ClientRequest, parsed: ParsedRequest) -> None:
             self.unanswered += 1
@@ -220,12 +220,12 @@
             end(request)
             self.unanswered -= 1
 
-        program.proxy.handle_request = count_request  # type: ignore[method-assign]
-        program.proxy._end = count_end  # type: ignore[method-assign]
+        self.proxy.handle_request = count_request  # type: ignore[method-assign]
+        self.proxy._end = count_end  # type: ignore[method-assign]
 
     async def client(self) -> Streams:
         """A new client's connection."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.program.clients.port())
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.clients.port())
         self.writers.append(writer)
         return reader, writer
 
@@ -239,14 +239,14 @@
 class DelayedConnections:
     """The pool's loop; connections to one backend are made, and known to be, only when the test says so."""
 
-    def __init__(self, proxy: RunningProxy, port: int) -> None:
-        self.loop = proxy.program.pool.loop
+    def __init__(self, server: RunningServer, port: int) -> None:
+        self.loop = server.pool.loop
         self.port = port
         self.requested = asyncio.Event()
         self.may_connect = asyncio.Event()
         self.may_return = asyncio.Event()  # set, unless a test withholds what is known of a connection made
         self.may_return.set()
-        proxy.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
+        server.pool.loop = cast(asyncio.AbstractEventLoop, self)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
@@ -263,19 +263,18 @@
 
 
 @asynccontextmanager
-async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningProxy]:
+async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningServer]:
     """The whole program, without its signals; nobody need listen at discovery's address."""
     made = config(**changes)
     loop = asyncio.get_running_loop()
-    program = Server(made, loop, decider or Gateway(made.settings, made.seed))
-    program.start()
-    proxy = RunningProxy(program)
+    server = RunningServer(made, loop, decider or Gateway(made.settings, made.seed))
+    server.start()
     try:
-        yield proxy
+        yield server
     finally:
-        program.discovery.stop()
-        program.clients.stop_listening()
-        for writer in proxy.writers:
+        server.discovery.stop()
+        server.clients.stop_listening()
+        for writer in server.writers:
             writer.transport.abort()
 
 
@@ -365,13 +364,13 @@
 @asynccontextmanager
 async def running_with_backend(
     decider: Decider | None = None, **changes: Any
-) -> AsyncIterator[tuple[RunningProxy, Peer]]:
+) -> AsyncIterator[tuple[RunningServer, Peer]]:
     """A proxy whose endpoint list holds one backend, `s-1`."""
     async with (
         Peer() as backend,
-        running(decider, known=whole_list(member("s-1", backend.port)), **changes) as proxy,
+        running(decider, known=whole_list(member("s-1", backend.port)), **changes) as server,
     ):
-        yield proxy, backend
+        yield server, backend
 
 
 async def read_status(reader: asyncio.StreamReader) -> str:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -42,8 +42,8 @@
             arrived.append(event.request_id)
         return [Reject(n, n * 1000) for n in reversed(arrived)] if len(arrived) == 3 else []
 
-    async with running(Script(reject_last_first)) as proxy:
-        reader, writer = await proxy.client()
+    async with running(Script(reject_last_first)) as server:
+        reader, writer = await server.client()
         writer.write(ask(trace="1") + ask(trace="2") + ask(trace="3"))
         retry_after = [(await read_message(reader))[1]["retry-after"] for _ in range(3)]
         assert retry_after == ["0.001", "0.002", "0.003"]
@@ -55,16 +55,16 @@
 async def test_the_pipelining_limit_holds_within_one_read() -> None:
     """More requests come in one read than a connection may have pending: the others are rejected at once."""
     script = Script(hold_all)
-    async with running(script) as proxy:
-        reader, writer = await proxy.client()
+    async with running(script) as server:
+        reader, writer = await server.client()
         writer.write(pipeline(MAX_PIPELINED + 20))
         await script.wait_for(RequestArrived, MAX_PIPELINED)
-        connection = only_connection(proxy)
+        connection = only_connection(server)
         while len(connection.pending) < MAX_PIPELINED + 20:
             await asyncio.sleep(0)
-        assert len(proxy.program.proxy.requests) == MAX_PIPELINED
-        for request_id in list(proxy.program.proxy.requests):
-            proxy.program.proxy.apply(Reject(request_id))
+        assert len(server.proxy.requests) == MAX_PIPELINED
+        for request_id in list(server.proxy.requests):
+            server.proxy.apply(Reject(request_id))
         statuses = [await read_status(reader) for _ in range(MAX_PIPELINED + 20)]
         assert statuses == ["429"] * MAX_PIPELINED + ["503"] * 20
 
@@ -72,8 +72,8 @@
 @socket_test
 async def test_hundreds_of_pipelined_requests_end_the_connection() -> None:
     """A client writes hundreds of requests without reading: their answers must not fill the memory."""
-    async with running(Script(reject_each)) as proxy:
-        reader, writer = await proxy.client()
+    async with running(Script(reject_each)) as server:
+        reader, writer = await server.client()
         writer.write(pipeline(600))
         answers = await read_to_end(reader)
         assert 0 < answers.count(b"HTTP/1.1 ") <= 2 * (MAX_PIPELINED + MAX_REJECTED_PIPELINED)
@@ -82,8 +82,8 @@
 @socket_test
 async def test_a_client_still_sending_can_read_why_it_was_rejected() -> None:
     """A close with bytes unread resets the connection and may take the answer along."""
-    async with running(Script(hold_all)) as proxy:
-        reader, writer = await proxy.client()
+    async with running(Script(hold_all)) as server:
+        reader, writer = await server.client()
         writer.write(TOO_LARGE)
         assert await read_status(reader) == "413"
         assert await reader.read() == b""
@@ -95,14 +95,14 @@
 
     A second close with bytes unread would reset the connection, and the answer would be lost.
     """
-    async with running(Script(hold_all)) as proxy:
-        server = proxy.program.clients
-        reader, writer = await proxy.client()
+    async with running(Script(hold_all)) as server:
+        clients = server.clients
+        reader, writer = await server.client()
         writer.write(TOO_LARGE)
-        while not any(connection.state is State.CLOSING for connection in server.connections):
+        while not any(connection.state is State.CLOSING for connection in clients.connections):
             await asyncio.sleep(0)
-        server.close_idle()
-        connection = only_connection(proxy)
+        clients.close_idle()
+        connection = only_connection(server)
         assert connection.transport is not None and not connection.transport.is_closing()
         assert await read_status(reader) == "413"
         assert await reader.read() == b""
@@ -115,15 +115,15 @@
     The half is never completed. Its timeout must not end the first request, which is still pending.
     """
     script = Script(hold_all)
-    async with running(script) as proxy:
-        server = proxy.program.clients
-        reader, writer = await proxy.client()
+    async with running(script) as server:
+        clients = server.clients
+        reader, writer = await server.client()
         writer.write(ask(trace="a") + ask(trace="b") + ask(trace="c")[:-4])
         await script.wait_for(RequestArrived, 2)
-        server.is_draining = True
-        proxy.program.proxy.apply(Reject(2))
-        ManualClock(server, server.now()).advance(REQUEST_TIMEOUT_S + 0.1)
-        proxy.program.proxy.apply(Reject(1))
+        clients.is_draining = True
+        server.proxy.apply(Reject(2))
+        ManualClock(clients, clients.now()).advance(REQUEST_TIMEOUT_S + 0.1)
+        server.proxy.apply(Reject(1))
         assert [await read_status(reader) for _ in range(2)] == ["429", "429"]
         assert await reader.read() == b""
 
@@ -137,11 +137,11 @@
 
     @socket_test
     async def run() -> None:
-        async with running(Script(hold_all)) as proxy:
+        async with running(Script(hold_all)) as server:
             gc.disable()
             try:
-                [(_, writer)] = await connect(proxy, 1)
-                connection = weakref.ref(only_connection(proxy))
+                [(_, writer)] = await connect(server, 1)
+                connection = weakref.ref(only_connection(server))
                 writer.write(sent)
                 await asyncio.sleep(0.01)  # the proxy reads it
                 writer.transport.abort()
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -31,7 +31,7 @@
     HEALTH_CHECK,
     DelayedConnections,
     Peer,
-    RunningProxy,
+    RunningServer,
     Script,
     answer,
     ask,
@@ -87,16 +87,16 @@
 async def test_a_client_that_leaves_while_its_request_connects(leave: Leave) -> None:
     """Nothing is written on the connection once it is up."""
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        delayed = DelayedConnections(proxy, backend.port)
-        _, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        delayed = DelayedConnections(server, backend.port)
+        _, to_proxy = await server.client()
         to_proxy.write(ask())
         await delayed.requested.wait()
         leave(to_proxy)
         await script.wait_for(RequestEnded)
         delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
-        await all_released(proxy)
+        await all_released(server)
         assert backend.accepted.empty()
 
 
@@ -125,26 +125,26 @@
 @each_way_to_leave
 async def test_a_client_that_leaves_while_its_request_is_queued(leave: Leave) -> None:
     """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
-    async with running_with_backend(settings=ONE_AT_A_TIME) as (proxy, backend):
-        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
-        first, to_first = await proxy.client()
+    async with running_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
+        gateway = cast(Gateway, server.proxy.decisions.decider)
+        first, to_first = await server.client()
         to_first.write(ask(trace="first"))
         reader, writer = await backend.connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "first"
-        _, to_proxy = await proxy.client()
+        _, to_proxy = await server.client()
         to_proxy.write(ask(trace="second"))
         await some_request_queued(gateway)
         leave(to_proxy)
-        while len(proxy.program.proxy.requests) > 1:
+        while len(server.proxy.requests) > 1:
             await asyncio.sleep(0)
-        third, to_third = await proxy.client()
+        third, to_third = await server.client()
         to_third.write(ask(trace="third"))
         await some_request_queued(gateway)
         writer.write(answer())
         assert await read_status(first) == "200"
         assert await next_request(backend, (reader, writer)) == "third"
         assert await read_status(third) == "200"
-        while proxy.program.proxy.requests:
+        while server.proxy.requests:
             await asyncio.sleep(0)
         [tenant] = gateway.tenants.values()
         assert (tenant.in_flight, tenant.queue, gateway.concurrency.in_flight, gateway.requests) == (
@@ -161,10 +161,10 @@
     async with (
         Peer() as one,
         Peer() as two,
-        running(known=whole_list(member("s-1", one.port), member("s-2", two.port))) as proxy,
+        running(known=whole_list(member("s-1", one.port), member("s-2", two.port))) as server,
     ):
-        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
-        _, to_proxy = await proxy.client()
+        gateway = cast(Gateway, server.proxy.decisions.decider)
+        _, to_proxy = await server.client()
         to_proxy.write(ask())
         arrivals = [asyncio.ensure_future(backend.connection()) for backend in (one, two)]
         done, pending = await asyncio.wait(arrivals, return_when=asyncio.FIRST_COMPLETED)
@@ -174,13 +174,13 @@
         reader, writer = first.result()
         await read_message(reader)
         leave(to_proxy)
-        while proxy.program.clients.open_trace_ids:
+        while server.clients.open_trace_ids:
             await asyncio.sleep(0)
         writer.write(NEVER_RAN)
         while gateway.requests:
             await asyncio.sleep(0)
         assert gateway.concurrency.in_flight == 0
-        await proxy.call(HEALTH_CHECK)
+        await server.call(HEALTH_CHECK)
         assert one.accepted.empty() and two.accepted.empty()
 
 
@@ -188,45 +188,45 @@
 async def test_a_client_that_leaves_a_connection_that_is_not_read(leave: Leave) -> None:
     """With as many requests pending as a connection may have, it is not read: the reaper looks at it."""
     script = Script(hold_all)
-    async with running(script, settings=settings(profiles=PATIENT_CLASSES)) as proxy:
-        _, to_proxy = await proxy.client()
+    async with running(script, settings=settings(profiles=PATIENT_CLASSES)) as server:
+        _, to_proxy = await server.client()
         to_proxy.write(pipeline(MAX_PIPELINED, X_Expires_In="60000m"))
         await script.wait_for(RequestArrived, MAX_PIPELINED)
         leave(to_proxy)
         await script.wait_for(RequestEnded, MAX_PIPELINED)
-        await all_released(proxy)
+        await all_released(server)
 
 
 # The client leaves, and neither the loop nor the reaper has noticed: the reaper does not run, and the loop
 # says nothing of a connection that it does not read.
 
 
-def without_reaper(proxy: RunningProxy) -> list[Attempt]:
+def without_reaper(server: RunningServer) -> list[Attempt]:
     """Stop the reaper; returns the list of the attempts that begin or connect from now on."""
-    proxy.program.clients.reap = lambda: None  # type: ignore[method-assign]
+    server.clients.reap = lambda: None  # type: ignore[method-assign]
     begun: list[Attempt] = []
-    send = proxy.program.pool.send
+    send = server.pool.send
 
     def recorded(attempt: Attempt) -> None:
         begun.append(attempt)
         send(attempt)
 
-    proxy.program.pool.send = recorded  # type: ignore[method-assign]
+    server.pool.send = recorded  # type: ignore[method-assign]
     return begun
 
 
-async def fill_pipeline(proxy: RunningProxy) -> asyncio.StreamWriter:
+async def fill_pipeline(server: RunningServer) -> asyncio.StreamWriter:
     """A client with so many requests pending that its connection is not read."""
-    _, to_proxy = await proxy.client()
+    _, to_proxy = await server.client()
     to_proxy.write(pipeline(MAX_PIPELINED))
-    while len(proxy.program.proxy.requests) < MAX_PIPELINED:
+    while len(server.proxy.requests) < MAX_PIPELINED:
         await asyncio.sleep(0)
     return to_proxy
 
 
-async def kernel_knows(proxy: RunningProxy) -> None:
+async def kernel_knows(server: RunningServer) -> None:
     """The client's leaving has arrived, on a connection that is not read."""
-    connection = only_connection(proxy)
+    connection = only_connection(server)
     assert connection.transport is not None and not connection.transport.is_reading()
     while not connection.has_client_left():
         await asyncio.sleep(0)
@@ -243,31 +243,31 @@
 async def test_no_first_attempt_begins_after_the_client_left(leave: Leave) -> None:
     """The other requests of the connection end with it."""
     script = Script(hold_all)
-    async with running_with_backend(script) as (proxy, _):
-        begun = without_reaper(proxy)
-        leave(await fill_pipeline(proxy))
-        await kernel_knows(proxy)
-        proxy.program.proxy.apply(StartAttempt(1, b"s-1"))
+    async with running_with_backend(script) as (server, _):
+        begun = without_reaper(server)
+        leave(await fill_pipeline(server))
+        await kernel_knows(server)
+        server.proxy.apply(StartAttempt(1, b"s-1"))
         assert not begun
         await script.wait_for(RequestEnded, MAX_PIPELINED)
-        await all_released(proxy)
+        await all_released(server)
 
 
 @each_way_to_leave
 async def test_no_queued_request_is_admitted_after_the_client_left(leave: Leave) -> None:
     """One request runs and the others are queued for its slot, which none of them may take."""
-    async with running_with_backend(settings=ONE_AT_A_TIME) as (proxy, backend):
-        begun = without_reaper(proxy)
-        to_proxy = await fill_pipeline(proxy)
+    async with running_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
+        begun = without_reaper(server)
+        to_proxy = await fill_pipeline(server)
         reader, writer = await backend.connection()
         await read_message(reader)
         leave(to_proxy)
-        await kernel_knows(proxy)
+        await kernel_knows(server)
         writer.write(answer())
-        while proxy.program.proxy.requests and len(begun) < 2:
+        while server.proxy.requests and len(begun) < 2:
             await asyncio.sleep(0)
         assert [attempt.request_id for attempt in begun] == [1]
-        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decisions.decider)
         while gateway.requests or gateway.concurrency.in_flight:
             await asyncio.sleep(0)
 
@@ -282,17 +282,17 @@
         return send_all(event)
 
     script = Script(retry)
-    async with running_with_backend(script) as (proxy, backend):
-        begun = without_reaper(proxy)
-        to_proxy = await fill_pipeline(proxy)
+    async with running_with_backend(script) as (server, backend):
+        begun = without_reaper(server)
+        to_proxy = await fill_pipeline(server)
         streams = [await backend.connection() for _ in range(MAX_PIPELINED)]
         for reader, _ in streams:
             await read_message(reader)
         leave(to_proxy)
-        await kernel_knows(proxy)
+        await kernel_knows(server)
         for _, writer in streams:
             writer.write(NEVER_RAN)
-        while proxy.program.proxy.requests and len(begun) == MAX_PIPELINED:
+        while server.proxy.requests and len(begun) == MAX_PIPELINED:
             await asyncio.sleep(0)
         assert [attempt.attempt_index for attempt in begun] == [0] * MAX_PIPELINED
         await script.wait_for(RequestEnded, MAX_PIPELINED)
@@ -302,38 +302,38 @@
 async def test_nothing_is_written_on_a_connection_that_comes_up_after_the_client_left(leave: Leave) -> None:
     """The attempts have begun, and their connections come up for nobody."""
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        without_reaper(proxy)
-        delayed = DelayedConnections(proxy, backend.port)
-        to_proxy = await fill_pipeline(proxy)
+    async with running_with_backend(script) as (server, backend):
+        without_reaper(server)
+        delayed = DelayedConnections(server, backend.port)
+        to_proxy = await fill_pipeline(server)
         await delayed.requested.wait()
         leave(to_proxy)
-        await kernel_knows(proxy)
+        await kernel_knows(server)
         delayed.may_connect.set()
         reader, _ = await backend.connection()
         assert await first_byte(reader) == b""
         ends = await script.wait_for(AttemptEnded, MAX_PIPELINED)
         assert {(e.outcome, e.request_ended) for e in ends} == {(Outcome.NOT_SENT, True)}
         await script.wait_for(RequestEnded, MAX_PIPELINED)
-        await all_released(proxy)
+        await all_released(server)
         while not backend.accepted.empty():
             assert await first_byte((await backend.connection())[0]) == b""
 
 
 async def slow_reader(
-    proxy: RunningProxy, requests: int
+    server: RunningServer, requests: int
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
     """A client that reads no answers for now, over buffers of the kernel that hold far less than one."""
     made = socket.socket()
     made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
-    made.connect(("127.0.0.1", proxy.program.clients.port()))
+    made.connect(("127.0.0.1", server.clients.port()))
     made.setblocking(False)
     reader, to_proxy = await asyncio.open_connection(sock=made)
     cast(asyncio.Transport, to_proxy.transport).pause_reading()
     to_proxy.write(pipeline(requests))
-    while len(proxy.program.proxy.requests) < requests:
+    while len(server.proxy.requests) < requests:
         await asyncio.sleep(0)
-    connection = only_connection(proxy)
+    connection = only_connection(server)
     limit_send_buffer(connection)
     return reader, to_proxy, connection
 
@@ -351,18 +351,18 @@
 async def test_no_attempt_begins_after_a_client_that_reads_no_answers_left(leave: Leave) -> None:
     """The answers fill the write buffer, so the connection is not read although little is pending."""
     script = hold_one(4)
-    async with running_with_backend(script) as (proxy, backend):
-        _, to_proxy, connection = await slow_reader(proxy, 4)
+    async with running_with_backend(script) as (server, backend):
+        _, to_proxy, connection = await slow_reader(server, 4)
         for _ in range(3):
             reader, writer = await backend.connection()
             await read_message(reader)
             writer.write(answer(200, LARGE_BODY))
         while not connection.is_write_buffer_full or len(connection.pending) > 1:
             await asyncio.sleep(0)
-        begun = without_reaper(proxy)
+        begun = without_reaper(server)
         leave(to_proxy)
-        await kernel_knows(proxy)
-        proxy.program.proxy.apply(StartAttempt(4, b"s-1"))
+        await kernel_knows(server)
+        server.proxy.apply(StartAttempt(4, b"s-1"))
         assert not begun
         await script.wait_for(RequestEnded)
 
@@ -371,18 +371,18 @@
 async def test_no_attempt_begins_after_a_half_close_while_an_answer_is_still_being_written() -> None:
     """The close is seen while the transport holds an answer: that answer is still delivered."""
     script = hold_one(2)
-    async with running_with_backend(script) as (proxy, backend):
-        client, to_proxy, connection = await slow_reader(proxy, 2)
+    async with running_with_backend(script) as (server, backend):
+        client, to_proxy, connection = await slow_reader(server, 2)
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer(200, LARGE_BODY))  # little enough for the connection to be read on
         while len(connection.pending) > 1:
             await asyncio.sleep(0)
-        begun = without_reaper(proxy)
+        begun = without_reaper(server)
         half_close(to_proxy)
         await script.wait_for(RequestEnded)
         assert connection.transport is not None and connection.transport.get_write_buffer_size() > 0
-        proxy.program.proxy.apply(StartAttempt(2, b"s-1"))
+        server.proxy.apply(StartAttempt(2, b"s-1"))
         assert not begun
         cast(asyncio.Transport, to_proxy.transport).resume_reading()
         assert (await read_message(client))[2] == LARGE_BODY
@@ -399,16 +399,16 @@
     @socket_test
     async def run() -> None:
         script = Script(send_all)
-        async with running_with_backend(script) as (proxy, backend):
-            proxy.program.pool.reuse.quarantine_s = 0.0
-            client, to_proxy = await proxy.client()
+        async with running_with_backend(script) as (server, backend):
+            server.pool.reuse.quarantine_s = 0.0
+            client, to_proxy = await server.client()
             to_proxy.write(ask(trace="first"))
             reader, writer = await backend.connection()
             await read_message(reader)
             writer.write(answer())
             await read_message(client)
-            begun = without_reaper(proxy)
-            with socket.create_connection(("127.0.0.1", proxy.program.clients.port())) as made:
+            begun = without_reaper(server)
+            with socket.create_connection(("127.0.0.1", server.clients.port())) as made:
                 made.sendall(ask())
                 leave(made)
                 assert [e.request_id for e in await script.wait_for(RequestEnded)] == [2]
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -21,44 +21,44 @@
 async def test_silent_connections_make_room_and_busy_ones_do_not() -> None:
     """Silent clients take all connections: each new one ends a silent one, until all are busy."""
     script = Script(hold_all)
-    async with running(script) as proxy:
-        server = proxy.program.clients
-        server.max_connections = 4
-        first, *_ = await connect(proxy, 4)
-        _, to_proxy = await proxy.client()  # ends the one that has been silent for longest
+    async with running(script) as server:
+        clients = server.clients
+        clients.max_connections = 4
+        first, *_ = await connect(server, 4)
+        _, to_proxy = await server.client()  # ends the one that has been silent for longest
         to_proxy.write(ask(trace="a0"))
         assert await read_to_end(first[0]) == b""
         await script.wait_for(RequestArrived)
         for n in range(1, 4):
-            _, to_proxy = await proxy.client()
+            _, to_proxy = await server.client()
             to_proxy.write(ask(trace=f"a{n}"))
             await script.wait_for(RequestArrived, n + 1)
-        newest, _ = await proxy.client()
+        newest, _ = await server.client()
         assert await read_to_end(newest) == b""
-        assert len(server.connections) == 4 and all(c.pending for c in server.connections)
+        assert len(clients.connections) == 4 and all(c.pending for c in clients.connections)
 
 
 @socket_test
 async def test_a_full_server_ends_the_longest_idle_but_not_before_two_seconds() -> None:
     """A client that was answered a moment ago may have its next request on the way."""
-    async with running(Script(reject_each)) as proxy:
-        server = proxy.program.clients
-        clock = ManualClock(server)
+    async with running(Script(reject_each)) as server:
+        clients = server.clients
+        clock = ManualClock(clients)
         readers = []
         for n in range(2):
-            reader, writer = await proxy.client()
+            reader, writer = await server.client()
             writer.write(ask(trace=f"a{n}"))
             await read_message(reader)
             readers.append(reader)
             clock.time_s += 0.1
-        server.max_connections = 2
+        clients.max_connections = 2
         clock.time_s += 1.75
-        newest, _ = await proxy.client()
+        newest, _ = await server.client()
         assert await read_to_end(newest) == b""
         clock.time_s += 0.1
-        await proxy.client()
+        await server.client()
         assert await read_to_end(readers[0]) == b""
-        while len(server.connections) < 2:
+        while len(clients.connections) < 2:
             await asyncio.sleep(0)
 
 
@@ -66,8 +66,8 @@
 async def test_accepting_resumes_after_descriptors_ran_out() -> None:
     """The kernel refuses a descriptor once: the waiting connection is accepted after a pause."""
     loop = asyncio.get_running_loop()
-    async with running(Script(hold_all)) as proxy:
-        listener: Listener = proxy.program.clients.listener
+    async with running(Script(hold_all)) as server:
+        listener: Listener = server.clients.listener
         assert listener.socket is not None
         real = listener.socket
         accepts = 0
@@ -88,5 +88,5 @@
         loop.remove_reader(real)
         listener.socket = SocketWithoutDescriptors()  # type: ignore[assignment]
         loop.add_reader(real, listener._accept)
-        await connect(proxy, 1)
+        await connect(server, 1)
         assert accepts >= 2
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -49,15 +49,15 @@
 
     Wherever a connection comes to its end, its pending requests are given back.
     """
-    async with running(Script(hold_all)) as proxy:
-        server = proxy.program.clients
+    async with running(Script(hold_all)) as server:
+        clients = server.clients
         with logged_by_connections() as lines:
             for event, row in zip(ConnectionEvent, ROWS.values(), strict=True):
                 for before, cell in zip(State, row, strict=True):
                     after = before if cell == NEVER else State[cell]
-                    connection = ClientConnection(server)
+                    connection = ClientConnection(clients)
                     connection.state = before
-                    server.connections[connection] = None
+                    clients.connections[connection] = None
                     connection.pending.append(ClientRequest(connection))
                     assert connection._apply(event) is (after is not before)
                     assert connection.state is after
@@ -66,5 +66,5 @@
                     lines.clear()
                     ends = after is not before and after in (State.CLOSING, State.CLOSED)
                     assert bool(connection.pending) is not ends
-                    assert (connection in server.connections) is not (ends and after is State.CLOSED)
-                    server.connections.pop(connection, None)
+                    assert (connection in clients.connections) is not (ends and after is State.CLOSED)
+                    clients.connections.pop(connection, None)
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -23,11 +23,11 @@
 @socket_test
 async def test_a_silent_connection_is_closed() -> None:
     """A client connects and sends nothing: it must not keep its descriptor."""
-    async with running(Script(hold_all)) as proxy:
-        clock = ManualClock(proxy.program.clients)
-        [(reader, _)] = await connect(proxy, 1)
+    async with running(Script(hold_all)) as server:
+        clock = ManualClock(server.clients)
+        [(reader, _)] = await connect(server, 1)
         clock.advance(1.0)
-        assert proxy.program.clients.connections
+        assert server.clients.connections
         clock.advance(0.75)
         assert await read_to_end(reader) == b""
 
@@ -35,10 +35,10 @@
 @socket_test
 async def test_a_request_that_drips_in_times_out() -> None:
     """A byte now and then must not keep a connection busy: the time is for the whole request."""
-    async with running(Script(hold_all)) as proxy:
-        clock = ManualClock(proxy.program.clients)
-        [(reader, writer)] = await connect(proxy, 1)
-        parser = only_connection(proxy).parser
+    async with running(Script(hold_all)) as server:
+        clock = ManualClock(server.clients)
+        [(reader, writer)] = await connect(server, 1)
+        parser = only_connection(server).parser
         for byte in ask()[:8]:
             writer.write(bytes((byte,)))
             head_bytes = parser.head_bytes
@@ -59,10 +59,10 @@
     @socket_test
     async def run() -> None:
         script = Script(hold_all)
-        async with running(script) as proxy:
-            clock = ManualClock(proxy.program.clients)
-            [(reader, writer)] = await connect(proxy, 1)
-            connection = only_connection(proxy)
+        async with running(script) as server:
+            clock = ManualClock(server.clients)
+            [(reader, writer)] = await connect(server, 1)
+            connection = only_connection(server)
             writer.write(ask(trace="a1") + rest)
             await script.wait_for(RequestArrived)
             clock.advance(1.0)
@@ -70,7 +70,7 @@
             clock.advance(0.75)
             answers = await read_to_end(reader)
             assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
-            assert not proxy.program.clients.open_trace_ids and not proxy.unanswered
+            assert not server.clients.open_trace_ids and not server.unanswered
 
     run()
 
@@ -78,15 +78,15 @@
 @socket_test
 async def test_a_client_that_never_closes_is_aborted() -> None:
     """The last answer is written and the client keeps its side open: it must not keep its descriptor."""
-    async with running(Script(hold_all)) as proxy:
-        clock = ManualClock(proxy.program.clients)
-        [(_, writer)] = await connect(proxy, 1)
+    async with running(Script(hold_all)) as server:
+        clock = ManualClock(server.clients)
+        [(_, writer)] = await connect(server, 1)
         writer.write(b"noise\r\n\r\n")
-        connection = only_connection(proxy)
+        connection = only_connection(server)
         while connection.state is not State.CLOSING:
             await asyncio.sleep(0)
         clock.advance(1.25)
-        while proxy.program.clients.connections:
+        while server.clients.connections:
             await asyncio.sleep(0)
 
 
@@ -97,21 +97,21 @@
     The rest of a request may have arrived meanwhile, unread. Only a client that is late while the proxy runs
     is ended.
     """
-    async with running(Script(reject_each)) as proxy:
-        server = proxy.program.clients
-        reader, writer = await proxy.client()
+    async with running(Script(reject_each)) as server:
+        clients = server.clients
+        reader, writer = await server.client()
         writer.write(ask()[:-4])
-        while not server.has_pending_work():
+        while not clients.has_pending_work():
             await asyncio.sleep(0)
-        stalled_until = server.now() + 100.0
-        server.now = lambda: stalled_until
-        server._reap_on_time()
+        stalled_until = clients.now() + 100.0
+        clients.now = lambda: stalled_until
+        clients._reap_on_time()
         writer.write(ask()[-4:])
         assert await read_status(reader) == "429"
         writer.write(ask()[:-4])
-        while not server.has_pending_work():
+        while not clients.has_pending_work():
             await asyncio.sleep(0)
-        server.reap_due_s = stalled_until + REQUEST_TIMEOUT_S
-        server.now = lambda: stalled_until + REQUEST_TIMEOUT_S + 0.1
-        server._reap_on_time()
+        clients.reap_due_s = stalled_until + REQUEST_TIMEOUT_S
+        clients.now = lambda: stalled_until + REQUEST_TIMEOUT_S + 0.1
+        clients._reap_on_time()
         assert await read_status(reader) == "408"
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -65,9 +65,9 @@
 
 @socket_test
 async def test_a_connection_is_quarantined_before_it_is_used_again() -> None:
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        proxy.program.pool.reuse.quarantine_s = 1e6
-        client = await proxy.client()
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        server.pool.reuse.quarantine_s = 1e6
+        client = await server.client()
         for trace in ("a1", "a2"):
             await serve_on_new_connection(client, backend, trace)
 
@@ -76,10 +76,10 @@
 async def test_a_connection_found_dead_shortens_the_idle_time_of_the_others() -> None:
     """A backend forgets a connection that stands idle, without a word; the next request on it is lost. The
     connections that have stood idle as long are then closed rather than used."""
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        pool = proxy.program.pool
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        pool = server.pool
         pool.reuse.quarantine_s = NO_QUARANTINE_S
-        client = await proxy.client()
+        client = await server.client()
         client_reader, to_proxy = client
         reader, writer = await serve_on_new_connection(client, backend, "a1")
         pool.idle[b"s-1"][0].idle_since_s -= 5.0
@@ -101,9 +101,9 @@
 
     @socket_test
     async def run() -> None:
-        async with running_with_backend(Script(send_all)) as (proxy, backend):
-            pool = proxy.program.pool
-            client = await proxy.client()
+        async with running_with_backend(Script(send_all)) as (server, backend):
+            pool = server.pool
+            client = await server.client()
 
             async def served_and_idle_for(trace: str, idle_s: float) -> asyncio.StreamWriter:
                 _, writer = await serve_on_new_connection(client, backend, trace)
@@ -134,10 +134,10 @@
 
     @socket_test
     async def run() -> None:
-        async with running_with_backend(Script(send_all)) as (proxy, backend):
-            pool = proxy.program.pool
+        async with running_with_backend(Script(send_all)) as (server, backend):
+            pool = server.pool
             pool.reuse.quarantine_s = NO_QUARANTINE_S
-            client, (_, writer) = await forward(proxy, backend, ask(trace="a0"))
+            client, (_, writer) = await forward(server, backend, ask(trace="a0"))
             await serve(client, writer, b"first", stray)
             client[1].write(ask(trace="a1"))
             _, writer = await accept_request(backend, "a1")
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -23,9 +23,9 @@
 @socket_test
 async def test_answers_are_matched_in_order() -> None:
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
+    async with Peer() as counter, running(script, **with_counter(counter)) as server:
         for amount in (2.5, -1.0, 0.0, 7.0):
-            add(proxy, 0xAB, amount, 4_000_000)
+            add(server, 0xAB, amount, 4_000_000)
         reader, writer = await counter.connection()
         lines = [await reader.readuntil(b"\r\n") for _ in range(4)]
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
@@ -45,8 +45,8 @@
     """The counter resets the connection after a call was written. Nobody knows whether it was added, so the
     result must not say that it was not: that would let the decisions add it twice."""
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
-        add(proxy)
+    async with Peer() as counter, running(script, **with_counter(counter)) as server:
+        add(server)
         _, writer = await first_call(counter)
         writer.transport.abort()
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
@@ -58,8 +58,8 @@
     script = no_actions()
     async with Peer() as counter:
         configuration = with_counter(counter)
-    async with running(script, **configuration) as proxy:
-        add(proxy)
+    async with running(script, **configuration) as server:
+        add(server)
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
 
 
@@ -68,11 +68,11 @@
     """A call times out, the next one is written, then both are answered. The first answer belongs to the call
     that timed out; taken for the next one, every later total would be a wrong one."""
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=300_000)) as proxy:
-        add(proxy)
+    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=300_000)) as server:
+        add(server)
         reader, writer = await first_call(counter)
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
-        add(proxy)
+        add(server)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\nok 2\r\n")
         results = await script.wait_for(CounterResult, 2)
@@ -84,9 +84,9 @@
     """The counter accepts a connection and stays silent while calls go on. Only so many are written; the
     others end at once, so that a counter that comes back is not met by a backlog."""
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
+    async with Peer() as counter, running(script, **with_counter(counter)) as server:
         for _ in range(100):
-            add(proxy)
+            add(server)
         results = await script.wait_for(CounterResult, 100 - 16)
         assert {r.outcome for r in results} == {Outcome.NOT_CONNECTED}
         reader, writer = await counter.connection()
@@ -101,8 +101,8 @@
     """The counter's host is gone without a reset: calls are written and never answered. After some timeouts
     the connection is closed from our side, so that the next calls get another one."""
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=20_000)) as proxy:
-        add(proxy)
+    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=20_000)) as server:
+        add(server)
         reader, _ = await counter.connection()
         await reader.read()
         assert len(await script.wait_for(CounterResult)) == 1
@@ -124,8 +124,8 @@
     this connection can be trusted."""
     for reply in MALFORMED_REPLIES:
         script = no_actions()
-        async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
-            add(proxy)
+        async with Peer() as counter, running(script, **with_counter(counter)) as server:
+            add(server)
             _, writer = await first_call(counter)
             writer.write(reply)
             assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
@@ -142,16 +142,16 @@
     """A connection that has answered breaks by a malformed reply. A quarter of all keys share it: they get
     another one at once, without a reconnect delay."""
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter)) as proxy:
-        add(proxy)
+    async with Peer() as counter, running(script, **with_counter(counter)) as server:
+        add(server)
         reader, writer = await first_call(counter)
         writer.write(b"ok 1\r\n")
         await script.wait_for(CounterResult)
-        add(proxy)
+        add(server)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok {}\r\n")
         await script.wait_for(CounterResult, 2)
-        add(proxy)
+        add(server)
         _, writer = await first_call(counter)
         writer.write(b"ok 3\r\n")
         results = await script.wait_for(CounterResult, 3)
@@ -163,18 +163,18 @@
     """The counter sends half a line and nothing more. The call times out, and as answers behind the half line
     could not be told apart, the connection is closed; the next call is answered on another one."""
     script = no_actions()
-    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=200_000)) as proxy:
-        add(proxy)
+    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=200_000)) as server:
+        add(server)
         reader, writer = await first_call(counter)
         writer.write(b"ok 1")
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
         assert await reader.read() == b""
-        client = proxy.program.proxy.counter
+        client = server.proxy.counter
         assert client is not None
         connection = next(one for one in client.connections if one.reconnect_not_before_s)
         while asyncio.get_running_loop().time() < connection.reconnect_not_before_s:
             await asyncio.sleep(0.01)
-        add(proxy)
+        add(server)
         _, writer = await first_call(counter)
         writer.write(b"ok 2\r\n")
         assert (await script.wait_for(CounterResult, 2))[1].total == 2.0
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -140,9 +140,9 @@
     safety = {**settings()["safety"], "drain_grace_us": int(grace_s * 1e6)}
     async with (
         Peer() as discovery,
-        running(discovery=f"127.0.0.1:{discovery.port}", settings=settings(safety=safety)) as proxy,
+        running(discovery=f"127.0.0.1:{discovery.port}", settings=settings(safety=safety)) as server,
     ):
-        client = proxy.program.discovery
+        client = server.discovery
         assert client.response_timeout_s + client.max_backoff_s < grace_s
         for _ in range(4):  # the backoff between them grows meanwhile
             reader, _ = await first_poll(discovery)
@@ -158,12 +158,12 @@
     health = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
     async with (
         Peer() as discovery,
-        running(discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", 9))) as proxy,
+        running(discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", 9))) as server,
     ):
         await first_poll(discovery)
-        assert (await proxy.call(health))[0].split()[1] == "503"
+        assert (await server.call(health))[0].split()[1] == "503"
         await discovery.connection()  # the first poll has ended without a response
-        assert (await proxy.call(health))[0].split()[1] == "200"
+        assert (await server.call(health))[0].split()[1] == "200"
 
 
 @socket_test
@@ -175,9 +175,9 @@
         Peer() as new,
         running(
             script, discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", old.port))
-        ) as proxy,
+        ) as server,
     ):
-        client, to_proxy = await proxy.client()
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         reader, writer = await old.connection()
         await read_message(reader)
@@ -196,8 +196,8 @@
 async def test_without_any_discovery_the_cached_list_serves() -> None:
     """Nobody listens at discovery's address, for as long as the process runs. The cached list is all there
     is, and requests go by it."""
-    async with Peer() as backend, running(known=whole_list(member("s-1", backend.port))) as proxy:
-        _, to_proxy = await proxy.client()
+    async with Peer() as backend, running(known=whole_list(member("s-1", backend.port))) as server:
+        _, to_proxy = await server.client()
         to_proxy.write(ask())
         reader, _ = await backend.connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "ab12"
@@ -210,7 +210,7 @@
     can be read is passed on at once, and the whole list is fetched. Where that is ambiguous as well, fetching
     it again and again would not help: the watch goes on."""
     script = no_actions()
-    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}") as proxy:
+    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}") as server:
         reader, writer = await first_poll(discovery)
         writer.write(snapshot(41, member("s-1", 9), member("s-2", 9)))
         assert "index=41&" in (await read_message(reader))[0]
@@ -220,7 +220,7 @@
         assert [(e.endpoint_id, e.state) for e in updates[2].endpoints] == [(b"s-2", EndpointState.DRAINING)]
         writer.write(snapshot(42, {"phase": "Ready"}, member("s-1", 9, phase="Terminating")))
         assert "index=42&" in (await read_message(reader))[0]
-        assert proxy.program.discovery.version == 42
+        assert server.discovery.version == 42
 
 
 @socket_test
@@ -231,17 +231,17 @@
         async with (
             Peer() as discovery,
             Peer() as backend,
-            running(Script(send_all), discovery=f"127.0.0.1:{discovery.port}") as proxy,
+            running(Script(send_all), discovery=f"127.0.0.1:{discovery.port}") as server,
         ):
             polls, to_client = await first_poll(discovery)
             to_client.write(snapshot(5, member("s-1", backend.port)))
             await read_message(polls)
-            client, to_proxy = await proxy.client()
+            client, to_proxy = await server.client()
             to_proxy.write(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
             to_client.write(response(6, member("s-1", backend.port, host_port="?")))
             await read_message(polls)
-            assert proxy.program.proxy.addresses == {b"s-1": ("127.0.0.1", backend.port)}
+            assert server.proxy.addresses == {b"s-1": ("127.0.0.1", backend.port)}
             writer.write(answer())
             assert (await read_message(client))[2] == b"done"
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -343,9 +343,9 @@
             loop.may_connect.clear()
         async with (
             Peer() as discovery,
-            running(discovery=f"127.0.0.1:{discovery.port}", known=cached_list) as proxy,
+            running(discovery=f"127.0.0.1:{discovery.port}", known=cached_list) as server,
         ):
-            client = proxy.program.discovery
+            client = server.discovery
             poll_ended = asyncio.Event()
             on_poll_failed = client.on_poll_failed
 
@@ -354,17 +354,17 @@
                 poll_ended.set()
 
             client.on_poll_failed = note_failure
-            assert not proxy.program.proxy.can_serve()
+            assert not server.proxy.can_serve()
             await loop.connecting.wait()
             await misbehave(discovery, loop, behaviour, client.response_timeout_s)
             await poll_ended.wait()
-            grace_us = proxy.program.proxy.settings.drain_grace_us
+            grace_us = server.proxy.settings.drain_grace_us
             assert loop.now <= worst_notification_delays_us(grace_us)["start"] / 1e6 <= 10
             loop.refuses = False
             loop.may_connect.set()
             is_ready = bool(cached_list and cached_list["members"])
-            assert proxy.program.proxy.can_serve() is is_ready
-            assert (await proxy.call(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
+            assert server.proxy.can_serve() is is_ready
+            assert (await server.call(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
 
     on_manual_clock(body)
 
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -19,8 +19,8 @@
 
 @socket_test
 async def test_a_request_is_forwarded_unchanged_and_its_response_returned() -> None:
-    async with running_with_backend() as (proxy, backend):
-        client, to_proxy = await proxy.client()
+    async with running_with_backend() as (server, backend):
+        client, to_proxy = await server.client()
         to_proxy.write(ask("file", Content_Length="5") + b"claim")
         reader, writer = await backend.connection()
         line, headers, body = await read_message(reader)
@@ -34,36 +34,36 @@
 
 @socket_test
 async def test_the_health_check_fails_until_there_is_an_endpoint_list() -> None:
-    async with Peer() as discovery, running(discovery=f"127.0.0.1:{discovery.port}") as proxy:
-        assert (await proxy.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 503")
+    async with Peer() as discovery, running(discovery=f"127.0.0.1:{discovery.port}") as server:
+        assert (await server.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 503")
         reader, writer = await discovery.connection()
         assert (await read_message(reader))[0] == "GET /catalog/members HTTP/1.1"
         writer.write(answer(200, as_json(whole_list(member("s-1", 9), revision=41))))
         assert (await read_message(reader))[0].startswith("GET /catalog/members?index=41&wait=")
-        assert (await proxy.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 200")
+        assert (await server.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 200")
 
 
 @socket_test
 async def test_a_client_that_leaves_releases_its_request() -> None:
     """The client resets while its attempt is out: the request ends, and the late response goes nowhere."""
-    async with running_with_backend() as (proxy, backend):
-        _, to_proxy = await proxy.client()
+    async with running_with_backend() as (server, backend):
+        _, to_proxy = await server.client()
         to_proxy.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
         to_proxy.transport.abort()
         writer.write(answer())
-        while proxy.program.proxy.requests:
+        while server.proxy.requests:
             await asyncio.sleep(0)
-        assert proxy.unanswered == 0
+        assert server.unanswered == 0
 
 
 @socket_test
 async def test_an_upstream_connection_is_reused() -> None:
     """The parser says only within its own call whether the peer keeps the connection."""
-    async with running_with_backend() as (proxy, backend):
-        proxy.program.pool.reuse.quarantine_s = 0.0
-        client, to_proxy = await proxy.client()
+    async with running_with_backend() as (server, backend):
+        server.pool.reuse.quarantine_s = 0.0
+        client, to_proxy = await server.client()
         to_proxy.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         for trace in ("a1", "a2"):
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -10,7 +10,7 @@
 from tests.loopback import (
     HEALTH_CHECK,
     Peer,
-    RunningProxy,
+    RunningServer,
     Script,
     answer,
     ask,
@@ -28,8 +28,8 @@
 LATEST_NEW_CONNECTION_S = 0.4  # after SIGTERM, by the pages
 
 
-async def until_it_listens_no_more(proxy: RunningProxy) -> None:
-    while proxy.program.clients.listener.socket is not None:
+async def until_it_listens_no_more(server: RunningServer) -> None:
+    while server.clients.listener.socket is not None:
         await asyncio.sleep(0.001)
 
 
@@ -64,19 +64,19 @@
         Peer() as backend,
         running(
             script, settings=settings(profiles=short), known=whole_list(member("s-1", backend.port))
-        ) as proxy,
+        ) as server,
     ):
-        client, to_proxy = await proxy.client()
+        client, to_proxy = await server.client()
         to_proxy.write(ask()[:40])
-        while not proxy.program.clients.has_pending_work():
+        while not server.clients.has_pending_work():
             await asyncio.sleep(0)
-        proxy.program.shut_down()
-        proxy.program.proxy._end_all()
-        await until_it_listens_no_more(proxy)
+        server.shut_down()
+        server.proxy._end_all()
+        await until_it_listens_no_more(server)
         to_proxy.write(ask()[40:])
         await backend.connection()
         assert (await read_message(client))[0].split()[1] == "500"
-        await proxy.program.stopped.wait()
+        await server.stopped.wait()
 
 
 @socket_test
@@ -84,21 +84,21 @@
     """Half a request has arrived as the listener closes. Nothing is in flight, but a response is owed: the
     process must not end before the other half has come and was answered."""
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
-        client, to_proxy = await proxy.client()
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+        client, to_proxy = await server.client()
         to_proxy.write(ask()[:-4])
-        while not proxy.program.clients.has_pending_work():
+        while not server.clients.has_pending_work():
             await asyncio.sleep(0)
-        proxy.program.shut_down()
-        await until_it_listens_no_more(proxy)
-        assert not proxy.program.stopped.is_set()
+        server.shut_down()
+        await until_it_listens_no_more(server)
+        assert not server.stopped.is_set()
         to_proxy.write(ask()[-4:])
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         line, headers, _ = await read_message(client)
         assert (line.split()[1], headers["connection"]) == ("200", "close")
-        await proxy.program.stopped.wait()
+        await server.stopped.wait()
 
 
 @socket_test
@@ -106,16 +106,16 @@
     """A client has connected and sends its first request after the listener was closed. Its connection is
     idle, but it was not closed with the other idle ones: its request is answered."""
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
-        client, to_proxy = await proxy.client()
-        proxy.program.shut_down()
-        await until_it_listens_no_more(proxy)
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+        client, to_proxy = await server.client()
+        server.shut_down()
+        await until_it_listens_no_more(server)
         to_proxy.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
         writer.write(answer())
         assert (await read_message(client))[0].split()[1] == "200"
-        await proxy.program.stopped.wait()
+        await server.stopped.wait()
 
 
 @socket_test
@@ -123,12 +123,12 @@
     """Many clients have connected, and the kernel holds them until they are accepted. A listener that is
     closed resets them, and their requests with them; so it accepts all of them first."""
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
-        address = ("127.0.0.1", proxy.program.clients.port())
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+        address = ("127.0.0.1", server.clients.port())
         waiting = [socket.create_connection(address) for _ in range(20)]  # more than one turn accepts
         for n, connection in enumerate(waiting):
             connection.sendall(ask(trace=f"t{n}"))
-        proxy.program.clients.stop_listening()  # in the same turn: the loop has accepted none of them yet
+        server.clients.stop_listening()  # in the same turn: the loop has accepted none of them yet
         for _ in waiting:
             reader, writer = await backend.connection()
             await read_message(reader)
@@ -145,13 +145,13 @@
     """A connection is closed behind its last response while bytes of further requests wait unread. The kernel
     would answer them by a reset, which discards the responses that the client has not read yet."""
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
-        reader, writer = await proxy.client()
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+        reader, writer = await server.client()
         writer.write(b"".join(ask(trace=f"t{n}") for n in range(4)))  # as many as a connection may pipeline
         streams = [await backend.connection() for _ in range(4)]
         writer.write(b"x" * 200_000)  # left unread
         await writer.drain()
-        proxy.program.clients.is_draining = True
+        server.clients.is_draining = True
         for to_backend, backend_writer in streams:
             await read_message(to_backend)
             backend_writer.write(answer(200, b"y" * 60_000))
@@ -164,16 +164,16 @@
     """The second of two pipelined requests is answered before the shutdown, the first one after it began. The
     second response goes out last, and its connection must close behind it, not once it was idle for long."""
     script = Script(lambda event: [])
-    async with running(script) as proxy:
-        reader, writer = await proxy.client()
+    async with running(script) as server:
+        reader, writer = await server.client()
         writer.write(ask(trace="a") + ask(trace="b"))
         await script.wait_for(RequestArrived, 2)
-        proxy.program.proxy.apply(Reject(2))
-        proxy.program.clients.is_draining = True
-        proxy.program.proxy.apply(Reject(1))
+        server.proxy.apply(Reject(2))
+        server.clients.is_draining = True
+        server.proxy.apply(Reject(1))
         for _ in range(2):
             assert (await read_message(reader))[0].split()[1] == "429"
-        connections = proxy.program.clients.connections
+        connections = server.clients.connections
         assert all(connection.state is State.CLOSING for connection in connections)
         assert await reader.read() == b""
 
@@ -184,26 +184,26 @@
     ended now, the rest would be lost."""
     body = b"y" * 60_000
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
         with socket.socket() as slow:
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # far less than the response
-            slow.connect(("127.0.0.1", proxy.program.clients.port()))
+            slow.connect(("127.0.0.1", server.clients.port()))
             slow.setblocking(False)
             slow.sendall(ask())
             reader, writer = await backend.connection()
             await read_message(reader)
-            [client] = proxy.program.clients.connections
+            [client] = server.clients.connections
             assert client.transport is not None
             client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            proxy.program.clients.is_draining = True
+            server.clients.is_draining = True
             writer.write(answer(200, body))
             while client.state is not State.CLOSING:
                 await asyncio.sleep(0)
-            assert proxy.program.clients.has_pending_work()
+            assert server.clients.has_pending_work()
             received = b""
             while not received.endswith(body):
                 received += await asyncio.get_running_loop().sock_recv(slow, 65_536)
-            while proxy.program.clients.has_pending_work():
+            while server.clients.has_pending_work():
                 await asyncio.sleep(0)
 
 
@@ -212,17 +212,17 @@
     """Clients learn late that a front door drains, and connect to it for a while. Were the listener closed
     at once, they would be refused. Each connection says that it closes, so that its client goes elsewhere."""
     script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
-        idle, to_idle = await proxy.client()
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+        idle, to_idle = await server.client()
         to_idle.write(HEALTH_CHECK)
         await read_message(idle)
-        client, to_proxy = await proxy.client()
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
-        proxy.program.shut_down()
+        server.shut_down()
         await asyncio.sleep(0.05)
-        late, to_late = await proxy.client()
+        late, to_late = await server.client()
         to_late.write(ask(trace="a2"))
         late_reader, late_writer = await backend.connection()
         await read_message(late_reader)
@@ -233,7 +233,7 @@
         writer.write(answer())
         assert (await read_message(client))[1]["connection"] == "close"
         assert await idle.read() == b""
-        await proxy.program.stopped.wait()
+        await server.stopped.wait()
 
 
 @socket_test
@@ -242,10 +242,10 @@
     script = Script(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as proxy:
-        client, to_proxy = await proxy.client()
+    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         await backend.connection()
-        proxy.program.shut_down()
+        server.shut_down()
         assert (await read_message(client))[0].split()[1] == "500"
-        await proxy.program.stopped.wait()
+        await server.stopped.wait()
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -40,10 +40,10 @@
     async with (
         Peer() as first,
         Peer() as second,
-        running(script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as proxy,
+        running(script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as server,
     ):
-        delayed = DelayedConnections(proxy, second.port)
-        client, to_proxy = await proxy.client()
+        delayed = DelayedConnections(server, second.port)
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         reader, writer = await first.connection()
         await read_message(reader)
@@ -55,7 +55,7 @@
             0: (Outcome.OK, True),
             1: (Outcome.NOT_SENT, True),
         }
-        await proxy.call(HEALTH_CHECK)
+        await server.call(HEALTH_CHECK)
         assert second.accepted.empty()
 
 
@@ -63,16 +63,16 @@
 async def test_an_attempt_still_connecting_at_the_final_answer_is_never_written() -> None:
     """The decisions give the request up while its one attempt still connects."""
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        delayed = DelayedConnections(proxy, backend.port)
-        client, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        delayed = DelayedConnections(server, backend.port)
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         await delayed.requested.wait()
-        proxy.program.proxy.apply(Fail(1))
+        server.proxy.apply(Fail(1))
         assert await read_status(client) == "502"
         delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
-        await all_released(proxy)
+        await all_released(server)
         assert backend.accepted.empty()
 
 
@@ -90,12 +90,12 @@
         first, second = member("s-1", one.port), member("s-2", two.port)
         async with running(
             script, known=whole_list(first, second), discovery=f"127.0.0.1:{discovery.port}"
-        ) as proxy:
-            proxy.program.pool.connect_timeout_s = LIMIT
+        ) as server:
+            server.pool.connect_timeout_s = LIMIT
             from_proxy, to_discovery_client = await discovery.connection()
             await read_message(from_proxy)
-            delayed = DelayedConnections(proxy, one.port)
-            client, to_proxy = await proxy.client()
+            delayed = DelayedConnections(server, one.port)
+            client, to_proxy = await server.client()
             to_proxy.write(ask())
             await delayed.requested.wait()
             update = whole_list({**first, "phase": "Terminating"}, second)
@@ -105,7 +105,7 @@
             writer.write(answer())
             assert await read_status(client) == "200"
             delayed.may_connect.set()
-            await proxy.call(HEALTH_CHECK)
+            await server.call(HEALTH_CHECK)
             assert one.accepted.empty()
 
 
@@ -116,13 +116,13 @@
     The timeout must not end the attempt: its request has been written.
     """
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        pool = proxy.program.pool
+    async with running_with_backend(script) as (server, backend):
+        pool = server.pool
         pool.connect_timeout_s = 0.05
-        delayed = DelayedConnections(proxy, backend.port)
+        delayed = DelayedConnections(server, backend.port)
         delayed.may_connect.set()
         delayed.may_return = asyncio.Event()
-        client, to_proxy = await proxy.client()
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         reader, writer = await backend.connection()
         await read_message(reader)
@@ -142,26 +142,26 @@
     async def run() -> None:
         script = Script(attempt_each(b"s-1", begin_within_us=30_000))
         async with running_with_backend(script, settings=settings(profiles=PATIENT_CLASSES)) as (
-            proxy,
+            server,
             backend,
         ):
-            proxy.program.pool.connect_timeout_s = LIMIT
-            delayed = DelayedConnections(proxy, backend.port)
-            _, to_proxy = await proxy.client()
+            server.pool.connect_timeout_s = LIMIT
+            delayed = DelayedConnections(server, backend.port)
+            _, to_proxy = await server.client()
             to_proxy.write(ask("file", X_Expires_In="60000m"))
             await delayed.requested.wait()
             if has_timer:
                 [ended] = await script.wait_for(AttemptEnded)
                 assert not ended.request_ended
             else:
-                [request] = proxy.program.proxy.requests.values()
+                [request] = server.proxy.requests.values()
                 assert request.attempts[0].send_by_timer is not None
                 request.attempts[0].send_by_timer.cancel()
-                proxy.program.proxy.clock.offset_ns += 10**9
+                server.proxy.clock.offset_ns += 10**9
             delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
-            proxy.program.proxy.apply(Fail(1))
-            await all_released(proxy)
+            server.proxy.apply(Fail(1))
+            await all_released(server)
             assert backend.accepted.empty() or not await (await backend.connection())[0].read()
 
     socket_test(run)()
@@ -171,9 +171,9 @@
 async def test_a_retry_written_within_its_window_keeps_its_whole_timeout() -> None:
     """The bound is for the writing alone: an attempt that is written in time waits for its response."""
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        proxy.program.pool.reuse.quarantine_s = 0.0
-        client, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        server.pool.reuse.quarantine_s = 0.0
+        client, to_proxy = await server.client()
         to_proxy.write(ask("file"))
         reader, writer = await backend.connection()
         await read_message(reader)
@@ -182,6 +182,6 @@
         script.reply = attempt_each(b"s-1", begin_within_us=1)
         to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
         await read_message(reader)
-        proxy.program.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
+        server.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
         writer.write(answer())
         assert await read_status(client) == "200"
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -43,13 +43,13 @@
             raise RuntimeError("a fault of the decisions")
         return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
-    async with running(Script(raise_on_one_tenant)) as proxy:
-        reader, writer = await proxy.client()
+    async with running(Script(raise_on_one_tenant)) as server:
+        reader, writer = await server.client()
         good = ask(Account=OTHER_TENANT)
         failing = ask(trace="b", Account=FAILING_TENANT)
         writer.write(good + failing + ask(trace="c", Account=OTHER_TENANT))
         assert [await read_status(reader) for _ in range(3)] == ["429", "500", "429"]
-        line, _, _ = await proxy.call(good)
+        line, _, _ = await server.call(good)
         assert line.split()[1] == "429"
 
 
@@ -66,8 +66,8 @@
         ]
         return actions
 
-    async with running(Script(with_unusable_actions)) as proxy:
-        line, _, _ = await proxy.call(ask())
+    async with running(Script(with_unusable_actions)) as server:
+        line, _, _ = await server.call(ask())
         assert line.split()[1] == "429"
 
 
@@ -81,8 +81,8 @@
         return [attempt, CancelAttempt(request_id, 1), CancelAttempt(request_id, -1), CancelAttempt(9, 0)]
 
     script = Script(cancel_around)
-    async with running_with_backend(script) as (proxy, backend):
-        _, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        _, to_proxy = await server.client()
         to_proxy.write(ask(X_Expires_In="200m"))
         await backend.connection()
         [ended] = await script.wait_for(AttemptEnded)
@@ -95,13 +95,13 @@
     and the deadline guard are due at once then; the decisions reject the request, and a rejection promises
     the client more than the guard's failure does."""
     capped = [{**settings()["packages"][0], "concurrency": 1}]
-    async with running_with_backend(settings=settings(packages=capped)) as (proxy, backend):
-        _, to_first = await proxy.client()
+    async with running_with_backend(settings=settings(packages=capped)) as (server, backend):
+        _, to_first = await server.client()
         to_first.write(ask(trace="first"))
         await backend.connection()
-        client, to_proxy = await proxy.client()
+        client, to_proxy = await server.client()
         to_proxy.write(ask(trace="queued", X_Expires_In="100m"))
-        gateway = cast(Gateway, proxy.program.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decisions.decider)
         while not any(tenant.queue for tenant in gateway.tenants.values()):
             await asyncio.sleep(0)
         time.sleep(0.2)
@@ -110,18 +110,18 @@
 
 @socket_test
 async def test_what_the_decisions_never_answer_the_deadline_guard_does() -> None:
-    async with running(Script(hold_all)) as proxy:
-        line, _, _ = await proxy.call(ask(X_Expires_In="50m"))
+    async with running(Script(hold_all)) as server:
+        line, _, _ = await server.call(ask(X_Expires_In="50m"))
         assert line.split()[1] == "500"
-        assert not proxy.program.proxy.requests
+        assert not server.proxy.requests
 
 
 @socket_test
 async def test_an_attempt_beyond_the_most_that_a_request_may_have_is_not_sent() -> None:
     most = settings()["permissions"]["max_attempts"]
     script = Script(attempt_each(*[b"s-1"] * (most + 1)))
-    async with running_with_backend(script) as (proxy, backend):
-        _, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        _, to_proxy = await server.client()
         to_proxy.write(ask())
         for _ in range(most):
             await backend.connection()
@@ -147,9 +147,9 @@
     """The loop's timer fires early. Notified then, the decisions would find nothing due, and would not ask to
     be called again: what waits would wait for good."""
     script = Script(lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else [])
-    async with running(script) as proxy:
+    async with running(script) as server:
         loop = EarlyTimers(asyncio.get_running_loop())
-        proxy.program.proxy.loop = cast(asyncio.AbstractEventLoop, loop)
+        server.proxy.loop = cast(asyncio.AbstractEventLoop, loop)
         handled_at_us: dict[type[Event], int] = {}
         handle = script.handle
 
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -41,15 +41,15 @@
     """Discovery moves while a watch is open. Each discovery counts its own versions, so the version that we
     have says nothing at the new one: the whole list is fetched there, and ours stands until it comes."""
     script = Script(lambda event: [])
-    async with Peer() as old, Peer() as new, running(script, discovery=f"127.0.0.1:{old.port}") as proxy:
+    async with Peer() as old, Peer() as new, running(script, discovery=f"127.0.0.1:{old.port}") as server:
         reader, writer = await old.connection()
         await read_message(reader)
         writer.write(answer(200, as_json(whole_list(member("s-1", 9), revision=41))))
         await read_message(reader)
         for _ in range(3):  # several in a row
-            proxy.program.discovery.move(("127.0.0.1", new.port))
+            server.discovery.move(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch there is dropped
-        assert proxy.program.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
+        assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the first moves only end
             to_new, agent = await new.connection()
             if line := await to_new.readline():
@@ -71,12 +71,12 @@
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
+        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
-        add(proxy)
+        add(server)
         reader, writer = await first_call(old)
-        proxy.program.proxy.move_counter(("127.0.0.1", new.port))
-        add(proxy, amount=2.0)
+        server.proxy.move_counter(("127.0.0.1", new.port))
+        add(server, amount=2.0)
         to_new, counter = await new.connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -94,10 +94,10 @@
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
+        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
-        add(proxy)
-        proxy.program.proxy.move_counter(("127.0.0.1", new.port))
+        add(server)
+        server.proxy.move_counter(("127.0.0.1", new.port))
         reader, writer = await new.connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -112,11 +112,11 @@
     async with (
         Peer() as old,
         Peer() as new,
-        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as proxy,
+        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
-        add(proxy)
+        add(server)
         reader, _ = await first_call(old)
-        proxy.program.proxy.move_counter(("127.0.0.1", new.port))
+        server.proxy.move_counter(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -105,8 +105,8 @@
     @socket_test
     async def run() -> None:
         script = Script(hold_all)
-        async with running(script) as proxy:
-            line, _, _ = await proxy.call(request_bytes)
+        async with running(script) as server:
+            line, _, _ = await server.call(request_bytes)
             assert line.split()[1] == str(status)
             assert not [e for e in script.seen if isinstance(e, RequestArrived)]
 
@@ -115,17 +115,17 @@
 
 @socket_test
 async def test_a_complete_chunked_body_is_accepted() -> None:
-    async with running(Script(reject_each)) as proxy:
+    async with running(Script(reject_each)) as server:
         request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
-        line, _, _ = await proxy.call(request + b"3\r\nabc\r\n0\r\n\r\n")
+        line, _, _ = await server.call(request + b"3\r\nabc\r\n0\r\n\r\n")
         assert line.split()[1] == "429"
 
 
 @socket_test
 async def test_trailers_are_not_read_as_headers() -> None:
     """A trailer behind a chunked body names another trace id: it must not replace that of the head."""
-    async with running_with_backend(Script(attempt_each(b"s-1"))) as (proxy, backend):
-        _, to_proxy = await proxy.client()
+    async with running_with_backend(Script(attempt_each(b"s-1"))) as (server, backend):
+        _, to_proxy = await server.client()
         to_proxy.write(
             ask("file", Content_Length=None, Transfer_Encoding="chunked")
             + b"3\r\nabc\r\n0\r\nX-Trace-Id: other\r\nX-More: 1\r\n\r\n"
@@ -138,8 +138,8 @@
 @socket_test
 async def test_the_time_left_is_bounded_by_the_deadline_of_the_class() -> None:
     script = Script(hold_all)
-    async with running(script) as proxy:
-        _, to_proxy = await proxy.client()
+    async with running(script) as server:
+        _, to_proxy = await server.client()
         to_proxy.write(ask(X_Expires_In="3000000m"))
         [arrival] = await script.wait_for(RequestArrived)
         assert arrival.time_left_us <= 10_000_000
@@ -149,12 +149,12 @@
 async def test_the_trace_id_of_a_pending_request_is_rejected() -> None:
     """Two clients use one trace id: with both pending, the answers could not be told apart."""
     script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (proxy, backend):
-        client, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        client, to_proxy = await server.client()
         to_proxy.write(ask(trace="a1"))
         reader, writer = await backend.connection()
         await read_message(reader)
-        assert (await proxy.call(ask(trace="a1")))[0].split()[1] == "409"
+        assert (await server.call(ask(trace="a1")))[0].split()[1] == "409"
         writer.write(answer(200, b"mine"))
         assert (await read_message(client))[2] == b"mine"
         assert len(await script.wait_for(RequestArrived)) == 1
@@ -169,8 +169,8 @@
     def reject_for_a_quarter_second(event: Event) -> list[Action]:
         return [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
 
-    async with running(Script(reject_for_a_quarter_second)) as proxy:
-        reader, writer = await proxy.client()
+    async with running(Script(reject_for_a_quarter_second)) as server:
+        reader, writer = await server.client()
         writer.write(ask(Plan="unheard-of") + ask())
         assert await read_status(reader) == "400"
         line, headers, _ = await read_message(reader)
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -56,8 +56,8 @@
     @socket_test
     async def run() -> None:
         script = Script(send_all)
-        async with running_with_backend(script) as (proxy, backend):
-            (client, _), (_, writer) = await forward(proxy, backend)
+        async with running_with_backend(script) as (server, backend):
+            (client, _), (_, writer) = await forward(server, backend)
             writer.write(written)
             if written in (CLOSE, answer(200, b"yes")[:-1]):
                 writer.close()
@@ -73,8 +73,8 @@
 @socket_test
 async def test_load_report_and_usage_reach_the_decisions() -> None:
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        _, (_, writer) = await forward(proxy, backend)
+    async with running_with_backend(script) as (server, backend):
+        _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
         writer.write(answer(extra=load_report + "Usage-Percent: 140\r\n"))
         [ended] = await script.wait_for(AttemptEnded)
@@ -84,8 +84,8 @@
 @socket_test
 async def test_figures_beyond_any_load_are_dropped() -> None:
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        _, (_, writer) = await forward(proxy, backend)
+    async with running_with_backend(script) as (server, backend):
+        _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"
         writer.write(answer(extra=load_report))
         [ended] = await script.wait_for(AttemptEnded)
@@ -117,9 +117,9 @@
     """A backend hangs in the middle of a response; its client's time is long. Backends write a response at
     once, so the rest is not waited for until the deadline."""
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        proxy.program.pool.stall_timeout_s = 0.02
-        (client, _), (_, writer) = await forward(proxy, backend, ask(X_Expires_In="3000000m"))
+    async with running_with_backend(script) as (server, backend):
+        server.pool.stall_timeout_s = 0.02
+        (client, _), (_, writer) = await forward(server, backend, ask(X_Expires_In="3000000m"))
         writer.write(answer()[:10])
         assert await read_status(client) == "502"
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.CONNECTION_LOST]
@@ -127,10 +127,10 @@
 
 @socket_test
 async def test_an_interim_response_is_not_one_that_stalls() -> None:
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        proxy.program.pool.stall_timeout_s = 0.0
-        (client, _), (_, writer) = await forward(proxy, backend)
-        [connection] = proxy.program.pool.connections
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        server.pool.stall_timeout_s = 0.0
+        (client, _), (_, writer) = await forward(server, backend)
+        [connection] = server.pool.connections
         writer.write(INTERIM)
         while connection.reader is None or not connection.reader.interim_count:
             await asyncio.sleep(0)
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -18,7 +18,7 @@
 from tests.loopback import (
     HEALTH_CHECK,
     Peer,
-    RunningProxy,
+    RunningServer,
     Script,
     answer,
     ask,
@@ -65,8 +65,8 @@
     async with Peer() as backend:
         port = backend.port
     script = Script(send_all)  # nobody listens there any more
-    async with running(script, known=whole_list(member("s-1", port))) as proxy:
-        line, _, _ = await proxy.call(ask())
+    async with running(script, known=whole_list(member("s-1", port))) as server:
+        line, _, _ = await server.call(ask())
         assert line.split()[1] == "502"
         assert await outcomes(script) == [Outcome.NOT_CONNECTED]
 
@@ -83,11 +83,11 @@
             caller.setblocking(False)
             caller.connect_ex(listener.getsockname())
         script = Script(send_all)
-        async with running(script, known=whole_list(member("s-1", listener.getsockname()[1]))) as proxy:
-            line, _, _ = await proxy.call(ask(X_Expires_In="3000000m"))
+        async with running(script, known=whole_list(member("s-1", listener.getsockname()[1]))) as server:
+            line, _, _ = await server.call(ask(X_Expires_In="3000000m"))
             assert line.split()[1] == "502"
             assert await outcomes(script) == [Outcome.NOT_CONNECTED]
-            assert not proxy.program.pool.connections
+            assert not server.pool.connections
 
 
 @socket_test
@@ -98,8 +98,8 @@
         return send_all(event)
 
     script = Script(with_timeout)
-    async with running_with_backend(script) as (proxy, backend):
-        (client, _), (reader, _) = await forward(proxy, backend)
+    async with running_with_backend(script) as (server, backend):
+        (client, _), (reader, _) = await forward(server, backend)
         assert await read_status(client) == "502"
         [ended] = await script.wait_for(AttemptEnded)
         assert ended.outcome is Outcome.TIMED_OUT and not ended.request_ended
@@ -111,8 +111,8 @@
     """Backend and decisions are silent. The attempt ends with the client's time, and the deadline guard gives
     the client its one final answer."""
     script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (proxy, backend):
-        client, to_proxy = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        client, to_proxy = await server.client()
         to_proxy.write(ask(X_Expires_In="1000m"))
         reader, _ = await backend.connection()
         _, headers, _ = await read_message(reader)
@@ -130,9 +130,9 @@
     async with (
         Peer() as one,
         Peer() as two,
-        running(script, known=whole_list(member("s-1", one.port), member("s-2", two.port))) as proxy,
+        running(script, known=whole_list(member("s-1", one.port), member("s-2", two.port))) as server,
     ):
-        client, to_proxy = await proxy.client()
+        client, to_proxy = await server.client()
         to_proxy.write(ask())
         first, to_first = await one.connection()
         second, to_second = await two.connection()
@@ -148,7 +148,7 @@
         ]
         to_proxy.write(HEALTH_CHECK)
         assert (await read_message(client))[2] == b"ready\n"
-        assert not proxy.program.proxy.requests
+        assert not server.proxy.requests
 
 
 @socket_test
@@ -157,8 +157,8 @@
         return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
 
     script = Script(cancel_as_the_client_leaves)
-    async with running_with_backend(script) as (proxy, backend):
-        (_, to_proxy), (reader, _) = await forward(proxy, backend)
+    async with running_with_backend(script) as (server, backend):
+        (_, to_proxy), (reader, _) = await forward(server, backend)
         to_proxy.transport.abort()
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.outcome, ended.request_ended) == (Outcome.CANCELLED, True)
@@ -256,12 +256,12 @@
     async def run() -> None:
         script = Script(send_all)
         backends = SmallBufferBackends()
-        async with running(script, known=backends.known) as proxy:
-            connection, backend_end = await backends.partly_sent(proxy)
-            proxy.program.pool.drain_endpoint(b"s-1")
+        async with running(script, known=backends.known) as server:
+            connection, backend_end = await backends.partly_sent(server)
+            server.pool.drain_endpoint(b"s-1")
             received = b"" if is_partly_sent else await read_while_unsent(backend_end, connection)
             unsent = unsent_bytes(connection)
-            end(proxy.program.proxy, connection, backend_end, backends)
+            end(server.proxy, connection, backend_end, backends)
             if end is by_reset:
                 return await assert_outcome(script)
             if end is by_client:
@@ -270,7 +270,7 @@
                     backend_end.send(answer())
             received += read_in_this_turn(backend_end)  # the kernel has room before the loop runs again
             await assert_outcome(script)
-            while is_partly_sent and (part := await proxy.program.loop.sock_recv(backend_end, 65_536)):
+            while is_partly_sent and (part := await server.loop.sock_recv(backend_end, 65_536)):
                 received += part
             head_bytes = received.index(b"\r\n\r\n") + 4
             assert is_partly_sent is (unsent > 0)
@@ -290,14 +290,14 @@
     @socket_test
     async def run() -> None:
         backends = SmallBufferBackends(2)
-        async with running(settings=settings(profiles=not_idempotent), known=backends.known) as proxy:
-            connection, backend_end = await backends.partly_sent(proxy)
+        async with running(settings=settings(profiles=not_idempotent), known=backends.known) as server:
+            connection, backend_end = await backends.partly_sent(server)
             if not is_partly_sent:
                 await read_while_unsent(backend_end, connection)
             reset(backend_end)
             if is_partly_sent:
                 backend_end = await backends.accept()
-                connection = await backends.stuck_connection(proxy)
+                connection = await backends.stuck_connection(server)
                 await read_while_unsent(backend_end, connection)
                 backend_end.send(answer())
             assert await read_status(backends.client) == ("200" if is_partly_sent else "502")
@@ -323,10 +323,10 @@
 @socket_test
 async def test_a_request_written_to_a_connection_just_reset_never_ran() -> None:
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        pool = proxy.program.pool
+    async with running_with_backend(script) as (server, backend):
+        pool = server.pool
         pool.reuse.quarantine_s = NO_QUARANTINE_S
-        (client, to_proxy), (_, writer) = await forward(proxy, backend)
+        (client, to_proxy), (_, writer) = await forward(server, backend)
         writer.write(answer())
         await read_message(client)
         [idle] = pool.idle[b"s-1"]
@@ -335,10 +335,10 @@
         assert await outcomes(script, 2) == [Outcome.OK, Outcome.NOT_CONNECTED]
 
 
-async def served_on_small_buffers(proxy: RunningProxy, backends: SmallBufferBackends) -> socket.socket:
+async def served_on_small_buffers(server: RunningServer, backends: SmallBufferBackends) -> socket.socket:
     """A first request is served; the backend's end of its connection, which is idle now."""
-    backends.connect_for(proxy)
-    client, to_proxy = await proxy.client()
+    backends.connect_for(server)
+    client, to_proxy = await server.client()
     to_proxy.write(ask())
     backend_end = await backends.accept()
     await backends.loop.sock_recv(backend_end, FIRST_REQUEST_MAX_BYTES)
@@ -353,11 +353,11 @@
     kernel has the new request whole, and the backend has not acknowledged it, so it has not read it."""
     script = Script(send_all)
     backends = SmallBufferBackends()
-    async with running(script, known=backends.known) as proxy:
-        pool = proxy.program.pool
+    async with running(script, known=backends.known) as server:
+        pool = server.pool
         pool.reuse.quarantine_s = NO_QUARANTINE_S
-        backend_end = await served_on_small_buffers(proxy, backends)
-        connection, _ = await backends.partly_sent(proxy, backend_end)
+        backend_end = await served_on_small_buffers(server, backends)
+        connection, _ = await backends.partly_sent(server, backend_end)
         pool.reuse.quarantine_s = 1e6  # late bytes may show for as long
         await read_while_unsent(backend_end, connection)
         backend_end.send(answer(200, b"late"))
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -29,11 +29,11 @@
 
 @socket_test
 async def test_an_idle_connection_that_the_backend_closed_is_not_used() -> None:
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        client = await proxy.client()
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        client = await server.client()
         _, writer = await serve_on_new_connection(client, backend, "a1")
         writer.close()
-        while proxy.program.pool.connections:
+        while server.pool.connections:
             await asyncio.sleep(0)
         client[1].write(ask(trace="a2"))
         await accept_request(backend, "a2")
@@ -44,12 +44,12 @@
     """All descriptors for upstreams are in use. That says nothing of the backend: an outcome against it would
     have it ejected as an outlier."""
     script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (proxy, backend):
-        proxy.program.pool.max_connections = 1
-        _, first = await proxy.client()
+    async with running_with_backend(script) as (server, backend):
+        server.pool.max_connections = 1
+        _, first = await server.client()
         first.write(ask())
         await backend.connection()
-        _, second = await proxy.client()
+        _, second = await server.client()
         second.write(ask(trace="a2"))
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
 
@@ -59,24 +59,24 @@
     def spread(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
-    async with running_with_backend(Script(spread)) as (proxy, backend):
-        proxy.program.pool.max_connections = 1
-        update = proxy.program.discovery.decoder.decode(
+    async with running_with_backend(Script(spread)) as (server, backend):
+        server.pool.max_connections = 1
+        update = server.discovery.decoder.decode(
             whole_list(member("s-1", backend.port), member("s-2", backend.port))
         )
-        proxy.program.proxy.apply_update(update.update, update.addresses)
-        client = await proxy.client()
+        server.proxy.apply_update(update.update, update.addresses)
+        client = await server.client()
         reader, _ = await serve_on_new_connection(client, backend, "a1")
         await serve_on_new_connection(client, backend, "a2")
         assert await reader.read() == b""
-        assert list(proxy.program.pool.idle) == [b"s-2"]
+        assert list(server.pool.idle) == [b"s-2"]
 
 
 @socket_test
 async def test_an_endpoint_without_an_address_gets_no_attempt() -> None:
     script = Script(lambda event: send_all(event, b"s-2"))
-    async with running_with_backend(script) as (proxy, backend):
-        line, _, _ = await proxy.call(ask())
+    async with running_with_backend(script) as (server, backend):
+        line, _, _ = await server.call(ask())
         assert line.split()[1] == "502"
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
         assert backend.accepted.empty()
@@ -90,11 +90,11 @@
     def old_then_new(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
-    async with running_with_backend(Script(old_then_new)) as (proxy, backend):
-        proxy.program.pool.reuse.quarantine_s = NO_QUARANTINE_S
-        (client, to_proxy), (reader, writer) = await forward(proxy, backend, ask(trace="a1"))
-        decoded = proxy.program.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
-        proxy.program.proxy.apply_update(decoded.update, decoded.addresses)
+    async with running_with_backend(Script(old_then_new)) as (server, backend):
+        server.pool.reuse.quarantine_s = NO_QUARANTINE_S
+        (client, to_proxy), (reader, writer) = await forward(server, backend, ask(trace="a1"))
+        decoded = server.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
+        server.proxy.apply_update(decoded.update, decoded.addresses)
         writer.write(answer(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
@@ -106,11 +106,11 @@
 async def test_a_closed_connection_leaves_nothing_for_the_garbage_collector() -> None:
     """Connection, reader and parser refer to each other. Left as a cycle they stay until the collector runs,
     whose pauses grow with all that waits for it."""
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
+    async with running_with_backend(Script(send_all)) as (server, backend):
         gc.disable()
         try:
-            (client, _), (_, writer) = await forward(proxy, backend)
-            held = next(iter(proxy.program.pool.connections))
+            (client, _), (_, writer) = await forward(server, backend)
+            held = next(iter(server.pool.connections))
             assert held.reader is not None
             references: list[weakref.ref[Any]] = [weakref.ref(held), weakref.ref(held.reader)]
             del held
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -8,7 +8,7 @@
 from typing import Any, cast
 
 from yardlane.proxy.upstream_connection import UpstreamConnection
-from tests.loopback import Peer, RunningProxy, Streams, answer, ask, member, read_message, whole_list
+from tests.loopback import Peer, RunningServer, Streams, answer, ask, member, read_message, whole_list
 
 SMALL_SEND_BUFFER_BYTES = 4096  # of the kernel's: far less than `LARGE_REQUEST_BYTES`
 SMALL_RECEIVE_BUFFER_BYTES = 1024
@@ -24,9 +24,9 @@
     return reader, writer
 
 
-async def forward(proxy: RunningProxy, backend: Peer, request: bytes = ask()) -> tuple[Streams, Streams]:
+async def forward(server: RunningServer, backend: Peer, request: bytes = ask()) -> tuple[Streams, Streams]:
     """A new client's request, forwarded on a new connection: the client's streams and the backend's."""
-    client, to_proxy = await proxy.client()
+    client, to_proxy = await server.client()
     to_proxy.write(request)
     return (client, to_proxy), await accept_request(backend)
 
@@ -104,20 +104,20 @@
         await self.loop.sock_connect(made, (host, port))
         return await self.loop.create_connection(make_protocol, sock=made)
 
-    def connect_for(self, proxy: RunningProxy) -> None:
+    def connect_for(self, server: RunningServer) -> None:
         """Connections of this proxy's pool have small buffers from now on."""
-        proxy.program.pool.loop = cast(asyncio.AbstractEventLoop, self)
+        server.pool.loop = cast(asyncio.AbstractEventLoop, self)
 
     async def partly_sent(
-        self, proxy: RunningProxy, backend_end: socket.socket | None = None
+        self, server: RunningServer, backend_end: socket.socket | None = None
     ) -> tuple[UpstreamConnection, socket.socket]:
         """The connection on which a part of a large request is sent, and the backend's end of it."""
-        self.connect_for(proxy)
-        self.client, self.to_proxy = await proxy.client()
+        self.connect_for(server)
+        self.client, self.to_proxy = await server.client()
         request = ask("file", Content_Length=str(LARGE_REQUEST_BYTES)) + b"x" * LARGE_REQUEST_BYTES
         self.to_proxy.write(request)
         accepted = backend_end or await self.accept()
-        return await self.stuck_connection(proxy), accepted
+        return await self.stuck_connection(server), accepted
 
     async def accept(self) -> socket.socket:
         """The next new connection to any of the backends."""
@@ -127,8 +127,8 @@
             accept.cancel()
         return done.pop().result()[0]
 
-    async def stuck_connection(self, proxy: RunningProxy) -> UpstreamConnection:
+    async def stuck_connection(self, server: RunningServer) -> UpstreamConnection:
         """The connection whose request is sent in part."""
-        while not (stuck := [c for c in proxy.program.pool.connections if unsent_bytes(c)]):
+        while not (stuck := [c for c in server.pool.connections if unsent_bytes(c)]):
             await asyncio.sleep(0)
         return stuck[0]
