--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,10 +19,11 @@
 
 
 def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
+    """Each variable that is set goes before its key in the file; the others leave the file as it is."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
     config = load({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
-    assert (config.listen[1], config.discovery[1], config.name) == (3, 2, "n7")
+    assert (config.listen[1], config.discovery[1]) == (3, 2)
     assert (config.request_class_names, config.quota_plan_names) == (("look", "file"), ("basic", "metered"))
     assert config.zones == ("north", "south")
     with pytest.raises(ConfigError, match="not set"):
@@ -42,6 +43,8 @@
     "text", ["", "x", ":9", "x:", "x:0", "x:65536", "x:-1", "x:\u0663", "x:" + "9" * 5000, None, ["x:9"]]
 )
 def test_what_is_no_address_raises_the_typed_error(text: object) -> None:
+    """An address is mistyped: no port, a port out of range, digits that are not ASCII. The start must end
+    with one line that names the value, not with a traceback."""
     with pytest.raises(ConfigError, match=r"here is .*wanted host:port"):
         parse_address(text, "here")
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -42,7 +42,7 @@
     "errors": set(),
     "units": set(),
     "log": {"errors"},
-    "server": {"proxy", "decisions", "errors", "config", "descriptors", "log"},
+    "server": {"proxy", "decisions", "errors", "config", "descriptors", "log", "units"},
     "__main__": {"proxy", "decisions", "errors", "config", "descriptors", "log", "server"},
     "__init__": set(),
 }
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -1,7 +1,8 @@
 """From the environment and the JSON file that it names to `Config`.
 
-This is the one place that knows the names in that file; the names inside its `settings` are known by
-`yardlane.settings_reader`. Whatever is wrong raises ConfigError, whose text names the value.
+This is the one place that knows the names in that file. The names inside its `settings` are known by
+`yardlane.settings_reader`, all but those that the proxy alone uses: `parse` reads these itself. Whatever
+is wrong raises ConfigError, whose text names the value.
 """
 
 from __future__ import annotations
@@ -22,9 +23,8 @@
 DEFAULT_CONNECT_TIMEOUT_US = "250000"
 DEFAULT_KEEPALIVE_US = "30000000"
 
-# The key in the file, and the variable that overrides it.
+# The key in the file, and the variable that overrides it. `EDGE_NAME` and `name` are accepted and not read.
 ENVIRONMENT = {
-    "name": "EDGE_NAME",
     "listen": "EDGE_LISTEN",
     "discovery": "EDGE_DISCOVERY",
 }
@@ -34,7 +34,6 @@
 class Config:
     """All that a front door is configured with."""
 
-    name: str
     listen: Address
     discovery: Address
     counter: Address | None
@@ -89,7 +88,6 @@
     descriptors = _parse_descriptors(document.get("limits") or {})
     seed = _parse_seed(document.get("seed") or "0")
     return Config(
-        name=str(document.get("name") or f"gateway {settings.rank}"),
         listen=parse_address(document.get("listen"), "listen"),
         discovery=parse_address(document.get("discovery"), "discovery"),
         counter=parse_address(counter, "counter") if counter else None,
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -161,7 +161,11 @@
             self._update_reading()
 
     def eof_received(self) -> bool:
-        """A client that has closed its side has left."""
+        """End the connection and its pending requests, as the client counts as gone.
+
+        A half-close is legal in HTTP, but it looks the same as a client that has closed its socket, and the
+        requests of one that has left would take capacity from others.
+        """
         self._on_client_left()
         return False
 
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -13,6 +13,7 @@
 from yardlane.proxy.counter_protocol import format_add
 from yardlane.units import US_PER_S
 
+# One that stalls or is lost holds up its part of the keys alone; each costs a descriptor.
 CONNECTIONS = 4
 
 
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -161,7 +161,7 @@
         try:
             async with asyncio.timeout(max(MIN_CONNECT_TIMEOUT_S, self.timeout_s)):
                 await self.loop.create_connection(lambda: self, *self.address)
-        except (OSError, TimeoutError) as error:
+        except OSError as error:  # TimeoutError is one of them
             self._drop(f"cannot be reached: {str(error) or 'timed out'}")
         finally:
             self.connect_task = None
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON to `EndpointListUpdate`: the one place that knows the names of its members.
+"""Discovery's JSON to `EndpointListUpdate`: the one place that knows the keys of an entry.
 
     id             the endpoint's id
     host_port      its address, `host:port`
@@ -9,7 +9,9 @@
     size           its weight, 1 where it is missing
     up_since_ms    when it started, in ms since 1970; 0 or missing for long ago
 
-Names of zones and hardware kinds become the settings' indices; a name that these lack gets the next one.
+Names of zones and hardware kinds become the settings' indices; a name that these lack gets the next one. An
+entry without `locality` or `flavor` (or with null) has the name "None", which gets an index like any other:
+all such entries share one zone, or kind, of their own.
 
 A malformed value fails its endpoint, not the list: the endpoint counts as draining, unless it is removed, so
 that nothing new is sent to a place that we may have misread. Were the list rejected instead, one bad entry
@@ -56,8 +58,8 @@
 class DecodedList(NamedTuple):
     """An update and the addresses of its endpoints.
 
-    `is_ambiguous` says that it has entries without an id, or two different ones with the same: whom the first
-    concerned, or which of the second holds, only a whole list can tell.
+    `is_ambiguous` says that it has an entry without an id, or two different entries with the same id. Only a
+    whole list can tell which endpoint the first was about, and which of the two holds.
     """
 
     update: EndpointListUpdate
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -89,7 +89,7 @@
         "body_bytes",
         "body_parts",
         "head_bytes",
-        "header_lines",
+        "header_parts",
         "headers",
         "is_in_message",
         "method",
@@ -105,7 +105,7 @@
         self.should_keep_alive = True
         self.url = b""
         self.headers: dict[bytes, bytes] = {}  # those that are read here, by their name in lower case
-        self.header_lines: list[bytes] = []  # those that are forwarded, as they came
+        self.header_parts: list[bytes] = []  # name, separator, value, line end of each that is forwarded
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.head_bytes = 0
@@ -148,7 +148,7 @@
         self.is_in_message = True
         self.url = b""
         self.headers = {}
-        self.header_lines = []
+        self.header_parts = []
         self.body_parts = []
         self.body_bytes = 0
         self.head_bytes = 0
@@ -181,7 +181,7 @@
         elif key == EXPECT:
             self.headers[key] = value
         if key not in NOT_FORWARDED:
-            self.header_lines += (name, b": ", value, b"\r\n")
+            self.header_parts += (name, b": ", value, b"\r\n")
 
     def _check_framing(self, key: bytes, value: bytes) -> None:
         """One framing header at most, and no transfer coding but chunked.
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -6,6 +6,8 @@
     Plan              quota_plan        Account           tenant
     X-Expires-In      time_left_us      X-Second-Try      is_retry
     Quota-Info        units, gateway_count (spread), first_gateway (first)
+
+The units of X-Expires-In are `m` for milliseconds and `u` for microseconds: `250m` is a quarter second.
 """
 
 from __future__ import annotations
@@ -36,12 +38,12 @@
 
 MAX_TIME_LEFT_US = 3_600_000_000
 TRANSIT_MARGIN_US = 10_000  # the way here and back, and our own turn, out of the client's time
+# No bucket bounds the units of a request under a plan without a rate; a huge number must not enter the sums.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
 MAX_QUOTA_INFO_BYTES = 100
 QUOTA_INFO_CACHE_SIZE = 512  # few texts recur; the others must not fill the memory
 TENANT_BASE = 16
-TENANT_LIMIT = 2**33
-# The unit letter of X-Expires-In: `m` is milliseconds, `u` is microseconds.
+TENANT_LIMIT = 2**33  # of the protocol, though 16 hex digits could hold more
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
 TENANT = re.compile(rb"[0-9a-fA-F]{16}")
@@ -167,7 +169,7 @@
         quota.gateway_count,
         headers.get(RETRY_HEADER) == b"1",
         method != b"GET",
-        b"".join((method, b" ", message.url, b" HTTP/1.1\r\n", *message.header_lines)),
+        b"".join((method, b" ", message.url, b" HTTP/1.1\r\n", *message.header_parts)),
         b"".join(message.body_parts),
     )
 
@@ -229,7 +231,10 @@
 
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
-    """What is left of the client's time, and of the class's deadline, once the answer's way is taken off."""
+    """What is left of the client's time (X-Expires-In) or of the class's deadline, the shorter of the two.
+
+    `TRANSIT_MARGIN_US` is taken off for the way of the response.
+    """
     duration = DURATION.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
         raise _bad_request("bad X-Expires-In")
@@ -254,7 +259,10 @@
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
 def decode_quota_info(text: bytes, gateway_count: int) -> QuotaInfo | None:
     """The header's value in a fleet of `gateway_count`; None where it is malformed."""
-    fields = dict(part.strip().partition(b"=")[::2] for part in text.split(b","))
+    fields: dict[bytes, bytes] = {}
+    for part in text.split(b","):
+        name, _, value = part.strip().partition(b"=")
+        fields[name] = value
     units_text = fields.get(b"units", b"")
     spread_text = fields.get(b"spread", b"")
     first_text = fields.get(b"first", b"")
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -18,6 +18,7 @@
 from yardlane.proxy.discovery_client import DiscoveryClient
 from yardlane.proxy.proxy import Proxy
 from yardlane.proxy.upstream_pool import UpstreamPool
+from yardlane.units import US_PER_S
 
 log = logging.getLogger("yardlane.server")
 
@@ -110,7 +111,7 @@
             await self._wait_while(self.clients.awaits_first_request, FIRST_REQUEST_WAIT_S)
             self.clients.close_idle()
             left_us = self.proxy.drain_deadline_us - self.proxy.clock.now_us()
-            await self._wait_while(self.clients.has_pending_work, left_us / 1e6)
+            await self._wait_while(self.clients.has_pending_work, left_us / US_PER_S)
             await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
         finally:
             self.stopped.set()
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -1,8 +1,12 @@
 """The settings text to `Settings`: the one place that knows the names and values that it has for them.
 
+All but the proxy's own: `yardlane.config` reads connect_timeout_us and keepalive_us of `permissions`, and the
+names of `profiles` and `packages`, through `SettingsReader`, and `zones` and `kinds` from the nested JSON.
+
 The text is a line a setting, `path=value`. The front door's configuration has the same settings as nested
-JSON, which `yardlane.config` flattens to the same paths. Whatever is wrong raises SettingsError, whose text
-names the setting.
+JSON, which `yardlane.config` flattens to the same paths. Whatever is wrong raises SettingsError. Its text
+names the path for a value that is missing or cannot be read, and the field of `Settings` for one that is out
+of its range (`gateway_count is 0`, where the path is `peers_total`).
 """
 
 from __future__ import annotations
@@ -68,7 +72,7 @@
         return number
 
     def integer(self, path: str, default: str | None = None) -> int:
-        """A number without its fraction."""
+        """A number in any notation that `number` reads, such as `1e6`; a fraction is cut off, not refused."""
         return int(self.number(path, default))
 
     def positive_integer(self, path: str, default: str | None = None) -> int:
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -73,7 +73,7 @@
 
 INSTANCE = struct.Struct("<I")  # door_id, the first field of each record
 
-ATTEMPT_ENDED = Layout(
+ATTEMPT_ENDED_LAYOUT = Layout(
     "door_id:I",
     "corr:Q",
     "took_us:I",
@@ -85,11 +85,11 @@
     "settled:H",
     "stats count:B",
 )
-TIMER_FIRED = Layout("door_id:I", "name:I")
-HEALTH_CHECK_ENDED = Layout("door_id:I", "took_us:I", "backend:6s", "state_code:H", "stats count:B")
-COUNTER_RESULT = Layout("door_id:I", "took_us:I", "book:Q", "state_code:H", "value:f")
-INIT = Layout("door_id:I", "init_seed:Q", "setup length:I")
-REQUEST_ARRIVED = Layout(
+TIMER_FIRED_LAYOUT = Layout("door_id:I", "name:I")
+HEALTH_CHECK_ENDED_LAYOUT = Layout("door_id:I", "took_us:I", "backend:6s", "state_code:H", "stats count:B")
+COUNTER_RESULT_LAYOUT = Layout("door_id:I", "took_us:I", "book:Q", "state_code:H", "value:f")
+INIT_LAYOUT = Layout("door_id:I", "init_seed:Q", "setup length:I")
+REQUEST_ARRIVED_LAYOUT = Layout(
     "door_id:I",
     "corr:Q",
     "base:f",
@@ -101,10 +101,10 @@
     "cost_units:f",
     "attrs:B",
 )
-STREAM_STARTED = Layout("door_id:I", "corr:Q", "leg:B", "backend:6s", "took_us:I")
-REQUEST_ENDED = Layout("door_id:I", "corr:Q")
-GOSSIP = Layout("door_id:I", "by:H", "content length:H")
-ENDPOINT_LIST_UPDATE = Layout("door_id:I", "kind:B", "stamp:I", "rows_in count:I")
+STREAM_STARTED_LAYOUT = Layout("door_id:I", "corr:Q", "leg:B", "backend:6s", "took_us:I")
+REQUEST_ENDED_LAYOUT = Layout("door_id:I", "corr:Q")
+GOSSIP_LAYOUT = Layout("door_id:I", "by:H", "content length:H")
+ENDPOINT_LIST_UPDATE_LAYOUT = Layout("door_id:I", "kind:B", "stamp:I", "rows_in count:I")
 # heft, born_us, locality, shape, mode, block, backend
 LIST_ENTRY = struct.Struct("<fQHHBH6s")
 LOAD_VALUE = struct.Struct("<f")
@@ -177,7 +177,7 @@
 
 
 def _attempt_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    fields = ATTEMPT_ENDED.read(frame, start, end)
+    fields = ATTEMPT_ENDED_LAYOUT.read(frame, start, end)
     _, request_id, elapsed_us, attempt_index, outcome, request_ended, endpoint_id, usage, _, count = fields
     return AttemptEnded(
         request_id=request_id,
@@ -186,13 +186,13 @@
         outcome=_look_up(OUTCOMES, outcome, "outcome", start),
         elapsed_us=elapsed_us,
         request_ended=bool(request_ended),
-        usage_percent=usage - 1 if usage else None,
-        load=_load_report(frame, start + ATTEMPT_ENDED.size, end, count, columns),
+        usage_percent=usage - 1 if usage else None,  # 1 more than the percentage; 0 is absent
+        load=_load_report(frame, start + ATTEMPT_ENDED_LAYOUT.size, end, count, columns),
     )
 
 
 def _timer_fired(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, token = TIMER_FIRED.read(frame, start, end)
+    _, token = TIMER_FIRED_LAYOUT.read(frame, start, end)
     return TimerFired(token)
 
 
@@ -201,25 +201,25 @@
 
 
 def _health_check_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, elapsed_us, endpoint_id, outcome, count = HEALTH_CHECK_ENDED.read(frame, start, end)
-    load = _load_report(frame, start + HEALTH_CHECK_ENDED.size, end, count, columns)
+    _, elapsed_us, endpoint_id, outcome, count = HEALTH_CHECK_ENDED_LAYOUT.read(frame, start, end)
+    load = _load_report(frame, start + HEALTH_CHECK_ENDED_LAYOUT.size, end, count, columns)
     return HealthCheckEnded(endpoint_id, _look_up(OUTCOMES, outcome, "outcome", start), elapsed_us, load)
 
 
 def _counter_result(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, elapsed_us, counter_key, outcome, total = COUNTER_RESULT.read(frame, start, end)
+    _, elapsed_us, counter_key, outcome, total = COUNTER_RESULT_LAYOUT.read(frame, start, end)
     return CounterResult(counter_key, _look_up(OUTCOMES, outcome, "outcome", start), total, elapsed_us)
 
 
 def _init(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, seed, size = INIT.read(frame, start, end)
-    text = bytes(_content(frame, start + INIT.size, end, size, "settings")) if size else b""
+    _, seed, size = INIT_LAYOUT.read(frame, start, end)
+    text = bytes(_content(frame, start + INIT_LAYOUT.size, end, size, "settings")) if size else b""
     settings, own_columns = parse_settings(text)
     return Init(seed, settings, own_columns)
 
 
 def _request_arrived(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    fields = REQUEST_ARRIVED.read(frame, start, end)
+    fields = REQUEST_ARRIVED_LAYOUT.read(frame, start, end)
     _, request_id, first, request_class, plan, gateway_count, tenant, time_left_us, units, attrs = fields
     return RequestArrived(
         request_id=request_id,
@@ -236,27 +236,27 @@
 
 
 def _stream_started(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, request_id, attempt_index, endpoint_id, elapsed_us = STREAM_STARTED.read(frame, start, end)
+    _, request_id, attempt_index, endpoint_id, elapsed_us = STREAM_STARTED_LAYOUT.read(frame, start, end)
     return StreamStarted(request_id, attempt_index, endpoint_id, elapsed_us)
 
 
 def _request_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, request_id = REQUEST_ENDED.read(frame, start, end)
+    _, request_id = REQUEST_ENDED_LAYOUT.read(frame, start, end)
     return RequestEnded(request_id)
 
 
 def _gossip(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, sender, size = GOSSIP.read(frame, start, end)
-    content = bytes(_content(frame, start + GOSSIP.size, end, size, "message")) if size else b""
+    _, sender, size = GOSSIP_LAYOUT.read(frame, start, end)
+    content = bytes(_content(frame, start + GOSSIP_LAYOUT.size, end, size, "message")) if size else b""
     return Gossip(sender, content)
 
 
 def _endpoint_list_update(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
-    _, kind, version, count = ENDPOINT_LIST_UPDATE.read(frame, start, end)
+    _, update_kind, version, count = ENDPOINT_LIST_UPDATE_LAYOUT.read(frame, start, end)
     entries: bytes | memoryview = b""
     if count:
         size = count * LIST_ENTRY.size
-        entries = _content(frame, start + ENDPOINT_LIST_UPDATE.size, end, size, "endpoint list")
+        entries = _content(frame, start + ENDPOINT_LIST_UPDATE_LAYOUT.size, end, size, "endpoint list")
     endpoints = tuple(
         Endpoint(
             endpoint_id,
@@ -265,11 +265,13 @@
             weight,
             zone,
             cell,
-            kind,
+            hardware_kind,
+        )
+        for weight, started_at_us, zone, hardware_kind, state, cell, endpoint_id in LIST_ENTRY.iter_unpack(
+            entries
         )
-        for weight, started_at_us, zone, kind, state, cell, endpoint_id in LIST_ENTRY.iter_unpack(entries)
     )
-    return EndpointListUpdate(_look_up(UPDATE_KINDS, kind, "list kind", start), version, endpoints)
+    return EndpointListUpdate(_look_up(UPDATE_KINDS, update_kind, "list kind", start), version, endpoints)
 
 
 DECODERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
