--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -7,6 +7,7 @@
 from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
 from yardlane.errors import MalformedResponse
 from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, read_load_report
+from yardlane.proxy.upstream_state import UpstreamState
 from tests.loopback import (
     Script,
     answer,
@@ -17,7 +18,7 @@
     send_all,
     socket_test,
 )
-from tests.upstream_side import forward
+from tests.upstream_side import forward, serve_on_new_connection, until_state
 
 CLOSE = b""  # the connection ends
 INTERIM = b"HTTP/1.1 102 X\r\n\r\n"
@@ -137,3 +138,49 @@
         await asyncio.sleep(0)
         writer.write(answer(200, b"whole"))
         assert (await read_message(client))[2] == b"whole"
+
+
+@socket_test
+async def test_an_interim_response_in_two_parts_is_followed_by_the_final_one() -> None:
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        (client, _), (_, writer) = await forward(proxy, backend)
+        [connection] = proxy.program.pool.connections
+        writer.write(INTERIM[:10])
+        await until_state(connection, UpstreamState.RECEIVING)
+        writer.write(INTERIM[10:])
+        await until_state(connection, UpstreamState.AWAITING)
+        writer.write(answer(200, b"whole"))
+        assert (await read_message(client))[2] == b"whole"
+
+
+@socket_test
+async def test_a_response_in_two_parts_leaves_the_next_one_all_its_time() -> None:
+    """The timer for the rest of a response must end with it: left over, it would end the next request on the
+    connection, which may rightly take longer."""
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        pool = proxy.program.pool
+        pool.reuse.quarantine_s = 0.0
+        pool.stall_timeout_s = 0.02
+        (client, to_proxy), (reader, writer) = await forward(proxy, backend)
+        [connection] = pool.connections
+        writer.write(answer()[:10])
+        await until_state(connection, UpstreamState.RECEIVING)
+        writer.write(answer()[10:])
+        assert await read_status(client) == "200"
+        to_proxy.write(ask(trace="a2"))
+        await read_message(reader)
+        await asyncio.sleep(3 * pool.stall_timeout_s)
+        writer.write(answer())
+        assert await read_status(client) == "200"
+
+
+@socket_test
+async def test_a_connection_that_the_backend_announced_to_close_is_not_used_again() -> None:
+    """A backend names the response the connection's last one, and closes it a little later. A request sent in
+    between would be lost, and could not be retried where it must not run twice."""
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        proxy.program.pool.reuse.quarantine_s = 0.0
+        client = await proxy.client()
+        await serve_on_new_connection(client, backend, "a1", answer(extra="Connection: close\r\n"))
+        assert not proxy.program.pool.connections
+        await serve_on_new_connection(client, backend, "a2")
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -8,6 +8,7 @@
 from typing import Any, cast
 
 from yardlane.proxy.upstream_connection import UpstreamConnection
+from yardlane.proxy.upstream_state import UpstreamState
 from tests.loopback import Peer, RunningProxy, Streams, answer, ask, member, read_message, whole_list
 
 SMALL_SEND_BUFFER_BYTES = 4096  # of the kernel's: far less than `LARGE_REQUEST_BYTES`
@@ -43,6 +44,12 @@
     return reader, writer
 
 
+async def until_state(connection: UpstreamConnection, state: UpstreamState) -> None:
+    """The loop runs until the connection is in this state."""
+    while connection.state is not state:
+        await asyncio.sleep(0)
+
+
 def unsent_bytes(connection: UpstreamConnection) -> int:
     """What the kernel has not taken yet."""
     if connection.transport is None:
