--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -9,10 +9,12 @@
 
 from yardlane.decisions.actions import Action
 from yardlane.decisions.events import AttemptEnded, Event, Outcome
+from yardlane.proxy.upstream_pool import UpstreamPool
 from tests.loopback import (
     Script,
     answer,
     ask,
+    config,
     attempt_each,
     member,
     read_message,
@@ -121,3 +123,30 @@
                 await asyncio.sleep(0)
         finally:
             gc.enable()
+
+
+@socket_test
+async def test_an_endpoint_that_is_removed_takes_its_quarantine_along() -> None:
+    """What stands at an address next, or comes back under the same id, is another process."""
+    pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
+    pool.reuse.on_stray_bytes(b"s-1", 5.0)
+    pool.reuse.on_stray_bytes(b"s-2", 5.0)
+    pool.remove_endpoint(b"s-1")
+    assert list(pool.reuse.endpoint_quarantine_s) == [b"s-2"]
+
+
+@socket_test
+async def test_maintenance_closes_what_was_idle_for_too_long_and_lets_the_bounds_recover() -> None:
+    async with running_with_backend(Script(send_all)) as (proxy, backend):
+        pool = proxy.program.pool
+        client = await proxy.client()
+        reader, _ = await serve_on_new_connection(client, backend, "a1")
+        pool.idle[b"s-1"][0].idle_since_s -= 5.0
+        pool._maintain()
+        assert len(pool.connections) == 1
+        pool.reuse.on_found_dead(3.0)
+        cut_s = pool.reuse.idle_limit_s
+        pool._maintain()
+        assert cut_s < pool.reuse.idle_limit_s < 5.0
+        assert not pool.connections
+        assert await reader.read() == b""
