--- a/tests/proxy/test_upstream_state.py
+++ b/tests/proxy/test_upstream_state.py
@@ -43,7 +43,7 @@
                 expected = documented_state(event, state)
                 assert connection._apply(event) is (expected is not None)
                 assert connection.state is (state if expected is None else expected)
-                error = f"an upstream connection in state {state.name} met event {event.name}"
+                error = f"upstream connection: unexpected event {event.name} in state {state.name}"
                 assert caplog.messages == [error] * (expected is None)
                 caplog.clear()
 
--- a/yardlane/proxy/attempt.py
+++ b/yardlane/proxy/attempt.py
@@ -21,8 +21,17 @@
         """The present attempt has ended."""
 
 
+def do_nothing() -> None:
+    """What is called where nobody waits for the connection."""
+
+
 class Attempt:
-    """One attempt of a request; in flight until `finish`."""
+    """One attempt of a request; in flight until `finish`.
+
+    `may_have_run()` tells what the connection has done by now: false until the kernel has the request's last
+    byte. The decisions' `AttemptRecord.may_have_run` starts true and is cleared by the outcome alone, as they
+    do not see the bytes.
+    """
 
     __slots__ = (
         "address",
@@ -53,7 +62,8 @@
         self.started_at_us = started_at_us
         self.on_finished = on_finished
         self.address: Address = ("", 0)
-        self.on_connected: Callable[[], object] = bool  # called when a new connection is up; may finish it
+        # Called when a new connection is up; may finish the attempt.
+        self.on_connected: Callable[[], object] = do_nothing
         self.request_bytes = b""
         self.connection: Carrier | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -3,6 +3,11 @@
 A fault in the decisions must not stop the requests beside it. It shows as an exception of `Decider.handle`.
 Then the request of the event that was being handled fails, what was decided before that event stands, and
 the events behind it come once more in the next turn. So a request that always raises costs only itself.
+
+Two cases lie outside the events. A timer that raises, once all events are handled, counts against the last
+event: its request fails although it was handled, as nothing here tells the two apart. What raises before the
+first event fails no request: all events come once more in the next turn, without a pause, and if it raised
+each time that would be a busy loop. `Gateway` reads no event there, it only updates its own clock and timers.
 """
 
 from __future__ import annotations
@@ -19,7 +24,9 @@
 
 log = logging.getLogger("yardlane.proxy.decision_loop")
 
-RECOVERY_DELAY_US = 10_000  # between a failed decision and the next look at what is due: no busy loop
+# Between a failed decision and the next look at what is due: a timer that raises each time is no busy loop.
+RECOVERY_DELAY_US = 10_000
+ANY_TOKEN = 0  # of a timer that nobody set; the decisions look at all that is due, whatever the token
 
 
 class EventBatch(list[Event]):
@@ -32,6 +39,12 @@
             self.handled = index + 1
             yield self[index]
 
+    def last_begun(self) -> Event | None:
+        """The event whose handling began last; None where the decisions raised before the first one."""
+        if not self.handled:
+            return None
+        return self[self.handled - 1]
+
 
 class ActionHandler(Protocol):
     """What carries out the decisions."""
@@ -67,6 +80,10 @@
             self.is_scheduled = True
             self.loop.call_soon(self._run_turn)
 
+    def request_turn(self) -> None:
+        """Let the decisions look at what is due, though nothing has happened."""
+        self.post(TimerFired(ANY_TOKEN))
+
     def forget_after_turn(self, request_id: int) -> None:
         """Forget a request whose end is posted next, once the decisions have been notified.
 
@@ -84,7 +101,8 @@
         try:
             actions = self.decider.handle(self.clock.now_us(), events)
         except Exception:
-            log.exception("a decision failed")
+            event = events.last_begun()
+            log.exception("a decision failed on %s", "no event" if event is None else type(event).__name__)
             actions = self._recover(events)
             # The decisions may not have read of these ends; they do so in the next turn.
             self.ended_requests = ended_requests + self.ended_requests
@@ -98,13 +116,12 @@
             self.handler.forget_request(request_id)
 
     def _recover(self, events: EventBatch) -> list[Action]:
-        """Fail the request of the event that raised, post the events behind it; what was decided before."""
-        if events.handled:
-            request_id = getattr(events[events.handled - 1], "request_id", None)
-            if request_id is not None:
-                self.handler.fail_request(request_id)
+        """Fail the request of the event begun last, post the events behind it; what was decided before."""
+        request_id = getattr(events.last_begun(), "request_id", None)
+        if request_id is not None:
+            self.handler.fail_request(request_id)
         for event in events[events.handled :]:
             self.post(event)
         # Work that was due in this turn may be undone, and no timer is left to ask for it.
-        call_after(self.loop, RECOVERY_DELAY_US, self.post, TimerFired(0))
+        call_after(self.loop, RECOVERY_DELAY_US, self.request_turn)
         return list(self.decider.actions)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -146,7 +146,12 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def _updated_addresses(self, update: EndpointListUpdate, addresses: Addresses) -> Addresses:
-        """An endpoint whose address cannot be read drains; it keeps the old one for attempts in flight."""
+        """The addresses after an update, which says so of each endpoint in one of three ways.
+
+        - Removed, or missing from a list that is whole: none. A delta leaves those that it does not name.
+        - Named with a readable address: that one.
+        - Named without a readable address: it drains, and keeps the old one for attempts in flight.
+        """
         updated = dict(addresses)
         if update.kind is UpdateKind.DELTA:
             updated = {**self.addresses, **addresses}
@@ -211,14 +216,15 @@
         Where the process stood still, their own timer is due only now, and a rejection of theirs tells the
         client more than a failure. So they get a turn, and the guard answers behind it.
         """
-        self.post(TimerFired(0))
+        self.decisions.request_turn()
         self.loop.call_soon(self._on_unanswered, request_id)
 
     def _on_unanswered(self, request_id: int) -> None:
         """The decisions have let the request's time pass; its client is still owed an answer."""
         request = self.requests.get(request_id)
         if request is not None and not request.has_ended:
-            log.error("request %d was left unanswered", request_id)
+            trace_id = request.parsed.trace_id.decode("latin-1")
+            log.error("request %s (internal number %d) was left unanswered", trace_id, request_id)
             self.fail_request(request_id)
 
     # For the decision loop
@@ -242,9 +248,15 @@
     # Attempts
 
     def _start_attempt(self, action: StartAttempt) -> None:
+        """Each `StartAttempt` of a known request gets one `AttemptEnded`, also where nothing is sent.
+
+        One function for all steps, as it runs for each attempt and a call costs time: register the attempt,
+        find what forbids it, fill it in, hand it to the pool.
+        """
         request = self.requests.get(action.request_id)
         if request is None:
-            return log.error("an attempt for request %d, which is not in flight", action.request_id)
+            log.error("an attempt for a request (internal number %d) not in flight", action.request_id)
+            return
         now_us = self.clock.now_us()
         attempt_index = len(request.attempts)
         attempt = Attempt(
@@ -258,9 +270,12 @@
         time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
             time_left_us = min(time_left_us, action.timeout_us)
+        # The decisions keep `max_attempts` themselves. A faulty decider that retries without end would flood
+        # the upstreams until the deadline; here its attempts beyond the limit end as NOT_SENT.
         is_allowed = time_left_us > 0 and attempt_index < self.settings.max_attempts
         if request.has_ended or address is None or not is_allowed:
-            return attempt.finish(Outcome.NOT_SENT)
+            attempt.finish(Outcome.NOT_SENT)
+            return
         attempt.address = address
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
@@ -320,6 +335,8 @@
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
+        # The decisions bound this themselves. A faulty decider could name a longer time, or one at all where
+        # the settings forbid the header; a client would stay away for as long.
         retry_after_us = 0
         if self.settings.may_send_retry_after:
             retry_after_us = min(action.retry_after_us, self.settings.max_retry_after_us)
@@ -339,7 +356,8 @@
 
     def _add_to_counter(self, action: AddToCounter) -> None:
         if self.counter is None:
-            return self.post(CounterResult(action.counter_key, Outcome.NOT_CONNECTED, 0.0, 0))
+            self.post(CounterResult(action.counter_key, Outcome.NOT_CONNECTED, 0.0, 0))
+            return
         self.counter.add(action)
 
     def _set_timer(self, action: SetTimer) -> None:
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -19,6 +19,7 @@
 # With these an upstream's word that the request had no effect counts.
 REJECTION_STATUSES = frozenset({STATUS_SERVICE_UNAVAILABLE, STATUS_GATEWAY_TIMEOUT})
 
+LOAD_REPORT_FORMAT = "TEXT"  # what the header's value begins with; figures follow as `name=value, ...`
 # The figures of a load report that the decisions use, by their names in the settings and as plain words.
 LOAD_FIGURES = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
 MAX_REQUESTS = 10_000.0
@@ -58,7 +59,11 @@
 
 
 def outcome_of(response: UpstreamResponse) -> Outcome:
-    """The protocol's table of outcomes, for whole responses."""
+    """The protocol's table of outcomes, for whole responses.
+
+    Status 200 alone is success, and any other status is an error that may have run, 201, 304 and 404 too: the
+    table has no row for them. An upstream's word that it never ran the request counts with 503 and 504 only.
+    """
     if response.status == STATUS_OK:
         return Outcome.OK
     if response.status in REJECTION_STATUSES and response.never_ran:
@@ -69,10 +74,12 @@
 def read_load_report(text: bytes) -> LoadReport | None:
     """The figures of a load report; those that are unknown, no numbers or too great are passed over.
 
-    None where no figure is left.
+    None where no figure is left, which is no report at all. A figure that no rule reads (`qps=4`) still
+    counts, as the upstream does report, and by a readable number: it yields a `LoadReport` without figures,
+    which the decisions take for a load of 0.
     """
     figures: dict[str, float] = {}
-    for part in text.decode("latin-1").removeprefix("TEXT").split(","):
+    for part in text.decode("latin-1").removeprefix(LOAD_REPORT_FORMAT).split(","):
         name, _, value = part.partition("=")
         name = name.strip()
         try:
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -70,10 +70,13 @@
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def _apply(self, event: UpstreamEvent) -> bool:
-        """The one place where the state changes; an event that the table does not allow here is logged."""
+        """The one place where the state changes; returns whether `TRANSITIONS` allows the event here.
+
+        One that it does not allow is a fault of this program: it is logged and changes nothing.
+        """
         after = TRANSITIONS[self.state].get(event)
         if after is None:
-            log.error("an upstream connection in state %s met event %s", self.state.name, event.name)
+            log.error("upstream connection: unexpected event %s in state %s", event.name, self.state.name)
             return False
         self.state = after
         return True
@@ -160,11 +163,13 @@
             self.stall_timer.cancel()
             self.stall_timer = None
         if self.state is not COMPLETE or self.reader is None:
-            return self.close()
+            self.close()
+            return
         if self.idle_before_request_s is not None:
             self.pool.reuse.on_reused(self.idle_before_request_s)
         if self.closes_after_response:
-            return self.close()
+            self.close()
+            return
         self._apply(UpstreamEvent.RELEASED)
         self.reader.is_complete = False
         self.pool.on_idle(self)
@@ -221,6 +226,11 @@
         An upstream begins a request once its last byte has arrived, and what it sends from then on
         acknowledges that byte. The kernel is asked only for as long as a quarantine after the connection is
         used again: the call costs a notable part of an attempt's processor time.
+
+        That is the quarantine that all upstreams share, also where this upstream's own is longer. So bytes
+        for an earlier request that come later than that after the connection is used again are read as the
+        response. Before its use it has stood idle for its upstream's own quarantine, which is twice the
+        lateness that the upstream has shown.
         """
         if self.state is SENDING:
             return True
@@ -233,7 +243,10 @@
         return unacknowledged != NOTHING_UNACKNOWLEDGED
 
     def _on_premature_bytes(self) -> None:
-        log.warning("a response from %s:%d to a request that it did not have", *self.address)
+        log.warning(
+            "unsolicited response bytes from %s:%d before it had the request; closing the connection",
+            *self.address,
+        )
         if self.idle_before_request_s is not None:
             self.pool.reuse.on_stray_bytes(self.endpoint_id, self.idle_before_request_s)
         self._on_broken()
@@ -248,7 +261,8 @@
             self.attempt.on_connected()  # may finish it, which closes this connection
         if self.attempt is None:  # it has ended while the connection came up
             transport.abort()
-            return self.close()
+            self.close()
+            return
         self.reader = ResponseReader()
         self.file_descriptor = transport.get_extra_info("socket").fileno()
         self._send(transport, self.attempt)
@@ -270,16 +284,19 @@
         reader = self.reader
         if attempt is None or reader is None:
             self._on_stray_bytes()
-            return self.close()
+            self.close()
+            return
         if self._is_premature():
-            return self._on_premature_bytes()
+            self._on_premature_bytes()
+            return
         try:
             reader.feed(data)
         except MalformedResponse as error:
             log.warning("malformed response from %s:%d: %s", *self.address, error)
             self.closes_after_response = True
             if not reader.is_complete:  # bytes behind a whole response take nothing from it
-                return self._fail(Outcome.CONNECTION_LOST)
+                self._fail(Outcome.CONNECTION_LOST)
+                return
         if reader.is_complete:
             self._apply(UpstreamEvent.RESPONSE_ENDED)
             if not reader.keep_alive:
