--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -1,12 +1,14 @@
 """Each call to the counter gets exactly one result, whatever the counter does."""
 
 import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from typing import Any
 
 import pytest
 
 from tests.counter_calls import add, first_call, settings_with_counter
-from tests.loopback import Peer, Script, hold_all, running, socket_test
+from tests.loopback import Peer, RunningServer, Script, hold_all, running, socket_test
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.errors import MalformedCounterReply
 from yardlane.proxy.counter_protocol import parse_reply
@@ -16,12 +18,19 @@
     return {"counter": f"127.0.0.1:{counter.port}", "settings": settings_with_counter(**changes)}
 
 
+@asynccontextmanager
+async def running_with_counter(script: Script, **changes: Any) -> AsyncIterator[tuple[RunningServer, Peer]]:
+    """The program beside a counter that the test plays; `changes` are of its settings."""
+    async with Peer() as counter, running(script, **with_counter(counter, **changes)) as server:
+        yield server, counter
+
+
 @socket_test
 async def test_answers_are_matched_in_order() -> None:
     """Four calls are written before any is answered, and the answers come cut in odd places. Each answer
     belongs to the oldest call; taken for another's, its total would be another key's."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter)) as server:
+    async with running_with_counter(script) as (server, counter):
         for amount in (2.5, -1.0, 0.0, 7.0):
             add(server, 0xAB, amount, 4_000_000)
         reader, writer = await counter.connection()
@@ -43,7 +52,7 @@
     """The counter resets the connection after a call was written. Nobody knows whether it was added, so the
     result must not say that it was not: that would let the decisions add it twice."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter)) as server:
+    async with running_with_counter(script) as (server, counter):
         add(server)
         _, writer = await first_call(counter)
         writer.transport.abort()
@@ -66,7 +75,7 @@
     """A call times out, the next one is written, then both are answered. The first answer belongs to the call
     that timed out; taken for the next one, every later total would be a wrong one."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=300_000)) as server:
+    async with running_with_counter(script, count_wait_us=300_000) as (server, counter):
         add(server)
         reader, writer = await first_call(counter)
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
@@ -82,7 +91,7 @@
     """The counter accepts a connection and stays silent while calls go on. Only so many are written; the
     others end at once, so that a counter that comes back is not met by a backlog."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter)) as server:
+    async with running_with_counter(script) as (server, counter):
         for _ in range(100):
             add(server)
         results = await script.wait_for(CounterResult, 100 - 16)
@@ -99,7 +108,7 @@
     """The counter's host is gone without a reset: calls are written and never answered. After some timeouts
     the connection is closed from our side, so that the next calls get another one."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=20_000)) as server:
+    async with running_with_counter(script, count_wait_us=20_000) as (server, counter):
         add(server)
         reader, _ = await counter.connection()
         await reader.read()
@@ -122,7 +131,7 @@
     this connection can be trusted."""
     for reply in MALFORMED_REPLIES:
         script = Script(hold_all)
-        async with Peer() as counter, running(script, **with_counter(counter)) as server:
+        async with running_with_counter(script) as (server, counter):
             add(server)
             _, writer = await first_call(counter)
             writer.write(reply)
@@ -142,7 +151,7 @@
     """A connection that has answered breaks by a malformed reply. A quarter of all keys share it: they get
     another one at once, without a reconnect delay."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter)) as server:
+    async with running_with_counter(script) as (server, counter):
         add(server)
         reader, writer = await first_call(counter)
         writer.write(b"ok 1\r\n")
@@ -163,7 +172,7 @@
     """The counter sends half a line and nothing more. The call times out, and as answers behind the half line
     could not be told apart, the connection is closed; the next call is answered on another one."""
     script = Script(hold_all)
-    async with Peer() as counter, running(script, **with_counter(counter, count_wait_us=200_000)) as server:
+    async with running_with_counter(script, count_wait_us=200_000) as (server, counter):
         add(server)
         reader, writer = await first_call(counter)
         writer.write(b"ok 1")
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,10 +1,14 @@
 """The endpoint list and its watch go on through errors, silence and versions that jump."""
 
 import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any
 
 from tests.discovery_responses import delta, snapshot
 from tests.loopback import (
     Peer,
+    RunningServer,
     Script,
     hold_all,
     Streams,
@@ -19,11 +23,24 @@
     socket_test,
     whole_list,
 )
+from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, UpdateKind
 
 FETCH = "GET /catalog/members HTTP"
 
 
+@asynccontextmanager
+async def running_with_discovery(
+    decider: Decider | None = None, **changes: Any
+) -> AsyncIterator[tuple[RunningServer, Peer]]:
+    """The program beside a discovery that the test plays."""
+    async with (
+        Peer() as discovery,
+        running(decider, discovery=f"127.0.0.1:{discovery.port}", **changes) as server,
+    ):
+        yield server, discovery
+
+
 async def first_poll(discovery: Peer) -> Streams:
     """The client's connection, whose first request has been read."""
     reader, writer = await discovery.connection()
@@ -37,7 +54,7 @@
     reach the decisions in this order, with the times and states that they carry."""
     script = Script(hold_all)
     cached = whole_list(member("s-1", 9), revision=40)
-    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}", known=cached):
+    async with running_with_discovery(script, known=cached) as (_, discovery):
         reader, writer = await first_poll(discovery)
         writer.write(snapshot(41, member("s-1", 9), member("s-2", 9, up_since_ms=1_700_000_000_123)))
         assert "index=41&" in (await read_message(reader))[0]
@@ -65,7 +82,7 @@
         b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n",
     ]
     script = Script(hold_all)
-    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}"):
+    async with running_with_discovery(script) as (_, discovery):
         for n, response in enumerate(malformed):
             reader, writer = await discovery.connection()
             assert (await read_message(reader))[0].startswith(FETCH)
@@ -87,7 +104,7 @@
     """Discovery answers a fetch of the whole list with changes. There is nothing that they could change:
     taken over, they would stand for a whole list and hide all other endpoints."""
     script = Script(hold_all)
-    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}"):
+    async with running_with_discovery(script) as (_, discovery):
         _, writer = await first_poll(discovery)
         writer.write(delta(41, member("s-1", 9)))
         reader, writer = await discovery.connection()
@@ -101,7 +118,7 @@
 @socket_test
 async def test_a_watch_that_was_reset_goes_on_from_its_version() -> None:
     """The connection of a watch is reset. What we have is still good, so only later changes are asked for."""
-    async with Peer() as discovery, running(discovery=f"127.0.0.1:{discovery.port}"):
+    async with running_with_discovery() as (_, discovery):
         reader, writer = await first_poll(discovery)
         writer.write(snapshot(41, member("s-1", 9)))
         await read_message(reader)
@@ -115,7 +132,7 @@
     """A watch is answered by a list older than ours, in which an endpoint that drains is still ready. It must
     not be taken over; the whole list is fetched instead."""
     script = Script(hold_all)
-    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}"):
+    async with running_with_discovery(script) as (_, discovery):
         reader, writer = await first_poll(discovery)
         writer.write(snapshot(41, member("s-1", 9, phase="Terminating")))
         assert "index=41&" in (await read_message(reader))[0]
@@ -138,10 +155,7 @@
     end in time for one that is answered within the grace of an endpoint that began to drain meanwhile."""
     grace_s = 0.5
     safety = {**settings()["safety"], "drain_grace_us": int(grace_s * 1e6)}
-    async with (
-        Peer() as discovery,
-        running(discovery=f"127.0.0.1:{discovery.port}", settings=settings(safety=safety)) as server,
-    ):
+    async with running_with_discovery(settings=settings(safety=safety)) as (server, discovery):
         client = server.discovery
         assert client.response_timeout_s + client.max_backoff_s < grace_s
         for _ in range(4):  # the backoff between them grows meanwhile
@@ -156,10 +170,8 @@
 async def test_the_cached_list_serves_only_once_discovery_was_polled() -> None:
     """The cached list may name endpoints that are long gone: it serves only once the first poll failed."""
     health = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
-    async with (
-        Peer() as discovery,
-        running(discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", 9))) as server,
-    ):
+    cached = whole_list(member("s-1", 9))
+    async with running_with_discovery(known=cached) as (server, discovery):
         await first_poll(discovery)
         assert (await server.call(health))[0].split()[1] == "503"
         await discovery.connection()  # the first poll has ended without a response
@@ -172,12 +184,9 @@
     there would reach whatever runs at that address now: the connection is closed, and the next one is new."""
     script = Script(send_all)
     async with (
-        Peer() as discovery,
         Peer() as old,
         Peer() as new,
-        running(
-            script, discovery=f"127.0.0.1:{discovery.port}", known=whole_list(member("s-1", old.port))
-        ) as server,
+        running_with_discovery(script, known=whole_list(member("s-1", old.port))) as (server, discovery),
     ):
         client, to_proxy = await server.client()
         to_proxy.write(ask())
@@ -212,7 +221,7 @@
     can be read is passed on at once, and the whole list is fetched. Where that is ambiguous as well, fetching
     it again and again would not help: the watch goes on."""
     script = Script(hold_all)
-    async with Peer() as discovery, running(script, discovery=f"127.0.0.1:{discovery.port}") as server:
+    async with running_with_discovery(script) as (server, discovery):
         reader, writer = await first_poll(discovery)
         writer.write(snapshot(41, member("s-1", 9), member("s-2", 9)))
         assert "index=41&" in (await read_message(reader))[0]
@@ -231,9 +240,8 @@
     end where they run, at the address that we know."""
     for response in (snapshot, delta):
         async with (
-            Peer() as discovery,
             Peer() as backend,
-            running(Script(send_all), discovery=f"127.0.0.1:{discovery.port}") as server,
+            running_with_discovery(Script(send_all)) as (server, discovery),
         ):
             polls, to_client = await first_poll(discovery)
             to_client.write(snapshot(5, member("s-1", backend.port)))
