--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -2,7 +2,7 @@
 
 from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
-from yardlane.decisions.concurrency import CLASS_FAVOUR, ConcurrencyLimit
+from yardlane.decisions.concurrency import MAX_CLASS_LIMIT_RATIO, ConcurrencyLimit
 
 
 def test_late_answers_narrow_the_limit_down_to_pacing() -> None:
@@ -46,7 +46,7 @@
         concurrency.record_sent(0)
     assert not concurrency.admits(1.0, 100 * MS, 0)
     assert concurrency.admits(1.5, 100 * MS, 0)
-    for _ in range(int(4.0 * CLASS_FAVOUR) - 5):
+    for _ in range(int(4.0 * MAX_CLASS_LIMIT_RATIO) - 5):
         concurrency.record_sent(0)
     assert not concurrency.admits(100.0, 100 * MS, 0)
 
--- a/tests/decisions/test_timers.py
+++ b/tests/decisions/test_timers.py
@@ -1,6 +1,7 @@
 """The queue of timers, and the detection of a stall."""
 
-from yardlane.decisions.timers import NEVER_US, STALL_US, Timers
+from yardlane.decisions.timers import STALL_US, Timers
+from yardlane.decisions.units import NEVER_US
 
 
 def test_due_calls_are_made_by_time_and_equal_times_in_the_order_of_scheduling() -> None:
--- a/yardlane/decisions/burst.py
+++ b/yardlane/decisions/burst.py
@@ -5,14 +5,14 @@
 what it forwards, as much as all gateways together are taken to forward meanwhile: its own units times the
 fleet's demand over the local demand. `admission.py` adds a part of what is left to the capacity.
 
-In a large fleet each gateway forwards so little that its own bucket fills up again between two of its
-requests, and all gateways together would pass half a burst over and over. There the bucket counts for no
-more than the burst less what the whole fleet asks beyond the rate in one decay time.
+In a large fleet (`quota.is_large_fleet`) each gateway forwards so little that its own bucket fills up again
+between two of its requests, and all gateways together would pass half a burst over and over. There the bucket
+counts for no more than the burst less the fleet's demand beyond the rate in one decay time.
 """
 
 from __future__ import annotations
 
-from yardlane.decisions.quota import REPORTS_PER_DECAY, TenantDemand
+from yardlane.decisions.quota import TenantDemand
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
@@ -40,15 +40,15 @@
 
     def units_left(self, fleet_demand: float) -> float:
         """Units of the burst that are left while the fleet has this demand."""
-        if self._demand.gateway_count <= REPORTS_PER_DECAY:
+        if not self._demand.is_in_large_fleet:
             return self._units
         beyond_rate = max(0.0, fleet_demand - self._plan.rate_per_s * self._demand.decay_us / SECOND_US)
         return min(self._units, max(0.0, self._plan.burst - beyond_rate))
 
-    def take(self, units: float, weight: float) -> None:
+    def take(self, units: float, demand_amount: float) -> None:
         """Take a request's units, and with them what the other gateways forward meanwhile."""
         demand = self._demand
-        fleet_ratio = demand.estimate_fleet_demand(weight) * demand.local_decay_us
+        fleet_ratio = demand.estimate_fleet_demand(demand_amount) * demand.local_decay_us
         fleet_ratio /= max(MIN_DEMAND, demand.local_demand * demand.decay_us)
         fleet_units = units * min(MAX_FLEET_RATIO * demand.gateway_count, max(1.0, fleet_ratio))
         self._units = max(-OVERDRAFT_SHARE * self._plan.burst, self._units - fleet_units)
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -5,7 +5,7 @@
 (`admission.py`).
 
 **When.** With a valid total, a tenant is polled once the total is older than one decay time. In a fleet of
-less than `REPORTS_PER_DECAY` gateways that time is as much shorter, as fewer gateways poll; where the
+less than `LARGE_FLEET_GATEWAYS` gateways that time is as much shorter, as fewer gateways poll; where the
 estimate comes near the capacity it is a quarter, as a late total would then reject too few. Without a valid
 total each request polls. Polls are made only for a plan that has a quota, and if there is a counter.
 
@@ -34,7 +34,7 @@
 
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import CounterResult, Outcome
-from yardlane.decisions.quota import REPORTS_PER_DECAY, TenantDemand
+from yardlane.decisions.quota import LARGE_FLEET_GATEWAYS, TenantDemand
 from yardlane.decisions.request import Request
 from yardlane.decisions.units import SECOND_US
 
@@ -111,7 +111,7 @@
             decayed = (self.backoff_factor - 1.0) * math.exp(-elapsed_us / BACKOFF_DECAY_US)
             self.backoff_factor = 1.0 + decayed
 
-    def is_due(self, demand: TenantDemand, weight: float, capacity: float, now_us: int) -> bool:
+    def is_due(self, demand: TenantDemand, amount: float, capacity: float, now_us: int) -> bool:
         """Whether a request of this weight polls first.
 
         `capacity` is what may be admitted in one decay time; 0 for a plan without quota. The random number is
@@ -119,16 +119,16 @@
         """
         if demand.has_valid_total(now_us):
             age_us = now_us - demand.total_received_at_us
-            is_due = age_us > self._interval_us(demand, weight, capacity)
+            is_due = age_us > self._interval_us(demand, amount, capacity)
         else:
             is_due = self._random.random() * self.backoff_factor < 1.0
         return is_due and self._has_counter and capacity > 0.0
 
-    def _interval_us(self, demand: TenantDemand, weight: float, capacity: float) -> float:
+    def _interval_us(self, demand: TenantDemand, amount: float, capacity: float) -> float:
         interval_us = (
-            demand.decay_us * min(1.0, demand.gateway_count / REPORTS_PER_DECAY) * self.backoff_factor
+            demand.decay_us * min(1.0, demand.gateway_count / LARGE_FLEET_GATEWAYS) * self.backoff_factor
         )
-        fleet_demand = demand.estimate_fleet_demand(weight)
+        fleet_demand = demand.estimate_fleet_demand(amount)
         if NEAR_CAPACITY_SHARE * capacity < fleet_demand * self.backoff_factor and fleet_demand < capacity:
             return interval_us / NEAR_CAPACITY_SPEEDUP
         return interval_us
--- a/yardlane/decisions/endpoint_record.py
+++ b/yardlane/decisions/endpoint_record.py
@@ -12,8 +12,9 @@
 
     `entry` is its newest entry of the endpoint list. `subset_rank` is how many gateways come before this one
     in the endpoint's order of them (`endpoints.py`). `failure_rates` and `latency_ratio` are averages
-    (`outliers.py`); `sent_work` holds what it was sent while warming up (`slow_start.py`). `in_flight` counts
-    attempts of this gateway, `remote_in_flight` those of all others by the endpoint's last load report.
+    (`outliers.py`); `sent_work` is what it was sent while warming up, as expected service time in
+    microseconds (`slow_start.py`). `in_flight` counts attempts of this gateway, `remote_in_flight` those of
+    all others by the endpoint's last load report.
     """
 
     __slots__ = (
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -49,10 +49,9 @@
 from yardlane.decisions.slow_start import SlowStart
 from yardlane.decisions.tenant import Tenant, TenantId, forget_idle
 from yardlane.decisions.timers import Timers
-from yardlane.decisions.units import SECOND_US
+from yardlane.decisions.units import NEVER_US, SECOND_US
 
 WATCH_RETRY_DELAY_US = SECOND_US
-NOT_STARTED_US = -1
 
 
 class Gateway:
@@ -62,7 +61,7 @@
         self.settings = settings
         self.random = random.Random(seed)
         self.actions: list[Action] = []
-        self.now_us = NOT_STARTED_US
+        self.now_us = NEVER_US
         self.timers = Timers()
         self.requests: dict[int, Request] = {}
         self.tenants: dict[TenantId, Tenant] = {}  # in the order of their last requests
@@ -82,7 +81,7 @@
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
-        is_first_call = self.now_us == NOT_STARTED_US
+        is_first_call = self.now_us == NEVER_US
         self.now_us = now_us
         self.actions = []
         if is_first_call:
@@ -130,20 +129,23 @@
     # Requests, from their arrival until they are forwarded
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
+        """Register a request, count its demand, and poll the counter or decide on its admission."""
         self.settings.require_known(event.request_class, event.quota_plan)
         tenant = self._find_tenant(event)
         request = Request(event, tenant, self.now_us, self.settings.tick_us)
         self.requests[event.request_id] = request
-        request_class = self.settings.request_classes[request.class_index]
         service_time_us = self._mean_service_time_us(request)
+        request_class = self.settings.request_classes[request.class_index]
         queueing_us = admission.longest_queueing_us(request_class, service_time_us, event.time_left_us)
         self._schedule_final_answer(request, min(request.final_answer_by_us, self.now_us + queueing_us))
+
         self.service_times.record_arrival(request.class_index)
-        weight = admission.demand_weight(tenant.plan, request.units, service_time_us)
-        capacity = admission.capacity(tenant, request.units, service_time_us)
-        tenant.demand.add(weight, self.now_us)
+        amount = admission.demand_amount(tenant.plan, request.units, service_time_us)
+        capacity = admission.sustained_capacity(tenant, request.units, service_time_us)
+        tenant.demand.add(amount, self.now_us)
         forget_idle(self.tenants, self.now_us)
-        if self.polling.is_due(tenant.demand, weight, capacity, self.now_us):
+
+        if self.polling.is_due(tenant.demand, amount, capacity, self.now_us):
             self.actions.append(self.polling.start(request, self.now_us))
         else:
             self._admit(request)
@@ -165,7 +167,7 @@
         request = call.request
         if result.outcome is Outcome.OK:
             service_time_us = self._mean_service_time_us(request)
-            capacity = admission.capacity(request.tenant, request.units, service_time_us)
+            capacity = admission.sustained_capacity(request.tenant, request.units, service_time_us)
             request.tenant.apply_total(result.total, call.period_index, capacity, self.now_us)
         if not request.has_ended:
             self._admit(request)
@@ -173,7 +175,9 @@
     def _admit(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
-        if not admission.admit(tenant, request.units, self._mean_service_time_us(request), self.now_us):
+        if not admission.decide_admission(
+            tenant, request.units, self._mean_service_time_us(request), self.now_us
+        ):
             self._reject_or_fail(request)
             return
         tenant.queue.append(request)
@@ -192,13 +196,13 @@
             del tenant.queue[0]
             request.is_queued = False
             service_time_us = self._mean_service_time_us(request)
-            weight = admission.demand_weight(tenant.plan, request.units, service_time_us)
-            tenant.record_first_attempt(request.units, weight)
+            amount = admission.demand_amount(tenant.plan, request.units, service_time_us)
+            tenant.record_first_attempt(request.units, amount)
             self.retries.record_first_attempt()
             self._start_attempt(request, endpoint)
 
     def _release_later(self, tenant: Tenant, missing_units: float) -> None:
-        """Look again once the hard rate may have filled by these units."""
+        """Look again once the hard rate may have filled by these units, or an endpoint may be free."""
         if tenant.next_release_at_us > self.now_us:
             return
         delay_us = admission.release_delay_us(tenant, missing_units, self.now_us)
@@ -208,8 +212,8 @@
     # Attempts
 
     def _choose_endpoint(self, request: Request) -> EndpointRecord | None:
-        value = self.service_times.relative_value(request.class_index)
-        if not self.concurrency.admits(value, self._mean_service_time_us(request), self.now_us):
+        weight_per_time = self.service_times.relative_weight_per_time(request.class_index)
+        if not self.concurrency.admits(weight_per_time, self._mean_service_time_us(request), self.now_us):
             return None
         candidates = self.retries.candidates(request, self.endpoints)
         return self.balancer.choose(request, candidates, self.now_us)
@@ -230,7 +234,10 @@
         self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Hedge, or cancel if a retry could go now: the end of a cancelled attempt causes it."""
+        """Hedge. Where that is not allowed, cancel the attempt if a retry could be sent now.
+
+        The `AttemptEnded` of the cancelled attempt then causes that retry (`_on_attempt_ended`).
+        """
         if not attempt.is_in_flight:
             return
         self.outliers.record_overdue(attempt)
@@ -251,6 +258,8 @@
             self._end(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
             self._reject_or_fail(request)
+        # Only this tenant's queue: those of others that wait for an endpoint look within
+        # NO_ENDPOINT_RETRY_US.
         self._release(request.tenant)
 
     def _record_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -1,16 +1,16 @@
 """A tenant's demand, here and over all gateways, and this gateway's part of a concurrency limit.
 
-**Demand.** What was asked t microseconds ago counts by e^(-t / decay): no interval ends at which all
+**Demand.** A request of t microseconds ago counts by e^(-t / decay): no interval ends at which all
 gateways would begin again together. The amounts are units where the plan has a rate; else they are
-slot-seconds, a slot for the mean service time (`admission.demand_weight`). Each gateway knows
+slot-seconds, a concurrency slot for the mean service time (`admission.demand_amount`). Each gateway knows
 
 - its local demand, which it adds up itself,
-- its unreported demand, the part of it that the shared counter was not given yet, and
-- the fleet's demand, the sum over all gateways, as the counter last gave it (`counter_polling.py`).
+- its unreported demand, the part of it that was not reported to the shared counter yet, and
+- the fleet's demand, the sum over all gateways, by the last reply of the counter (`counter_polling.py`).
 
 **Estimate.** Between two totals the fleet's demand is the last total, scaled as the local demand has
-changed since. So a gateway that loses its counter goes on with what it knew, and a flood that starts here
-counts at once. Before the first total, all gateways are taken to be asked about as much as this one;
+changed since. So a gateway that loses its counter goes on with what it knew, and a burst that starts here
+counts at once. Before the first total, all gateways are taken to get about as much demand as this one;
 otherwise a tenant could pass its whole quota through each gateway of a fleet whose counter is silent.
 
 **Concurrency bound.** The demand split of Padala et al. (port allocator; see docs/design.md): while the
@@ -26,29 +26,38 @@
 import math
 
 from yardlane.decisions.settings import QuotaPlan
-from yardlane.decisions.units import SECOND_US
-
-NEVER_US = -1
+from yardlane.decisions.units import NEVER_US, SECOND_US
 
 TOTAL_VALID_US = 20 * SECOND_US
 """A total of this age says little of the fleet's demand by now."""
 
-REPORTS_PER_DECAY = 25
-"""Gateways that report to the counter in one decay time; in a larger fleet each sees little by itself."""
+LARGE_FLEET_GATEWAYS = 25
+"""Up to so many gateways report to the counter in one decay time; in a larger fleet each sees little."""
 
+NO_PERIOD = -1
 BURST_DECAY_SHARE = 0.4  # of the time in which the rate refills the burst
 DECAY_TIMEOUTS = 50  # the least decay time, in time-outs of the counter
 SHORT_DECAY_TIMEOUTS = 10  # where a long one would mislead, see `decay_time_us`
-EVEN_SHARES_BEFORE_TOTAL = 1.4  # what a gateway passes of a quota before the first total, in even shares
+# What a gateway admits of a quota before the first total, in even shares: more than one, as a gateway that
+# gets somewhat more requests than the others would otherwise reject some within the quota.
+EVEN_SHARES_BEFORE_TOTAL = 1.4
 FEW_REQUESTS = 3.0  # a change of local demand by less than these is chance, and scales the total little
-ASSUMED_CAPACITY_SHARE = 0.5  # of its capacity that a tenant has used before its first total
+# The share of its capacity that a tenant is taken to have used when the period of its first total began, as
+# that total covers nothing before. With 0, a burst that began before would count too little and pass; with 1,
+# requests within the quota would be rejected.
+ASSUMED_CAPACITY_SHARE = 0.5
 LOST_COUNT_SHARE = 0.999  # a count never falls: below this share of its last total, the counter has lost it
 BOUND_TOLERANCE = 1e-4  # slots that rounding may cost before the bound is rounded down
 
 
+def is_large_fleet(gateway_count: int) -> bool:
+    """Whether each gateway sees so few of a tenant's requests that its own demand says little."""
+    return gateway_count > LARGE_FLEET_GATEWAYS
+
+
 def is_limit_below_gateway_count(plan: QuotaPlan, gateway_count: int) -> bool:
-    """Whether even one request at each gateway could exceed the concurrency limit."""
-    return gateway_count > plan.concurrency_limit
+    """Whether even one request at each gateway could exceed the concurrency limit, if the plan has one."""
+    return 0 < plan.concurrency_limit < gateway_count
 
 
 def decay_time_us(plan: QuotaPlan, gateway_count: int, counter_timeout_us: int) -> float:
@@ -62,7 +71,7 @@
     is_short = is_limit_below_gateway_count(plan, gateway_count)
     if plan.rate_per_s:
         burst_us = BURST_DECAY_SHARE * plan.burst / plan.rate_per_s * SECOND_US
-        is_short = gateway_count > REPORTS_PER_DECAY
+        is_short = is_large_fleet(gateway_count)
     timeouts = SHORT_DECAY_TIMEOUTS if is_short else DECAY_TIMEOUTS
     return max(burst_us, timeouts * max(1, counter_timeout_us))
 
@@ -98,6 +107,7 @@
         "decay_us",
         "fleet_demand",
         "gateway_count",
+        "is_in_large_fleet",
         "last_request_at_us",
         "local_decay_us",
         "local_demand",
@@ -109,6 +119,7 @@
     def __init__(self, plan: QuotaPlan, gateway_count: int, counter_timeout_us: int, now_us: int) -> None:
         capacity = max(1.0, plan.burst or plan.concurrency_limit)
         self.gateway_count = gateway_count
+        self.is_in_large_fleet = is_large_fleet(gateway_count)
         self.decay_us = decay_time_us(plan, gateway_count, counter_timeout_us)
         self.local_decay_us = self.decay_us * max(1.0, gateway_count / capacity)
         self.local_demand = 0.0
@@ -118,34 +129,38 @@
         self.local_demand_at_total = 0.0
         self.total_received_at_us = NEVER_US
         self._last_count = 0.0
-        self._last_period_index = -1
+        self._last_period_index = NO_PERIOD
         self._carried_total = 0.0
         self._carried_since_us = 0
 
     def has_total(self) -> bool:
-        """Whether the counter ever gave a total."""
+        """Whether there ever was a total of the counter."""
         return self.total_received_at_us >= 0
 
     def has_valid_total(self, now_us: int) -> bool:
         """Whether the last total is fresh enough to say something of the demand by now."""
         return 0 <= self.total_received_at_us > now_us - TOTAL_VALID_US
 
-    def add(self, weight: float, now_us: int) -> None:
-        """Count a request of this weight."""
-        self.local_demand = self.local_demand_at(now_us) + weight
-        self.unreported_demand += weight
+    def add(self, amount: float, now_us: int) -> None:
+        """Count a request of this amount."""
+        self.local_demand = self.local_demand_at(now_us) + amount
+        self.unreported_demand += amount
         self.last_request_at_us = now_us
 
     def local_demand_at(self, now_us: int) -> float:
         """The local demand, decayed until now."""
         return self.local_demand * math.exp((self.last_request_at_us - now_us) / self.local_decay_us)
 
-    def estimate_fleet_demand(self, weight: float) -> float:
-        """The fleet's demand by now; `weight` is that of a usual request."""
+    def estimate_fleet_demand(self, amount: float) -> float:
+        """The last total, scaled as the local demand has changed since; before a total, by even shares.
+
+        Neither is decayed until now: the local demand is as of the last arrival, the total as of its receipt.
+        `amount` is the demand of the present request.
+        """
         if self.total_received_at_us < 0:
             even_demand = self.local_demand * self.gateway_count * self.decay_us / self.local_decay_us
             return even_demand / EVEN_SHARES_BEFORE_TOTAL
-        few = FEW_REQUESTS * weight
+        few = FEW_REQUESTS * amount
         return self.fleet_demand * (self.local_demand + few) / (self.local_demand_at_total + few)
 
     def apply_total(
@@ -153,9 +168,9 @@
     ) -> None:
         """Take in a total of the count of this period; `capacity` is that of one decay time.
 
-        A new period's count starts at zero, and a counter that restarts loses what it held. Either would look
-        as if nobody had asked anything, and open the quota to a flood. So what was known before is carried
-        along, decaying, and the count is added to it.
+        A new period's count starts at zero, and a counter that restarts loses its counts. Either would look
+        as if there had been no demand, and admit far more than the quota. So what was known before is
+        carried along, decaying, and the count is added to it.
         """
         if period_index != self._last_period_index or total < self._last_count * LOST_COUNT_SHARE:
             if self.has_total():
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -73,7 +73,7 @@
         first = request.first_attempt_that_may_have_run()
         if first is None:
             return endpoints.subset
-        return _sharing_keys(request_class.deduplication_scope, first.endpoint.entry, endpoints)
+        return _endpoints_in_scope(request_class.deduplication_scope, first.endpoint.entry, endpoints)
 
     def begin_within_us(self, request: Request, now_us: int) -> int:
         """The time in which the next attempt has to be written whole; `NO_BOUND_US` for no bound."""
@@ -107,7 +107,7 @@
     return request_class.idempotency is Idempotency.IDEMPOTENT
 
 
-def _sharing_keys(
+def _endpoints_in_scope(
     scope: DeduplicationScope, entry: Endpoint, endpoints: EndpointList
 ) -> list[EndpointRecord]:
     """The endpoints that share their record of idempotency keys with this one."""
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -1,8 +1,11 @@
-"""A tenant of one plan at this gateway: its queue, what it has in flight, and the parts of its quota.
+"""A tenant of one plan at this gateway: its queue, what it has in flight, and its shares of the quota.
 
 A tenant is kept from its first request until nothing known of it matters any more: it has nothing queued or
-in flight, its last total is no longer valid, and its part of the hard rate is full. Forgotten earlier, it
-would come back with a fresh part, and the hard rate would be exceeded.
+in flight, its last request is older than a total may be (`TOTAL_VALID_US`), and its share of the hard rate is
+full. Forgotten earlier, it would come back with a new bucket, and the hard rate would be exceeded.
+
+Which gateways serve the tenant is taken from its first request, and not updated while the tenant is kept. If
+its later requests name others, its quota is divided by the old number until it is forgotten.
 """
 
 from __future__ import annotations
@@ -86,30 +89,30 @@
         return not self.concurrency_bound or self.in_flight < self.concurrency_bound
 
     def missing_units(self, units: float, now_us: int) -> float:
-        """Units that this gateway's part of the hard rate lacks for a request of so many."""
+        """Refill, and return the units that this gateway's share of the hard rate lacks for a request."""
         if not self.plan.hard_rate_per_s:
             return 0.0
         self.refill(now_us)
         return units - self.hard_rate.units
 
-    def record_first_attempt(self, units: float, weight: float) -> None:
+    def record_first_attempt(self, units: float, demand_amount: float) -> None:
         """Take a request that is forwarded off the token buckets."""
         if self.plan.hard_rate_per_s:
             self.hard_rate.take(units)
         if self.plan.rate_per_s:
-            self.burst.take(units, weight)
+            self.burst.take(units, demand_amount)
 
-    def update_concurrency_bound(self, fleet_demand: float, service_us_per_weight: float) -> None:
+    def update_concurrency_bound(self, fleet_demand: float, slot_us_per_demand: float) -> None:
         """Split the concurrency limit by demand, as mean requests in flight by Little's law.
 
-        `service_us_per_weight` is the time for which one unit of demand holds a slot.
+        `slot_us_per_demand` is the time for which one unit of demand holds a slot.
         """
         demand = self.demand
         self.concurrency_bound = split_concurrency_limit(
             self.plan.concurrency_limit,
             self.gateway_count,
-            service_us_per_weight * demand.local_demand / demand.local_decay_us,
-            service_us_per_weight * fleet_demand / demand.decay_us,
+            slot_us_per_demand * demand.local_demand / demand.local_decay_us,
+            slot_us_per_demand * fleet_demand / demand.decay_us,
         )
 
     def apply_total(self, total: float, period_index: int, capacity: float, now_us: int) -> None:
--- a/yardlane/decisions/timers.py
+++ b/yardlane/decisions/timers.py
@@ -15,10 +15,11 @@
 from collections.abc import Callable
 from typing import Any, TypeVarTuple
 
+from yardlane.decisions.units import NEVER_US
+
 Arguments = TypeVarTuple("Arguments")
 
 STALL_US = 100_000
-NEVER_US = -1
 
 
 class Timers:
--- a/yardlane/decisions/work_window.py
+++ b/yardlane/decisions/work_window.py
@@ -1,7 +1,9 @@
 """How much work was sent to an endpoint within the last `window_us`.
 
-Work is service time in microseconds. It is summed in buckets of a hundredth of the window, so that the record
-stays short; a bucket leaves the window as a whole, after its end, so that the sum is never too low.
+Work is service time in microseconds: of each request that was sent, the mean that the gateway expected of it
+then (`SlowStart.record_sent`), not what it took. It is summed in buckets of a hundredth of the window, so
+that the record stays short; a bucket leaves the window as a whole, after its end, so that the sum is never
+too low.
 """
 
 from __future__ import annotations
