--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -171,6 +171,12 @@
         return await self.accepted.get()
 
 
+async def until(condition: Callable[[], object]) -> None:
+    """Let the loop run until the condition holds; the time for a whole test bounds this too."""
+    while not condition():
+        await asyncio.sleep(0)
+
+
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
     """First line, headers and body of one HTTP message."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
@@ -236,20 +242,31 @@
         return await read_message(reader)
 
 
-class DelayedConnections:
+class LoopDouble:
+    """A loop that does as `loop` does, but for what a subclass defines."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self.loop = loop
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self.loop, name)
+
+    def as_loop(self) -> asyncio.AbstractEventLoop:
+        """This, for what takes a loop."""
+        return cast(asyncio.AbstractEventLoop, self)
+
+
+class DelayedConnections(LoopDouble):
     """The pool's loop; connections to one backend are made, and known to be, only when the test says so."""
 
     def __init__(self, server: RunningServer, port: int) -> None:
-        self.loop = server.pool.loop
+        super().__init__(server.pool.loop)
         self.port = port
         self.requested = asyncio.Event()
         self.may_connect = asyncio.Event()
         self.may_return = asyncio.Event()  # set, unless a test withholds what is known of a connection made
         self.may_return.set()
-        server.pool.loop = cast(asyncio.AbstractEventLoop, self)
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self.loop, name)
+        server.pool.loop = self.as_loop()
 
     async def create_connection(
         self, make_protocol: Callable[[], asyncio.Protocol], host: str, port: int
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -16,6 +16,7 @@
     running_with_backend,
     send_all,
     socket_test,
+    until,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
 
@@ -43,6 +44,8 @@
 
 
 def test_the_idle_limit_recovers_by_good_connections_and_by_time() -> None:
+    """Connections were found dead, and the cause is gone. An idle limit that stayed short would cost a new
+    connection for nearly each request from then on."""
     policy = ReusePolicy(keepalive_s=30.0)
     policy.on_found_dead(5.0)
     assert 3.0 < policy.idle_limit_s < 5.0 < policy.max_idle_limit_s
@@ -56,6 +59,8 @@
 
 
 def test_the_quarantine_of_an_upstream_is_its_own_where_that_is_longer() -> None:
+    """One upstream sent bytes a second late. With the shared quarantine alone its next late bytes would
+    answer another client's request; with its own for all, no connection would be reused."""
     policy = ReusePolicy(keepalive_s=30.0)
     assert policy.quarantine_of(b"s-1") == QUARANTINE_S
     policy.on_stray_bytes(b"s-1", 1.0)
@@ -65,6 +70,8 @@
 
 @socket_test
 async def test_a_connection_is_quarantined_before_it_is_used_again() -> None:
+    """A second request comes while the only connection is still in quarantine. Sent on it, the request could
+    be answered by a late second response to the first one."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         server.pool.reuse.quarantine_s = 1e6
         client = await server.client()
@@ -112,8 +119,7 @@
 
             writer = await served_and_idle_for("a1", 3.0)
             os.write(writer.get_extra_info("socket").fileno(), answer(200, b"stale"))
-            while is_read and pool.connections:
-                await asyncio.sleep(0)
+            await until(lambda: not is_read or not pool.connections)
             assert pool._take_idle(b"s-1") is None
             await served_and_idle_for("a2", 4.0)
             assert pool._take_idle(b"s-1") is None
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -8,9 +8,10 @@
 from yardlane.decisions.events import Event, RequestEnded, TimerFired
 from yardlane.proxy.clock import Clock
 from yardlane.proxy.decision_loop import DecisionLoop
-from tests.loopback import Script, socket_test
+from tests.loopback import Script, hold_all, socket_test
 
 UNSUPPORTED = SetTimer(0)
+NO_REQUEST = 0  # ids begin at 1
 
 
 class RecordingHandler:
@@ -53,8 +54,10 @@
 
 @socket_test
 async def test_all_events_of_a_turn_are_handled_together() -> None:
+    """Events come faster than turns. One call of the decisions for each would cost their fixed work for each;
+    and a retry could go to an endpoint of which the same turn already says that it drains."""
     batches: list[list[Event]] = []
-    script = Script(lambda event: [])
+    script = Script(hold_all)
     handle = script.handle
 
     def record(now: int, events: list[Event]) -> list[Action]:
@@ -89,8 +92,59 @@
 
 @socket_test
 async def test_an_action_that_fails_stops_no_other() -> None:
-    decisions, handler = loop_round(Script(lambda event: [UNSUPPORTED, Reject(1)]))
+    """Carrying out one action raises. The actions behind it belong to other requests, which would get no
+    answer if they were dropped with it."""
+
+    def reject_behind_unsupported(event: Event) -> list[Action]:
+        return [UNSUPPORTED, Reject(1)]
+
+    decisions, handler = loop_round(Script(reject_behind_unsupported))
     decisions.forget_after_turn(1)
     decisions.post(RequestEnded(1))
     await asyncio.sleep(0)
     assert (handler.actions, handler.forgotten) == ([Reject(1)], [1])
+
+
+class RaisingOutsideEvents(Script):
+    """Raises in its first call, before the first event or after the last one."""
+
+    def __init__(self, *, is_after_events: bool) -> None:
+        super().__init__(reject_but_raise_on(NO_REQUEST))
+        self.is_after_events = is_after_events
+        self.has_raised = False
+
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
+        if not self.has_raised:
+            self.has_raised = True
+            if self.is_after_events:
+                super().handle(now, events)
+            raise RuntimeError("a fault outside the events")
+        return super().handle(now, events)
+
+
+@socket_test
+async def test_a_fault_behind_the_last_event_fails_that_events_request() -> None:
+    """A timer raises once both events are handled. Nothing tells it apart from the last event, whose request
+    fails; what was decided stands, and no event is handled twice."""
+    script = RaisingOutsideEvents(is_after_events=True)
+    decisions, handler = loop_round(script)
+    decisions.post(RequestEnded(1))
+    decisions.post(RequestEnded(2))
+    await asyncio.sleep(0)
+    await asyncio.sleep(0)
+    assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [2])
+    assert script.seen == [RequestEnded(1), RequestEnded(2)]
+
+
+@socket_test
+async def test_a_fault_before_the_first_event_fails_no_request() -> None:
+    """The decisions raise before they read an event. Whose fault it was is unknown, so no request pays for
+    it: all events come again in the next turn."""
+    script = RaisingOutsideEvents(is_after_events=False)
+    decisions, handler = loop_round(script)
+    decisions.post(RequestEnded(1))
+    decisions.post(RequestEnded(2))
+    await asyncio.sleep(0)
+    assert (script.seen, handler.failed) == ([], [])
+    await asyncio.sleep(0)
+    assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [])
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -1,7 +1,5 @@
 """A request's way through the proxy and back, on sockets."""
 
-import asyncio
-
 from tests.loopback import (
     HEALTH_CHECK,
     Peer,
@@ -13,12 +11,15 @@
     running,
     running_with_backend,
     socket_test,
+    until,
     whole_list,
 )
 
 
 @socket_test
 async def test_a_request_is_forwarded_unchanged_and_its_response_returned() -> None:
+    """The usual way there and back. A header or byte changed on it would break the client's call or its
+    idempotency key, and a deadline passed on whole would let the backend work for nobody."""
     async with running_with_backend() as (server, backend):
         client, to_proxy = await server.client()
         to_proxy.write(ask("file", Content_Length="5") + b"claim")
@@ -34,6 +35,8 @@
 
 @socket_test
 async def test_the_health_check_fails_until_there_is_an_endpoint_list() -> None:
+    """The process starts and discovery has not answered yet. A health check that passed already would bring
+    clients whose requests have no endpoint to go to."""
     async with Peer() as discovery, running(discovery=f"127.0.0.1:{discovery.port}") as server:
         assert (await server.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 503")
         reader, writer = await discovery.connection()
@@ -53,8 +56,7 @@
         await read_message(reader)
         to_proxy.transport.abort()
         writer.write(answer())
-        while server.proxy.requests:
-            await asyncio.sleep(0)
+        await until(lambda: not server.proxy.requests)
         assert server.unanswered == 0
 
 
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -29,6 +29,7 @@
     send_all,
     settings,
     socket_test,
+    until,
     whole_list,
 )
 
@@ -127,8 +128,7 @@
         reader, writer = await backend.connection()
         await read_message(reader)
         timed_out_at = delayed.loop.time() + 2 * pool.connect_timeout_s
-        while delayed.loop.time() < timed_out_at:
-            await asyncio.sleep(0)
+        await until(lambda: delayed.loop.time() >= timed_out_at)
         writer.write(answer())
         assert await read_status(client) == "200"
         delayed.may_return.set()
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -16,6 +16,7 @@
 )
 from yardlane.decisions.gateway import Gateway
 from tests.loopback import (
+    LoopDouble,
     Script,
     ask,
     attempt_each,
@@ -25,6 +26,7 @@
     running_with_backend,
     settings,
     socket_test,
+    until,
 )
 
 UNKNOWN_REQUEST = 10**9
@@ -55,6 +57,9 @@
 
 @socket_test
 async def test_an_action_that_cannot_be_carried_out_stops_no_other() -> None:
+    """The decisions ask for what cannot be done, and behind it for a rejection. Were the turn to end at the
+    first, the client would wait for its answer until the deadline guard fails the request."""
+
     def with_unusable_actions(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
@@ -73,6 +78,9 @@
 
 @socket_test
 async def test_attempts_that_do_not_exist_are_not_cancelled() -> None:
+    """The decisions cancel attempts that no request has had. An index of -1 taken as Python's would end the
+    last attempt, and a request that a backend is serving would get no response."""
+
     def cancel_around(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
@@ -102,14 +110,15 @@
         client, to_proxy = await server.client()
         to_proxy.write(ask(trace="queued", X_Expires_In="100m"))
         gateway = cast(Gateway, server.proxy.decisions.decider)
-        while not any(tenant.queue for tenant in gateway.tenants.values()):
-            await asyncio.sleep(0)
+        await until(lambda: any(tenant.queue for tenant in gateway.tenants.values()))
         time.sleep(0.2)
         assert await read_status(client) == "429"
 
 
 @socket_test
 async def test_what_the_decisions_never_answer_the_deadline_guard_does() -> None:
+    """The decisions let a request's time pass without a word. Without the guard its client would never get
+    the one final answer that it is owed, and the proxy would keep the request for good."""
     async with running(Script(hold_all)) as server:
         line, _, _ = await server.call(ask(X_Expires_In="50m"))
         assert line.split()[1] == "500"
@@ -118,6 +127,8 @@
 
 @socket_test
 async def test_an_attempt_beyond_the_most_that_a_request_may_have_is_not_sent() -> None:
+    """A faulty decider starts one attempt more than the settings allow. Sent, such attempts would multiply
+    the load of backends that are failing already."""
     most = settings()["permissions"]["max_attempts"]
     script = Script(attempt_each(*[b"s-1"] * (most + 1)))
     async with running_with_backend(script) as (server, backend):
@@ -129,14 +140,8 @@
         assert (ended.attempt_index, ended.outcome) == (most, Outcome.NOT_SENT)
 
 
-class EarlyTimers:
-    """The loop, with timers that fire early; uvloop's do by up to a millisecond."""
-
-    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop = loop
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self.loop, name)
+class EarlyTimers(LoopDouble):
+    """Its timers fire early; uvloop's do by up to a millisecond."""
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
         return self.loop.call_later(max(0.0, delay - EARLY_S), call, *args)
@@ -148,8 +153,7 @@
     be called again: what waits would wait for good."""
     script = Script(lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else [])
     async with running(script) as server:
-        loop = EarlyTimers(asyncio.get_running_loop())
-        server.proxy.loop = cast(asyncio.AbstractEventLoop, loop)
+        server.proxy.loop = EarlyTimers(asyncio.get_running_loop()).as_loop()
         handled_at_us: dict[type[Event], int] = {}
         handle = script.handle
 
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -16,6 +16,7 @@
     running_with_backend,
     send_all,
     socket_test,
+    until,
 )
 from tests.upstream_side import forward
 
@@ -53,6 +54,9 @@
     ],
 )
 def test_each_response_has_one_outcome(written: bytes, outcome: Outcome, status: str) -> None:
+    """A backend responds in one of all the ways that are seen, broken ones too. A wrong outcome costs a
+    client its response, or lets a request that may have run be sent a second time."""
+
     @socket_test
     async def run() -> None:
         script = Script(send_all)
@@ -72,6 +76,8 @@
 
 @socket_test
 async def test_load_report_and_usage_reach_the_decisions() -> None:
+    """A response says how loaded its backend is. Unread, the decisions would know their own share of its load
+    alone, and send to a backend that others keep busy."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
@@ -83,6 +89,8 @@
 
 @socket_test
 async def test_figures_beyond_any_load_are_dropped() -> None:
+    """A backend reports figures that no load can reach. Believed, one such report would keep all requests
+    from it until the next one."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
@@ -93,6 +101,8 @@
 
 
 def test_a_load_report_keeps_what_can_be_read() -> None:
+    """One figure of a report is no number, or has a name that nobody knows. The others still hold; with no
+    figure left there is no report, which is not the same as a load of 0."""
     assert read_load_report(b"TEXT util=0.5, depth=nan, queue=4, unknown=1") == LoadReport(
         queued=4.0, utilization=0.5
     )
@@ -100,6 +110,8 @@
 
 
 def test_a_reader_has_typed_errors_and_its_limits() -> None:
+    """A backend sends interim responses without end, or two responses to one request. The reader says so by
+    its own error, by which the connection knows that the fault is the upstream's."""
     reader = ResponseReader()
     reader.feed(INTERIM * MAX_INTERIM_RESPONSES)
     with pytest.raises(MalformedResponse, match="interim responses"):
@@ -127,13 +139,14 @@
 
 @socket_test
 async def test_an_interim_response_is_not_one_that_stalls() -> None:
+    """A backend sends a whole interim response and takes its time for the final one. Ended as stalled, a
+    request that is only slow would fail, and could not be retried if it must not run twice."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         server.pool.stall_timeout_s = 0.0
         (client, _), (_, writer) = await forward(server, backend)
         [connection] = server.pool.connections
         writer.write(INTERIM)
-        while connection.reader is None or not connection.reader.interim_count:
-            await asyncio.sleep(0)
+        await until(lambda: connection.reader is not None and connection.reader.interim_count)
         await asyncio.sleep(0)
         writer.write(answer(200, b"whole"))
         assert (await read_message(client))[2] == b"whole"
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable
 from contextlib import ExitStack
-from typing import Any, cast
+from typing import Any
 
 import pytest
 
@@ -17,6 +17,7 @@
 from yardlane.proxy.upstream_pool import UpstreamPool
 from tests.loopback import (
     HEALTH_CHECK,
+    LoopDouble,
     Peer,
     RunningServer,
     Script,
@@ -32,6 +33,7 @@
     send_all,
     settings,
     socket_test,
+    until,
     whole_list,
 )
 from tests.upstream_side import (
@@ -62,6 +64,8 @@
 
 @socket_test
 async def test_a_request_to_a_refused_connection_never_ran() -> None:
+    """A backend's process is gone and its port refuses. Taken for an attempt that may have run, the request
+    could not be retried elsewhere, and a restart would fail requests that others could serve."""
     async with Peer() as backend:
         port = backend.port
     script = Script(send_all)  # nobody listens there any more
@@ -92,6 +96,9 @@
 
 @socket_test
 async def test_the_attempts_timeout_ends_it_and_closes_its_connection() -> None:
+    """A backend does not respond within the attempt's timeout. Were its connection kept, the late response
+    would be read as the answer to the next request."""
+
     def with_timeout(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [StartAttempt(event.request_id, b"s-1", 1_000_000)]
@@ -153,6 +160,9 @@
 
 @socket_test
 async def test_a_cancelled_attempt_closes_its_connection() -> None:
+    """The client leaves and the decisions cancel its attempt. Only the closed connection tells the backend
+    so; left open, the backend would go on for nobody, and its response would meet the next request."""
+
     def cancel_as_the_client_leaves(event: Event) -> list[Action]:
         return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
 
@@ -165,14 +175,11 @@
         await assert_closed(reader)
 
 
-class TimeoutAsConnected:
-    """The running loop, but each connection comes up just as its connect timeout fires."""
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(asyncio.get_running_loop(), name)
+class TimeoutAsConnected(LoopDouble):
+    """Each connection comes up just as its connect timeout fires."""
 
     async def create_connection(self, *args: Any) -> None:
-        await asyncio.get_running_loop().create_connection(*args)
+        await self.loop.create_connection(*args)
         raise TimeoutError
 
 
@@ -182,14 +189,13 @@
     for one that never ran, the request could run twice."""
     ends: list[Outcome] = []
     async with Peer() as backend:
-        pool = UpstreamPool(config(), 8, cast(asyncio.AbstractEventLoop, TimeoutAsConnected()))
+        pool = UpstreamPool(config(), 8, TimeoutAsConnected(asyncio.get_running_loop()).as_loop())
         attempt = Attempt(1, 0, b"s-1", 0, lambda attempt, outcome, response: ends.append(outcome))
         attempt.address = ("127.0.0.1", backend.port)
         attempt.request_bytes = ask()
         pool.send(attempt)
         await backend.connection()
-        while not ends:
-            await asyncio.sleep(0)
+        await until(lambda: ends)
     assert ends == [Outcome.CONNECTION_LOST]
 
 
@@ -322,6 +328,8 @@
 
 @socket_test
 async def test_a_request_written_to_a_connection_just_reset_never_ran() -> None:
+    """An idle connection is reset after the last look at it, and a request is written to it. Taken for one
+    that may have run, a request that must not run twice would fail, though no backend ever had it."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         pool = server.pool
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import gc
 import weakref
 from typing import Any
@@ -20,6 +19,7 @@
     running_with_backend,
     send_all,
     socket_test,
+    until,
     whole_list,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
@@ -29,12 +29,13 @@
 
 @socket_test
 async def test_an_idle_connection_that_the_backend_closed_is_not_used() -> None:
+    """A backend closes an idle connection. A request sent on it would be lost, and one that must not run
+    twice would fail for its client."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         client = await server.client()
         _, writer = await serve_on_new_connection(client, backend, "a1")
         writer.close()
-        while server.pool.connections:
-            await asyncio.sleep(0)
+        await until(lambda: not server.pool.connections)
         client[1].write(ask(trace="a2"))
         await accept_request(backend, "a2")
 
@@ -56,6 +57,9 @@
 
 @socket_test
 async def test_the_connection_idle_for_longest_makes_room_for_another_backend() -> None:
+    """All descriptors for upstreams are taken by idle connections to other backends. If none made room, a
+    request to a new backend would not be sent while nothing is in use."""
+
     def spread(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
@@ -74,6 +78,8 @@
 
 @socket_test
 async def test_an_endpoint_without_an_address_gets_no_attempt() -> None:
+    """The decisions choose an endpoint whose address could not be read. The attempt ends at once as not sent;
+    were it dropped without an end, its request would wait until the deadline."""
     script = Script(lambda event: send_all(event, b"s-2"))
     async with running_with_backend(script) as (server, backend):
         line, _, _ = await server.call(ask())
@@ -117,7 +123,6 @@
             writer.write(answer())
             assert await read_status(client) == "200"
             writer.close()
-            while any(reference() is not None for reference in references):
-                await asyncio.sleep(0)
+            await until(lambda: all(reference() is None for reference in references))
         finally:
             gc.enable()
--- a/tests/proxy/test_upstream_state.py
+++ b/tests/proxy/test_upstream_state.py
@@ -24,6 +24,8 @@
 
 
 def test_the_design_page_shows_all_states_and_events() -> None:
+    """The design page shows the table to its readers. A state or event that it lacks would mislead whoever
+    reads it at night."""
     assert STATES is not None and STATES[1].split(" | ") == [state.name for state in UpstreamState]
     assert list(ROWS) == [event.name for event in UpstreamEvent]
     assert all(len(row) == len(UpstreamState) for row in ROWS.values())
@@ -33,6 +35,9 @@
 def test_a_transition_that_the_table_lacks_is_logged_and_changes_nothing(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    """A fault of this program brings an event that the state cannot have. If it moved the state all the same,
+    a request could be reported as never run though a backend runs it."""
+
     @socket_test
     async def run() -> None:
         pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -5,10 +5,21 @@
 import asyncio
 import socket
 from collections.abc import Callable
-from typing import Any, cast
+from typing import Any
 
 from yardlane.proxy.upstream_connection import UpstreamConnection
-from tests.loopback import Peer, RunningServer, Streams, answer, ask, member, read_message, whole_list
+from tests.loopback import (
+    LoopDouble,
+    Peer,
+    RunningServer,
+    Streams,
+    answer,
+    ask,
+    member,
+    read_message,
+    until,
+    whole_list,
+)
 
 SMALL_SEND_BUFFER_BYTES = 4096  # of the kernel's: far less than `LARGE_REQUEST_BYTES`
 SMALL_RECEIVE_BUFFER_BYTES = 1024
@@ -75,14 +86,14 @@
     return received
 
 
-class SmallBufferBackends:
+class SmallBufferBackends(LoopDouble):
     """Backends that read nothing by themselves, and the pool's loop, which connects with small buffers.
 
     The kernel takes a part of a large request, and the rest stays in the transport until the test reads.
     """
 
     def __init__(self, count: int = 1) -> None:
-        self.loop = asyncio.get_running_loop()
+        super().__init__(asyncio.get_running_loop())
         self.listeners = [socket.socket() for _ in range(count)]
         for listener in self.listeners:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_RECEIVE_BUFFER_BYTES)
@@ -92,9 +103,6 @@
         ports = [listener.getsockname()[1] for listener in self.listeners]
         self.known = whole_list(*(member(f"s-{number}", port) for number, port in enumerate(ports, 1)))
 
-    def __getattr__(self, name: str) -> Any:
-        return getattr(self.loop, name)
-
     async def create_connection(
         self, make_protocol: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> Any:
@@ -106,7 +114,7 @@
 
     def connect_for(self, server: RunningServer) -> None:
         """Connections of this proxy's pool have small buffers from now on."""
-        server.pool.loop = cast(asyncio.AbstractEventLoop, self)
+        server.pool.loop = self.as_loop()
 
     async def partly_sent(
         self, server: RunningServer, backend_end: socket.socket | None = None
@@ -129,6 +137,5 @@
 
     async def stuck_connection(self, server: RunningServer) -> UpstreamConnection:
         """The connection whose request is sent in part."""
-        while not (stuck := [c for c in server.pool.connections if unsent_bytes(c)]):
-            await asyncio.sleep(0)
-        return stuck[0]
+        await until(lambda: any(unsent_bytes(connection) for connection in server.pool.connections))
+        return next(connection for connection in server.pool.connections if unsent_bytes(connection))
