--- a/tests/proxy/test_upstream_state.py
+++ b/tests/proxy/test_upstream_state.py
@@ -48,7 +48,7 @@
                 expected = documented_state(event, state)
                 assert connection._apply(event) is (expected is not None)
                 assert connection.state is (state if expected is None else expected)
-                error = f"upstream connection: unexpected event {event.name} in state {state.name}"
+                error = f"unexpected event {event.name} in state {state.name} of an upstream connection"
                 assert caplog.messages == [error] * (expected is None)
                 caplog.clear()
 
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -8,6 +8,7 @@
 from typing import Any
 
 from yardlane.proxy.upstream_connection import UpstreamConnection
+from yardlane.proxy.upstream_state import UpstreamState
 from tests.loopback import (
     LoopDouble,
     Peer,
@@ -54,6 +55,11 @@
     return reader, writer
 
 
+async def until_state(connection: UpstreamConnection, state: UpstreamState) -> None:
+    """The loop runs until the connection is in this state."""
+    await until(lambda: connection.state is state)
+
+
 def unsent_bytes(connection: UpstreamConnection) -> int:
     """What the kernel has not taken yet."""
     if connection.transport is None:
