--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -76,7 +76,9 @@
         """
         after = TRANSITIONS[self.state].get(event)
         if after is None:
-            log.error("upstream connection: unexpected event %s in state %s", event.name, self.state.name)
+            log.error(
+                "unexpected event %s in state %s of an upstream connection", event.name, self.state.name
+            )
             return False
         self.state = after
         return True
