--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -7,7 +7,8 @@
 Two cases lie outside the events. A timer that raises, once all events are handled, counts against the last
 event: its request fails although it was handled, as nothing here tells the two apart. What raises before the
 first event fails no request: all events come once more in the next turn, without a pause, and if it raised
-each time that would be a busy loop. `Gateway` reads no event there, it only updates its own clock and timers.
+each time that would be a busy loop. `Decider.actions` may still be those of the call before then, and would
+be carried out once more. `Gateway` reads no event there, it only updates its own clock and timers.
 """
 
 from __future__ import annotations
