--- a/yardlane/decisions/actions.py
+++ b/yardlane/decisions/actions.py
@@ -1,6 +1,6 @@
-"""What to do: the actions that a gateway's decisions ask for. Times are whole microseconds.
+"""What to do: the actions that a gateway's decisions return. Times are whole microseconds.
 
-Not frozen, for the same reason as events.
+Actions are not frozen, for the same reason as events.
 """
 
 from __future__ import annotations
@@ -12,6 +12,8 @@
 class StartAttempt:
     """Send a request to an endpoint; `timeout_us` 0 lets it run until the client's deadline.
 
+    No rule sets another `timeout_us`: it is there for the wire.
+
     `begin_within_us` bounds how late its last byte may be written, as a connection may come up late: an
     attempt that is not written by then never is, and ends as `NOT_CONNECTED`. 0 sets no bound.
     """
@@ -64,21 +66,21 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Ask an endpoint for its health."""
+    """Request the health of an endpoint. On the wire only: no rule returns it."""
 
     endpoint_id: bytes
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to an endpoint."""
+    """Close the idle connections to an endpoint. On the wire only: no rule returns it."""
 
     endpoint_id: bytes
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Fetch a snapshot of the endpoint list."""
+    """Fetch a snapshot of the endpoint list. On the wire only: no rule returns it."""
 
 
 @dataclass(slots=True)
@@ -90,7 +92,10 @@
 
 @dataclass(slots=True)
 class SendGossip:
-    """A message to one gateway by its rank, or to all others when `gateway` is None."""
+    """A message to one gateway by its rank, or to all others when `gateway` is None.
+
+    On the wire only: no rule returns it.
+    """
 
     gateway: int | None
     content: bytes
@@ -98,7 +103,7 @@
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the log."""
+    """A line for the log. On the wire only: no rule returns it."""
 
     text: str
 
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -4,25 +4,30 @@
 same call. The request that causes it waits for the reply, and is admitted by the new total
 (`admission.py`).
 
-**When.** With a valid total, a tenant is polled once the total is older than one decay time. In a fleet of
-less than `LARGE_FLEET_GATEWAYS` gateways that time is as much shorter, as fewer gateways poll; where the
-estimate comes near the capacity it is a quarter, as a late total would then reject too few. Without a valid
-total each request polls. Polls are made only for a plan that has a quota, and if there is a counter.
+**When.** With a valid total, a tenant's count is polled once the total is older than one decay time. In a
+fleet of n gateways, fewer than `LARGE_FLEET_GATEWAYS`, that time is multiplied by n / `LARGE_FLEET_GATEWAYS`.
+Where the estimate comes near the capacity it is divided by `NEAR_CAPACITY_SPEEDUP`, as a late total would
+then reject too few. Without a valid total each request polls. Polls are made only for a plan that has a
+quota, and if there is a counter.
 
 **Backoff.** A counter serves its calls in turn, also those that nobody waits for any longer. Gateways that
-poll a little more than it bears would therefore keep it late for good, and all its replies would time out.
+poll a little more often than it can serve would therefore keep it late for good, and all its replies would
+time out.
 So each late, rejected or lost poll raises the backoff factor, by which the time between polls is
 multiplied, and each prompt one lowers it. Where every request polls, only one in so many does; its amount
 is multiplied instead, to stand for those that were not made. The factors balance with 3 in 10 polls late,
 or 2 in 5 lost. The factor also decays with time: with so few polls made, few replies could show that the
-counter is well again.
+counter has recovered.
 
 **Counts.** A tenant's count has a new key for each period of several decay times, so that the counter can
 let old ones expire. A count does not decay at the counter; instead an amount is added multiplied by e^(time
 since the period's start / decay time), and the total is divided by as much when it is read. Periods of
 different tenants start at different times, or all would poll together.
 
-Times are microseconds of the gateway's own clock.
+**Clocks.** Times are microseconds of the gateway's own clock, which has to agree with Unix time. Of a gateway
+whose clock is ahead by d, the others read the demand multiplied by e^(d / decay time), and it reads theirs
+multiplied by e^(-d / decay time). While its clock is in another period than theirs it uses another key: its
+demand is then not in the total of the others, nor theirs in its own.
 """
 
 from __future__ import annotations
@@ -76,7 +81,11 @@
         return index * self.period_us + self._phase_us
 
     def counter_key(self, index: int) -> int:
-        """The key of a period's count."""
+        """The key of a period's count.
+
+        The index wraps, so a key is used again after `PERIOD_INDEX_RANGE` periods. Its old count has expired
+        long before: a count lives for one period and `COUNT_LIFETIME_MARGIN_US`.
+        """
         return (self._tenant_key << PERIOD_INDEX_BITS) | (index % PERIOD_INDEX_RANGE)
 
 
@@ -115,7 +124,8 @@
         """Whether a request of this weight polls first.
 
         `capacity` is what may be admitted in one decay time; 0 for a plan without quota. The random number is
-        drawn for such a plan, too.
+        drawn for such a plan, too: the load balancer draws from the same generator, so a draw left out here
+        would change what it chooses later.
         """
         if demand.has_valid_total(now_us):
             age_us = now_us - demand.total_received_at_us
@@ -129,6 +139,8 @@
             demand.decay_us * min(1.0, demand.gateway_count / LARGE_FLEET_GATEWAYS) * self.backoff_factor
         )
         fleet_demand = demand.estimate_fleet_demand(amount)
+        # With backoff the next poll comes later, and demand may grow more until then: so it counts as near
+        # the capacity from a smaller share on.
         if NEAR_CAPACITY_SHARE * capacity < fleet_demand * self.backoff_factor and fleet_demand < capacity:
             return interval_us / NEAR_CAPACITY_SPEEDUP
         return interval_us
@@ -147,7 +159,7 @@
         return AddToCounter(key, amount, periods.period_us + COUNT_LIFETIME_MARGIN_US)
 
     def finish(self, result: CounterResult) -> PendingCall | None:
-        """Take the oldest pending call of this key off; None where there is none.
+        """Remove and return the oldest pending call of this key; None where there is none.
 
         What was surely not added is reported by a later poll. A poll that timed out may have been added: it
         is not reported again, as demand that counts twice would reject requests within the quota.
--- a/yardlane/decisions/decider.py
+++ b/yardlane/decisions/decider.py
@@ -1,4 +1,4 @@
-"""The interface of the decisions, as the proxy and the simulator's adapter drive them."""
+"""The interface between the decisions and what drives them: the proxy, or the simulator's adapter."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 class Decider(Protocol):
-    """The interface of `yardlane.decisions.gateway.Gateway`."""
+    """Takes events, returns actions, and does no I/O. `yardlane.decisions.gateway.Gateway` implements it."""
 
     actions: list[Action]
-    """The actions of the last call. Where an event raised, what was decided before it stands."""
+    """The actions of the last call. If `handle` raised, those decided before; they have to be carried out."""
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Take what happened by `now_us`; return what to do, in order."""
+        """Decide on what happened up to `now_us`; return the actions in the order to carry them out in.
+
+        SettingsError if a request names a class or a plan that the settings do not have.
+        """
         ...
--- a/yardlane/decisions/endpoints.py
+++ b/yardlane/decisions/endpoints.py
@@ -1,13 +1,13 @@
 """The endpoint list of one gateway, and the subset of it that this gateway uses.
 
-With more endpoints than a gateway sends requests in a second it knows none of them well (how many attempts
-are in flight there, how slow it is, whether it lives), and opens a connection for nearly every request. So a
-gateway uses at most `SUBSET_SIZE` of the endpoints that are ready.
+A gateway that sent to more endpoints than it has requests in a second would have old knowledge of each (its
+attempts in flight, its latency, whether it responds at all), and open a connection for nearly every request.
+So a gateway uses at most `SUBSET_SIZE` of the endpoints that are ready.
 
 The subset is deterministic. Each endpoint has an order of the gateways of its own, made from its id; the
 place of this gateway in it is the endpoint's `subset_rank`. A gateway uses the endpoints in whose order it
-comes first. So each endpoint has about as many users, no gateway has to ask another, and a change of the list
-moves few other endpoints in or out.
+comes first. So each endpoint has about as many users, the gateways need no messages between them, and a
+change of the list moves few other endpoints in or out.
 """
 
 from __future__ import annotations
@@ -81,8 +81,8 @@
         self.ready = sorted(ready, key=lambda record: record.subset_rank)
         self.subset = self.ready[:SUBSET_SIZE]
         gateway_count = self.settings.gateway_count
-        rounded_up = -(-SUBSET_SIZE * gateway_count // max(1, len(ready)))
-        self.users_per_endpoint = min(gateway_count, rounded_up)
+        users = _divide_rounding_up(SUBSET_SIZE * gateway_count, max(1, len(ready)))
+        self.users_per_endpoint = min(gateway_count, users)
 
     def _subset_rank(self, endpoint_id: bytes) -> int:
         """How many gateways come before this one in the endpoint's order.
@@ -95,3 +95,7 @@
         while math.gcd(stride, count) > 1:
             stride += 1
         return (self.settings.rank * stride + first) % count
+
+
+def _divide_rounding_up(dividend: int, divisor: int) -> int:
+    return -(-dividend // divisor)
--- a/yardlane/decisions/events.py
+++ b/yardlane/decisions/events.py
@@ -1,4 +1,4 @@
-"""What happened: the events that a gateway's decisions are notified of.
+"""What happened: the events that a gateway's decisions take.
 
 Times are whole microseconds of the gateway's own clock. Endpoint ids and counter keys are values that the
 decisions only hand back; they carry no meaning of their own.
@@ -47,7 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of the endpoint list. `started_at_us` is 0 for an endpoint that started long ago."""
+    """One entry of the endpoint list.
+
+    `started_at_us` is in Unix time, and 0 for an endpoint that started long ago.
+    `weight` (the endpoint's size) and `hardware_kind` are on the wire only: no rule reads them.
+    """
 
     endpoint_id: bytes
     state: EndpointState
@@ -72,7 +76,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """News of the endpoint list, as version `version` of discovery's list."""
+    """An update of the endpoint list, by which it becomes version `version` of discovery's list."""
 
     kind: UpdateKind
     version: int
@@ -85,6 +89,7 @@
 
     `quota_plan` and `request_class` are indices into the settings. The tenant's requests come to
     `gateway_count` gateways, from rank `first_gateway` on. `units` is the request's cost against a rate.
+    `is_retry` and `is_write` are on the wire only: no rule reads them.
     """
 
     request_id: int
@@ -101,7 +106,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt's only end. `request_ended` says that the request has had its final answer."""
+    """An attempt's only end. `request_ended` says that the request has had its final answer.
+
+    `usage_percent` is on the wire only: no rule reads it.
+    """
 
     request_id: int
     attempt_index: int
@@ -142,7 +150,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The end of a `CheckHealth`."""
+    """The end of a `CheckHealth`. On the wire only: no rule reads it."""
 
     endpoint_id: bytes
     outcome: Outcome
@@ -152,7 +160,7 @@
 
 @dataclass(slots=True)
 class Gossip:
-    """A message of another gateway, named by its rank."""
+    """A message of another gateway, named by its rank. On the wire only: no rule reads it."""
 
     sender: int
     content: bytes
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -75,7 +75,7 @@
         self.retries = RetryPolicy(settings)
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Take what happened by `now_us`; return what to do, in order.
+        """Decide on what happened up to `now_us`; return the actions in the order to carry them out in.
 
         SettingsError if a request names a class or a plan that the settings do not have.
         """
@@ -112,7 +112,7 @@
             case EndpointListUpdate():
                 self._on_endpoint_list_update(event)
             case _:
-                pass  # a fired timer needs only the turn; health checks and gossip are never asked for
+                pass  # a fired timer needs only the turn; health checks and gossip are never requested
 
     # Endpoints
 
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -1,23 +1,23 @@
-"""This gateway's part of a plan's hard rate, which all gateways together must never exceed.
+"""This gateway's share of a plan's hard rate, which all gateways together must never exceed.
 
 The hard rate is one token bucket for all gateways: `hard_rate_depth` units, filled by `hard_rate_per_s`
 units a second, and overdrawn by `hard_rate_slack` units at most. Each gateway has a bucket that holds its
 share of the depth and fills with its share of the rate, and forwards a request only from that. So the hard
 rate holds with no word from another gateway or the counter, as long as all shares add up to one at most.
 
-**Depth.** The share of the depth is always even. A gateway that begins to be asked has its share at once,
-so one that was lent to another gateway would be spent twice.
+**Depth.** The share of the depth is always even. A gateway may spend its share as soon as the tenant's
+requests reach it, so a share that another gateway used meanwhile would be spent twice.
 
-**Rate.** While the last total is fresh, a part of the rate follows the demand; otherwise a gateway that
-gets most of a tenant's requests would pass far less than the quota. All shares together must not become
-more than one, while each gateway gets its total at another time. So a share is taken as of the last total,
-never from demand that came since: at the start of a burst each gateway sees its own demand first. It
-returns to the even share as the total ages. And less of the rate moves while less than the quota is asked,
-as what the others have not reported yet weighs more then.
+**Rate.** While the last total is fresh, up to `FOLLOWING_SHARE` of the rate follows the demand; otherwise a
+gateway that gets most of a tenant's requests would pass far less than the quota. All shares together must not
+become more than one, while each gateway gets its total at another time. So a share is taken as of the last
+total, never from demand that came since: at the start of a burst each gateway sees its own demand first. It
+returns to the even share as the total ages. And while the fleet's demand is below the quota, less of the rate
+follows it, as demand that the others have not reported yet then weighs more.
 
 **Start.** A gateway that starts may be one that restarts, and its predecessor may have emptied the bucket.
 So it starts with half of the slack and what has flowed in since the process started. The first total shows
-whether the tenant floods; if not, up to half of the bucket is released.
+how much demand there is; while that is below half of the hard rate, part of the bucket is granted at once.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 FOLLOWING_SHARE = 0.7  # of the rate that follows the demand while the total is fresh
 QUOTA_GATEWAYS = 2.0  # even shares of the rate that hold a whole quota: in a fleet so small none has to move
 STARTING_SLACK_SHARE = 0.5
-FIRST_TOTAL_SHARE = 0.5  # of the bucket that a first total releases, less the share of the rate that is asked
+FIRST_TOTAL_SHARE = 0.5  # of the bucket that a first total grants, less the fleet's demand / the hard rate
 MAX_WAIT_US = 1e9
 MIN_RATE = 1e-9  # units per microsecond; keeps a wait finite
 
@@ -106,13 +106,13 @@
         return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_RATE, units_per_us)))
 
     def grant_on_first_total(self) -> None:
-        """Fill up to half of the bucket, less so the more of the hard rate the fleet's first total asks.
+        """Fill up to half of the bucket, less the share of the hard rate that the fleet's demand takes.
 
-        A gateway that starts anew does not know whether its predecessor emptied the bucket. In a flood it
-        did, and a bucket filled anew would exceed the hard rate; without a flood half of it is there.
+        A gateway that starts anew does not know whether its predecessor emptied the bucket. With much demand
+        it did, and a full bucket would exceed the hard rate; with little, half of the bucket must be there.
         """
-        asked_share = (
+        demand_share = (
             self._demand.fleet_demand * SECOND_US / self._demand.decay_us / self._plan.hard_rate_per_s
         )
         depth = self._plan.hard_rate_depth * self._even_share
-        self.units = max(self.units, depth * (FIRST_TOTAL_SHARE - asked_share))
+        self.units = max(self.units, depth * (FIRST_TOTAL_SHARE - demand_share))
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -4,8 +4,8 @@
 
 - the time until it has finished: the class's mean service time, times its latency ratio, times the attempts
   that are in flight there and this one, divided by its warm-up factor;
-- and its failure rates, of all requests and of the request's plan, as the part of a latency objective that a
-  failure costs.
+- and its failure rates, of all requests and of the request's plan, each times the latency objective: a
+  failure costs as much as a response at the end of the objective.
 
 What was learned long ago counts less: latency ratio and failure rates by `outliers.remembered_share`, and the
 in-flight attempts of other gateways, as the endpoint reported them, fade within `LOAD_REPORT_VALID_US`.
@@ -97,6 +97,7 @@
         failure_rate = endpoint.failure_rates[None] + endpoint.failure_rates.get(plan, 0.0)
         cost_us += failure_rate * remembered * objective_us
         if warm_up_factor < 1.0 and service_time_us < warm_up_factor * objective_us * WARMING_OBJECTIVE_SHARE:
+            # This undoes the division by the warm-up factor: the endpoint counts as warm, and is preferred.
             cost_us *= warm_up_factor * WARMING_COST_FACTOR
         if self._prefers_own_zone and endpoint.entry.zone != self._settings.zone:
             cost_us *= CROSS_ZONE_FACTOR
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -1,9 +1,9 @@
-"""Outliers: what the ends of attempts say of an endpoint's health.
+"""Outliers: how much worse than others an endpoint is. It weighs in load balancing; none is ejected.
 
 Each endpoint has a failure rate from 0 to 1, of all requests and of each quota plan (an endpoint may be full
 for one plan alone), and a latency ratio: its service times over the means of all endpoints. They are moving
-averages over attempts. `load_balancing.py` weighs them; no endpoint is ejected. `remembered_share` lets both
-fade while an endpoint is not used, so that it is tried again and can recover.
+averages over attempts, which `load_balancing.py` makes costs of. `remembered_share` lets both fade while an
+endpoint is not used, so that it gets requests again and can recover.
 
 What counts:
 - a response: as no failure, of all and of its plan, and with its time;
@@ -15,6 +15,9 @@
   failure, unless the endpoint has responded to another attempt that was in flight meanwhile: then it is
   slow, not silent.
 
+An attempt that was overdue counts once more when it ends; one that was silent and then times out counts
+as two failures.
+
 Nothing counts of an attempt that was in flight while the gateway itself stalled (`timers.py`): responses that
 lay unread would make outliers of all endpoints at once.
 """
@@ -79,7 +82,7 @@
         _add_failure_sample(attempt.endpoint, plan if outcome is Outcome.REJECTED else None, 1.0)
 
     def record_overdue(self, attempt: AttemptRecord) -> None:
-        """Count an attempt that is in flight for much longer than usual."""
+        """Count an attempt that is in flight for `OVERDUE_MULTIPLE` mean service times."""
         if self._was_in_flight_during_stall(attempt):
             return
         responded_since = attempt.endpoint.last_success_at_us > attempt.sent_at_us
--- a/yardlane/decisions/settings.py
+++ b/yardlane/decisions/settings.py
@@ -1,6 +1,6 @@
-"""What a gateway is told when it starts.
+"""The settings of a gateway, fixed while it runs.
 
-Fields end in their unit: `_us` for whole microseconds, `_per_s` for a rate, `_share` for a part of one. The
+Fields end in their unit: `_us` for whole microseconds, `_per_s` for a rate, `_share` for a fraction. The
 names that the settings text has for them are in `yardlane.settings_reader`, and nowhere else.
 """
 
@@ -75,7 +75,7 @@
     tick_us: int
     """How late a timer of the gateway may fire."""
     answer_grace_us: int
-    """How long after its deadline a request may still get its final answer."""
+    """How long after its deadline a request may still get its final answer; no rule reads it."""
     drain_grace_us: int
     """How long after a gateway was notified that an endpoint drains it may still send to it."""
     initial_capacity_share: float
