--- a/tests/decisions/quota_scenarios.py
+++ b/tests/decisions/quota_scenarios.py
@@ -10,7 +10,7 @@
     return driver.gateway.tenants[number, plan]
 
 
-def flood(driver: GatewayDriver, seconds: int, requests_per_s: int = 40) -> int:
+def exceed_rate(driver: GatewayDriver, seconds: int, requests_per_s: int = 40) -> int:
     """Send a tenant with a rate of 10 far more than that; the number forwarded in the last second."""
     forwarded = 0
     for _ in range(seconds):
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.decisions.quota_scenarios import find_tenant, flood
+from tests.decisions.quota_scenarios import exceed_rate, find_tenant
 from tests.gateway_driver import (
     CAPPED,
     CLASSES,
@@ -109,7 +109,7 @@
 
 def test_a_flood_is_held_to_the_rate() -> None:
     driver = GatewayDriver()
-    assert flood(driver, 8) <= 12
+    assert exceed_rate(driver, 8) <= 12
     assert any(isinstance(action, AddToCounter) for _, action in driver.log)
 
 
@@ -125,7 +125,7 @@
     for _ in range(500):
         driver.run(20 * MS)
         forwarded += driver.serve(tenant=3, quota_plan=0, gateway_count=1)
-    assert 80 <= forwarded <= 120  # five times the rate is asked: about the rate passes
+    assert 80 <= forwarded <= 120  # of five times the rate, about the rate passes
 
 
 def test_250_gateways_keep_a_limit_of_three() -> None:
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.decisions.quota_scenarios import find_tenant, flood
+from tests.decisions.quota_scenarios import exceed_rate, find_tenant
 from tests.gateway_driver import MS, RATED, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.counter_polling import CountingPeriods
@@ -34,9 +34,9 @@
 
 def test_a_tenant_with_a_valid_total_needs_few_polls() -> None:
     driver = GatewayDriver()
-    flood(driver, 10)
+    exceed_rate(driver, 10)
     log_start = len(driver.log)
-    flood(driver, 10)
+    exceed_rate(driver, 10)
     assert count_polls(driver, log_start) <= 50  # of 400 requests
 
 
@@ -92,7 +92,7 @@
 
 
 def test_a_counter_that_answers_late_is_polled_less_until_it_answers_in_time() -> None:
-    """Forty gateways kept a counter just over what it bears, and over half of all polls timed out."""
+    """Forty gateways kept a counter just over what it can serve, and over half of all polls timed out."""
     driver = GatewayDriver(gateway_count=2)
 
     def polls(answer_us: int) -> int:
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -106,7 +106,7 @@
         self.restarts_at_us[rank] = self.now + away_us
 
     def step(self, units_per_s: float) -> None:
-        """Let one step of time pass, with about so many units asked."""
+        """Let one step of time pass, with requests of about so many units."""
         self.now += STEP_US
         filled = self.units_left + PLAN.hard_rate_per_s * STEP_US / SECOND
         self.units_left = min(PLAN.hard_rate_depth, filled)
@@ -217,7 +217,7 @@
     """Of ten gateways a busy one had a tenth of the hard rate, far less than its part of the quota."""
     driver = GatewayDriver(gateway_count=10, quota_plans=(TEN_GATEWAYS_PLAN,))
     ask_steadily(driver, 4, 200 * MS)
-    assert ask_steadily(driver, 10, 200 * MS) > 40  # alone it is asked 5 units a second of a quota of 6
+    assert ask_steadily(driver, 10, 200 * MS) > 40  # alone it gets 5 units a second of a quota of 6
     bucket = driver.gateway.tenants[4, 0].hard_rate
     assert bucket.rate_share(driver.now) > 0.3  # three even shares
     driver.counter_answers = False
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.quota_scenarios import find_tenant, flood
+from tests.decisions.quota_scenarios import exceed_rate, find_tenant
 from tests.gateway_driver import (
     CAPPED,
     MS,
@@ -93,25 +93,25 @@
 
 
 def test_a_silent_counter_does_not_open_the_quota() -> None:
-    """The chance of rejection was kept for seconds only after the last total; then a flood passed whole."""
+    """The chance of rejection was kept for seconds only after the last total; then a burst passed whole."""
     driver = GatewayDriver()
-    flood(driver, 6)
+    exceed_rate(driver, 6)
     driver.counter_answers = False
-    assert flood(driver, 15) <= 12
+    assert exceed_rate(driver, 15) <= 12
 
 
 def test_without_any_counter_a_quota_still_holds() -> None:
     driver = GatewayDriver(has_shared_counter=False)
-    assert flood(driver, 10) <= 6  # its even share: the others are taken to be asked as much
+    assert exceed_rate(driver, 10) <= 6  # its even share: the others are taken to get as many requests
     assert not any(isinstance(action, AddToCounter) for _, action in driver.log)
 
 
 def test_a_counter_that_loses_its_counts_does_not_open_the_quota() -> None:
     driver = GatewayDriver()
-    flood(driver, 6)
+    exceed_rate(driver, 6)
     for _ in range(3):
         driver.counts = dict.fromkeys(driver.counts, 0.0)
-        assert flood(driver, 1) <= 14
+        assert exceed_rate(driver, 1) <= 14
 
 
 def test_before_the_first_total_demand_is_estimated_from_what_came_here() -> None:
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -82,7 +82,7 @@
     """A retry was decided within the window, but its connection came up late.
 
     It was written after the window, when the endpoint had forgotten the key, and took effect twice. So the
-    time left is told with the attempt.
+    time left is given with the attempt.
     """
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -131,25 +131,30 @@
     def _on_request_arrived(self, event: RequestArrived) -> None:
         """Register a request, count its demand, and poll the counter or decide on its admission."""
         self.settings.require_known(event.request_class, event.quota_plan)
-        tenant = self._find_tenant(event)
-        request = Request(event, tenant, self.now_us, self.settings.tick_us)
-        self.requests[event.request_id] = request
+        request = self._register(event)
+        tenant = request.tenant
         service_time_us = self._mean_service_time_us(request)
-        request_class = self.settings.request_classes[request.class_index]
-        queueing_us = admission.longest_queueing_us(request_class, service_time_us, event.time_left_us)
-        self._schedule_final_answer(request, min(request.final_answer_by_us, self.now_us + queueing_us))
-
         self.service_times.record_arrival(request.class_index)
         amount = admission.demand_amount(tenant.plan, request.units, service_time_us)
         capacity = admission.sustained_capacity(tenant, request.units, service_time_us)
         tenant.demand.add(amount, self.now_us)
         forget_idle(self.tenants, self.now_us)
-
         if self.polling.is_due(tenant.demand, amount, capacity, self.now_us):
             self.actions.append(self.polling.start(request, self.now_us))
         else:
             self._admit(request)
 
+    def _register(self, event: RequestArrived) -> Request:
+        """Make the request, and schedule the end of its time in the queue."""
+        request = Request(event, self._find_tenant(event), self.now_us, self.settings.tick_us)
+        self.requests[event.request_id] = request
+        request_class = self.settings.request_classes[event.request_class]
+        service_time_us = self.service_times.mean_us[event.request_class]
+        queueing_us = admission.longest_queueing_us(request_class, service_time_us, event.time_left_us)
+        final_answer_at_us = min(request.final_answer_by_us, self.now_us + queueing_us)
+        self.timers.schedule(final_answer_at_us, self._on_final_answer_due, request)
+        return request
+
     def _find_tenant(self, event: RequestArrived) -> Tenant:
         """The tenant of a request, new if need be; it becomes the last of all tenants."""
         tenant_id = (event.tenant, event.quota_plan)
@@ -258,8 +263,7 @@
             self._end(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
             self._reject_or_fail(request)
-        # Only this tenant's queue: those of others that wait for an endpoint look within
-        # NO_ENDPOINT_RETRY_US.
+        # Only this tenant's queue: others that wait for an endpoint look within NO_ENDPOINT_RETRY_US.
         self._release(request.tenant)
 
     def _record_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
@@ -298,9 +302,6 @@
 
     # The end of requests
 
-    def _schedule_final_answer(self, request: Request, at_us: int) -> None:
-        self.timers.schedule(at_us, self._on_final_answer_due, request)
-
     def _on_final_answer_due(self, request: Request) -> None:
         """End a request that has queued for too long, or whose client is about to give up."""
         if request.has_ended:
@@ -308,7 +309,7 @@
         if request.is_queued or self.now_us >= request.final_answer_by_us:
             self._reject_or_fail(request)
         else:
-            self._schedule_final_answer(request, request.final_answer_by_us)
+            self.timers.schedule(request.final_answer_by_us, self._on_final_answer_due, request)
 
     def _reject_or_fail(self, request: Request) -> None:
         """Give a request its final answer where no endpoint gives it."""
