--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -17,6 +17,7 @@
 from yardlane.decisions.gateway import Gateway
 from tests.loopback import (
     Script,
+    answer,
     ask,
     attempt_each,
     hold_all,
@@ -26,6 +27,7 @@
     settings,
     socket_test,
 )
+from tests.upstream_side import forward
 
 UNKNOWN_REQUEST = 10**9
 EARLY_S = 0.002
@@ -116,6 +118,31 @@
         assert not proxy.program.proxy.requests
 
 
+@socket_test
+async def test_the_decisions_may_still_answer_as_the_deadline_guard_fires() -> None:
+    """No timer of the decisions is left, as after a failed decision. The guard gives them a turn first."""
+
+    def reject_when_called(event: Event) -> list[Action]:
+        return [Reject(1)] if isinstance(event, TimerFired) else []
+
+    async with running(Script(reject_when_called)) as proxy:
+        line, _, _ = await proxy.call(ask(X_Expires_In="50m"))
+        assert line.split()[1] == "429"
+
+
+@socket_test
+async def test_the_deadline_guard_of_an_answered_request_does_not_stay() -> None:
+    """A guard holds its request and the request's body; with long deadlines that would be much memory."""
+    script = Script(attempt_each(b"s-1"))
+    async with running_with_backend(script) as (proxy, backend):
+        (client, _), (_, writer) = await forward(proxy, backend)
+        [request] = proxy.program.proxy.requests.values()
+        assert request.deadline_guard is not None and not request.deadline_guard.cancelled()
+        writer.write(answer())
+        assert await read_status(client) == "200"
+        assert request.deadline_guard.cancelled()
+
+
 @socket_test
 async def test_an_attempt_beyond_the_most_that_a_request_may_have_is_not_sent() -> None:
     most = settings()["permissions"]["max_attempts"]
--- a/yardlane/proxy/clock.py
+++ b/yardlane/proxy/clock.py
@@ -6,9 +6,9 @@
 import time
 from collections.abc import Callable
 
+from yardlane.units import MS_PER_S, US_PER_MS
+
 NS_PER_US = 1000
-US_PER_MS = 1000
-MS_PER_S = 1000
 
 
 class Clock:
--- a/yardlane/proxy/request_in_flight.py
+++ b/yardlane/proxy/request_in_flight.py
@@ -7,8 +7,8 @@
 from yardlane.proxy.attempt import Attempt
 from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.request_validation import ParsedRequest
+from yardlane.units import US_PER_MS
 
-US_PER_MS = 1000
 MIN_EXPIRES_IN_MS = 1
 
 
--- a/yardlane/proxy/upstream_pool.py
+++ b/yardlane/proxy/upstream_pool.py
@@ -11,12 +11,12 @@
 from yardlane.proxy.connection_reuse import ReusePolicy
 from yardlane.proxy.upstream_connection import UpstreamConnection
 from yardlane.proxy.upstream_state import CONNECTING
+from yardlane.units import US_PER_S
 
 log = logging.getLogger("yardlane.proxy.upstream_pool")
 
 RESPONSE_STALL_TIMEOUT_S = 0.25  # for the rest of a response that has begun
 MAINTENANCE_INTERVAL_S = 1.0
-MICROSECONDS = 1e6
 
 
 class UpstreamPool:
@@ -25,9 +25,9 @@
     def __init__(self, config: Config, max_connections: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.max_connections = max_connections
-        self.connect_timeout_s = config.connect_timeout_us / MICROSECONDS
+        self.connect_timeout_s = config.connect_timeout_us / US_PER_S
         self.stall_timeout_s = RESPONSE_STALL_TIMEOUT_S
-        self.reuse = ReusePolicy(config.keepalive_us / MICROSECONDS)
+        self.reuse = ReusePolicy(config.keepalive_us / US_PER_S)
         self.connections: set[UpstreamConnection] = set()
         # Those of an upstream by its id, not by its address, where another upstream may stand by now. The
         # newest is last.
