--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -57,8 +57,8 @@
     @socket_test
     async def run() -> None:
         script = Script(send_all)
-        async with running_with_backend(script) as (proxy, backend):
-            (client, _), (_, writer) = await forward(proxy, backend)
+        async with running_with_backend(script) as (server, backend):
+            (client, _), (_, writer) = await forward(server, backend)
             writer.write(written)
             if written in (CLOSE, answer(200, b"yes")[:-1]):
                 writer.close()
@@ -74,8 +74,8 @@
 @socket_test
 async def test_load_report_and_usage_reach_the_decisions() -> None:
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        _, (_, writer) = await forward(proxy, backend)
+    async with running_with_backend(script) as (server, backend):
+        _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
         writer.write(answer(extra=load_report + "Usage-Percent: 140\r\n"))
         [ended] = await script.wait_for(AttemptEnded)
@@ -85,8 +85,8 @@
 @socket_test
 async def test_figures_beyond_any_load_are_dropped() -> None:
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        _, (_, writer) = await forward(proxy, backend)
+    async with running_with_backend(script) as (server, backend):
+        _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"
         writer.write(answer(extra=load_report))
         [ended] = await script.wait_for(AttemptEnded)
@@ -118,9 +118,9 @@
     """A backend hangs in the middle of a response; its client's time is long. Backends write a response at
     once, so the rest is not waited for until the deadline."""
     script = Script(send_all)
-    async with running_with_backend(script) as (proxy, backend):
-        proxy.program.pool.stall_timeout_s = 0.02
-        (client, _), (_, writer) = await forward(proxy, backend, ask(X_Expires_In="3000000m"))
+    async with running_with_backend(script) as (server, backend):
+        server.pool.stall_timeout_s = 0.02
+        (client, _), (_, writer) = await forward(server, backend, ask(X_Expires_In="3000000m"))
         writer.write(answer()[:10])
         assert await read_status(client) == "502"
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.CONNECTION_LOST]
@@ -128,10 +128,10 @@
 
 @socket_test
 async def test_an_interim_response_is_not_one_that_stalls() -> None:
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        proxy.program.pool.stall_timeout_s = 0.0
-        (client, _), (_, writer) = await forward(proxy, backend)
-        [connection] = proxy.program.pool.connections
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        server.pool.stall_timeout_s = 0.0
+        (client, _), (_, writer) = await forward(server, backend)
+        [connection] = server.pool.connections
         writer.write(INTERIM)
         while connection.reader is None or not connection.reader.interim_count:
             await asyncio.sleep(0)
@@ -142,9 +142,9 @@
 
 @socket_test
 async def test_an_interim_response_in_two_parts_is_followed_by_the_final_one() -> None:
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        (client, _), (_, writer) = await forward(proxy, backend)
-        [connection] = proxy.program.pool.connections
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        (client, _), (_, writer) = await forward(server, backend)
+        [connection] = server.pool.connections
         writer.write(INTERIM[:10])
         await until_state(connection, UpstreamState.RECEIVING)
         writer.write(INTERIM[10:])
@@ -157,17 +157,17 @@
 async def test_a_response_in_two_parts_leaves_the_next_one_all_its_time() -> None:
     """The timer for the rest of a response must end with it: left over, it would end the next request on the
     connection, which may rightly take longer."""
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        pool = proxy.program.pool
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        pool = server.pool
         pool.reuse.quarantine_s = 0.0
         pool.stall_timeout_s = 0.02
-        (client, to_proxy), (reader, writer) = await forward(proxy, backend)
+        (client, to_server), (reader, writer) = await forward(server, backend)
         [connection] = pool.connections
         writer.write(answer()[:10])
         await until_state(connection, UpstreamState.RECEIVING)
         writer.write(answer()[10:])
         assert await read_status(client) == "200"
-        to_proxy.write(ask(trace="a2"))
+        to_server.write(ask(trace="a2"))
         await read_message(reader)
         await asyncio.sleep(3 * pool.stall_timeout_s)
         writer.write(answer())
@@ -178,9 +178,9 @@
 async def test_a_connection_that_the_backend_announced_to_close_is_not_used_again() -> None:
     """A backend names the response the connection's last one, and closes it a little later. A request sent in
     between would be lost, and could not be retried where it must not run twice."""
-    async with running_with_backend(Script(send_all)) as (proxy, backend):
-        proxy.program.pool.reuse.quarantine_s = 0.0
-        client = await proxy.client()
+    async with running_with_backend(Script(send_all)) as (server, backend):
+        server.pool.reuse.quarantine_s = 0.0
+        client = await server.client()
         await serve_on_new_connection(client, backend, "a1", answer(extra="Connection: close\r\n"))
-        assert not proxy.program.pool.connections
+        assert not server.pool.connections
         await serve_on_new_connection(client, backend, "a2")
