--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -125,8 +125,8 @@
     def reject_when_called(event: Event) -> list[Action]:
         return [Reject(1)] if isinstance(event, TimerFired) else []
 
-    async with running(Script(reject_when_called)) as proxy:
-        line, _, _ = await proxy.call(ask(X_Expires_In="50m"))
+    async with running(Script(reject_when_called)) as server:
+        line, _, _ = await server.call(ask(X_Expires_In="50m"))
         assert line.split()[1] == "429"
 
 
@@ -134,9 +134,9 @@
 async def test_the_deadline_guard_of_an_answered_request_does_not_stay() -> None:
     """A guard holds its request and the request's body; with long deadlines that would be much memory."""
     script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (proxy, backend):
-        (client, _), (_, writer) = await forward(proxy, backend)
-        [request] = proxy.program.proxy.requests.values()
+    async with running_with_backend(script) as (server, backend):
+        (client, _), (_, writer) = await forward(server, backend)
+        [request] = server.proxy.requests.values()
         assert request.deadline_guard is not None and not request.deadline_guard.cancelled()
         writer.write(answer())
         assert await read_status(client) == "200"
