--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -42,6 +42,7 @@
 from yardlane.proxy.clock import Clock, call_after
 from yardlane.proxy.counter_client import CounterClient
 from yardlane.proxy.decision_loop import DecisionLoop
+from yardlane.proxy.endpoint_addresses import addresses_after
 from yardlane.proxy.endpoint_decoder import Addresses
 from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
@@ -135,7 +136,7 @@
         if update.kind is not UpdateKind.CACHED:
             self.has_endpoint_list = True
         old_addresses = self.addresses
-        self.addresses = self._updated_addresses(update, addresses)
+        self.addresses = addresses_after(old_addresses, update, addresses)
         # Posted before the attempts that end by it, so that no retry goes to an endpoint that drains as well.
         self.post(update)
         for endpoint_id, address in old_addresses.items():
@@ -145,24 +146,6 @@
             if endpoint.state is not EndpointState.READY:
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
-    def _updated_addresses(self, update: EndpointListUpdate, addresses: Addresses) -> Addresses:
-        """The addresses after an update, which says so of each endpoint in one of three ways.
-
-        - Removed, or missing from a list that is whole: none. A delta leaves those that it does not name.
-        - Named with a readable address: that one.
-        - Named without a readable address: it drains, and keeps the old one for attempts in flight.
-        """
-        updated = dict(addresses)
-        if update.kind is UpdateKind.DELTA:
-            updated = {**self.addresses, **addresses}
-        for endpoint in update.endpoints:
-            endpoint_id = endpoint.endpoint_id
-            if endpoint.state is EndpointState.REMOVED:
-                updated.pop(endpoint_id, None)
-            elif endpoint_id not in addresses and endpoint_id in self.addresses:
-                updated[endpoint_id] = self.addresses[endpoint_id]
-        return updated
-
     def on_poll_failed(self) -> None:
         """Discovery is silent: the cached list must do, though it may name what has long gone."""
         self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
