--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -89,7 +89,7 @@
     number, endpoint_id = ask_and_attempt(driver, request_class)
     driver.now += 300 * MS
     [retry] = of_type(StartAttempt, driver.end(number, endpoint_id, outcome))
-    assert retry.begin_within_us == (window_us - 300 * MS if is_bounded else 0)
+    assert retry.send_within_us == (window_us - 300 * MS if is_bounded else 0)
 
 
 def test_a_request_with_a_key_that_never_ran_may_change_the_zone() -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -364,15 +364,14 @@
     return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
 
-def attempt_each(*endpoints: bytes, begin_within_us: int = 0) -> Callable[[Event], list[Action]]:
+def attempt_each(*endpoints: bytes, send_within_us: int = 0) -> Callable[[Event], list[Action]]:
     """Requests get one attempt at each endpoint, and no decision after that."""
 
     def reply(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
         return [
-            StartAttempt(event.request_id, endpoint, begin_within_us=begin_within_us)
-            for endpoint in endpoints
+            StartAttempt(event.request_id, endpoint, send_within_us=send_within_us) for endpoint in endpoints
         ]
 
     return reply
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -354,7 +354,7 @@
                 poll_ended.set()
 
             client.on_poll_failed = note_failure
-            assert not server.proxy.can_serve()
+            assert not server.proxy.is_ready()
             await loop.connecting.wait()
             await misbehave(discovery, loop, behaviour, client.response_timeout_s)
             await poll_ended.wait()
@@ -363,7 +363,7 @@
             loop.refuses = False
             loop.may_connect.set()
             is_ready = bool(cached_list and cached_list["members"])
-            assert server.proxy.can_serve() is is_ready
+            assert server.proxy.is_ready() is is_ready
             assert (await server.call(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
 
     on_manual_clock(body)
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -140,7 +140,7 @@
     """An idempotency key holds for a time from the first attempt; this connection takes longer."""
 
     async def run() -> None:
-        script = Script(attempt_each(b"s-1", begin_within_us=30_000))
+        script = Script(attempt_each(b"s-1", send_within_us=30_000))
         async with running_with_backend(script, settings=settings(profiles=PATIENT_CLASSES)) as (
             server,
             backend,
@@ -179,7 +179,7 @@
         await read_message(reader)
         writer.write(answer())
         await read_message(client)
-        script.reply = attempt_each(b"s-1", begin_within_us=1)
+        script.reply = attempt_each(b"s-1", send_within_us=1)
         to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
         await read_message(reader)
         server.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
--- a/yardlane/decisions/actions.py
+++ b/yardlane/decisions/actions.py
@@ -14,14 +14,14 @@
 
     No rule sets another `timeout_us`: it is there for the wire.
 
-    `begin_within_us` bounds how late its last byte may be written, as a connection may come up late: an
+    `send_within_us` bounds how late its last byte may be written, as a connection may come up late: an
     attempt that is not written by then never is, and ends as `NOT_CONNECTED`. 0 sets no bound.
     """
 
     request_id: int
     endpoint_id: bytes
     timeout_us: int = 0
-    begin_within_us: int = 0
+    send_within_us: int = 0
 
 
 @dataclass(slots=True)
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -7,17 +7,16 @@
 **When.** With a valid total, a tenant's count is polled once the total is older than one decay time. In a
 fleet of n gateways, fewer than `LARGE_FLEET_GATEWAYS`, that time is multiplied by n / `LARGE_FLEET_GATEWAYS`.
 Where the estimate comes near the capacity it is divided by `NEAR_CAPACITY_SPEEDUP`, as a late total would
-then reject too few. Without a valid total each request polls. Polls are made only for a plan that has a
-quota, and if there is a counter.
+then reject too few. Without a valid total each request polls with the probability 1 / backoff factor. Polls
+are made only for a plan that has a quota, and if there is a counter.
 
 **Backoff.** A counter serves its calls in turn, also those that nobody waits for any longer. Gateways that
 poll a little more often than it can serve would therefore keep it late for good, and all its replies would
-time out.
-So each late, rejected or lost poll raises the backoff factor, by which the time between polls is
-multiplied, and each prompt one lowers it. Where every request polls, only one in so many does; its amount
-is multiplied instead, to stand for those that were not made. The factors balance with 3 in 10 polls late,
-or 2 in 5 lost. The factor also decays with time: with so few polls made, few replies could show that the
-counter has recovered.
+time out. So each late, rejected or lost poll raises the backoff factor, by which the time between polls is
+multiplied, and each prompt one lowers it. Without a valid total, the amount of a poll is multiplied by it
+instead, to stand for the polls that were not made. The factors balance with 3 in 10 polls late, or 2 in 5
+lost. The factor also decays with time: with so few polls made, few replies could show that the counter has
+recovered.
 
 **Counts.** A tenant's count has a new key for each period of several decay times, so that the counter can
 let old ones expire. A count does not decay at the counter; instead an amount is added multiplied by e^(time
@@ -121,7 +120,7 @@
             self.backoff_factor = 1.0 + decayed
 
     def is_due(self, demand: TenantDemand, amount: float, capacity: float, now_us: int) -> bool:
-        """Whether a request of this weight polls first.
+        """Whether a request that adds this amount to the demand polls first.
 
         `capacity` is what may be admitted in one decay time; 0 for a plan without quota. The random number is
         drawn for such a plan, too: the load balancer draws from the same generator, so a draw left out here
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -1,6 +1,6 @@
 """The decisions of one gateway: events go to the rules, and what the rules decide becomes actions.
 
-No rule stands here; each has its module. The way of a request:
+The rules have a module each; here stands in which order they are asked. The way of a request:
 
 1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first.
 2. `admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`).
@@ -224,7 +224,7 @@
         return self.balancer.choose(request, candidates, self.now_us)
 
     def _start_attempt(self, request: Request, endpoint: EndpointRecord) -> None:
-        begin_within_us = self.retries.begin_within_us(request, self.now_us)
+        send_within_us = self.retries.send_within_us(request, self.now_us)
         attempt = AttemptRecord(endpoint, self.now_us)
         request.attempts.append(attempt)
         request.tenant.in_flight += 1
@@ -233,7 +233,7 @@
         self.concurrency.record_sent(self.now_us)
         self.slow_start.record_sent(endpoint, self.service_times.overall_mean_us, self.now_us)
         self.actions.append(
-            StartAttempt(request.id, endpoint.entry.endpoint_id, begin_within_us=begin_within_us)
+            StartAttempt(request.id, endpoint.entry.endpoint_id, send_within_us=send_within_us)
         )
         overdue_at_us = self.now_us + overdue_after_us(self._mean_service_time_us(request))
         self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -29,9 +29,12 @@
 from yardlane.decisions.units import SECOND_US
 
 FOLLOWING_SHARE = 0.7  # of the rate that follows the demand while the total is fresh
-QUOTA_GATEWAYS = 2.0  # even shares of the rate that hold a whole quota: in a fleet so small none has to move
+# A hard rate is taken to be at least twice the quota: in a fleet of so few gateways an even share of it lets
+# a whole quota pass, so that none has to follow the demand.
+QUOTA_GATEWAYS = 2.0
 STARTING_SLACK_SHARE = 0.5
-FIRST_TOTAL_SHARE = 0.5  # of the bucket that a first total grants, less the fleet's demand / the hard rate
+# A first total fills the bucket to this, less the fleet's demand / the hard rate, of its depth.
+FIRST_TOTAL_SHARE = 0.5
 MAX_WAIT_US = 1e9
 MIN_RATE = 1e-9  # units per microsecond; keeps a wait finite
 
@@ -109,7 +112,7 @@
         """Fill up to half of the bucket, less the share of the hard rate that the fleet's demand takes.
 
         A gateway that starts anew does not know whether its predecessor emptied the bucket. With much demand
-        it did, and a full bucket would exceed the hard rate; with little, half of the bucket must be there.
+        it probably did, and a full bucket would exceed the hard rate; with little, half of it must be there.
         """
         demand_share = (
             self._demand.fleet_demand * SECOND_US / self._demand.decay_us / self._plan.hard_rate_per_s
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -97,7 +97,8 @@
         failure_rate = endpoint.failure_rates[None] + endpoint.failure_rates.get(plan, 0.0)
         cost_us += failure_rate * remembered * objective_us
         if warm_up_factor < 1.0 and service_time_us < warm_up_factor * objective_us * WARMING_OBJECTIVE_SHARE:
-            # This undoes the division by the warm-up factor: the endpoint counts as warm, and is preferred.
+            # This undoes the division by the warm-up factor, so that the endpoint counts as warm, and prefers
+            # it. The failure cost, which was not divided, shrinks as well.
             cost_us *= warm_up_factor * WARMING_COST_FACTOR
         if self._prefers_own_zone and endpoint.entry.zone != self._settings.zone:
             cost_us *= CROSS_ZONE_FACTOR
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -59,7 +59,7 @@
     def record_response(
         self, attempt: AttemptRecord, plan: QuotaPlan, elapsed_us: int, mean_service_time_us: float
     ) -> None:
-        """Count an attempt that got a response."""
+        """Count an attempt that got a good response."""
         if self._was_in_flight_during_stall(attempt):
             return
         _add_failure_sample(attempt.endpoint, None, 0.0)
@@ -74,7 +74,7 @@
         elapsed_us: int,
         mean_service_time_us: float,
     ) -> None:
-        """Count an attempt that ended without a response."""
+        """Count an attempt that ended without a good response."""
         if self._was_in_flight_during_stall(attempt) or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         if outcome is Outcome.TIMED_OUT and elapsed_us < OVERDUE_MULTIPLE * mean_service_time_us:
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -61,7 +61,7 @@
 
 
 def decay_time_us(plan: QuotaPlan, gateway_count: int, counter_timeout_us: int) -> float:
-    """The time in which demand decays by e.
+    """The time constant of the decay: without requests, demand falls to 1/e in it.
 
     It is short for a rate over a large fleet, where each gateway has few requests in the time: a long one
     saves few polls there, and shows a burst late. It is short for a limit below the number of gateways, too:
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -1,8 +1,8 @@
 """Retries and hedged requests: whether a request may get a further attempt and where, and its final answer.
 
-A retry follows an attempt that ended without a response. A hedged request is a further attempt while an
-overdue one is still in flight; where the settings do not allow hedging, the overdue one is cancelled first.
-Both have to keep these rules:
+A retry follows an attempt that ended without a good response (only a 200 is one). A hedged request is a
+further attempt while an overdue one is still in flight; where the settings do not allow hedging, the overdue
+one is cancelled first. Both have to keep these rules:
 
 - **In time.** The mean service time must fit before the latency objective and before the client gives up, and
   the attempts of a request are limited (`max_attempts`).
@@ -12,10 +12,11 @@
   class: an idempotent request may be repeated anywhere, a non-idempotent one never. A request with an
   idempotency key may be repeated on endpoints that share their record of keys with the one of the first
   such attempt, and within `idempotency_window_us` of it. A connection may come up late, so that window also
-  bounds how late the repeat's last byte may be written (`StartAttempt.begin_within_us`).
+  bounds how late the repeat's last byte may be written (`StartAttempt.send_within_us`).
 
 The final answer is `Reject`, with the promise that the client may safely send the request again, or `Fail`
-without it. The promise holds if no attempt may have run, or if a repeat does no harm wherever it arrives.
+without it. The promise holds if no attempt may have run, or if a repeat does no harm wherever it arrives: for
+an idempotent class, and for keys that all backends share (`idempotency_window_us` is not looked at there).
 `Retry-After` is `RETRY_AFTER_SHARE` of the mean service time: some of what is in flight has ended by
 then, and a client that returns later cannot be served within the objective.
 """
@@ -75,7 +76,7 @@
             return endpoints.subset
         return _endpoints_in_scope(request_class.deduplication_scope, first.endpoint.entry, endpoints)
 
-    def begin_within_us(self, request: Request, now_us: int) -> int:
+    def send_within_us(self, request: Request, now_us: int) -> int:
         """The time in which the next attempt has to be written whole; `NO_BOUND_US` for no bound."""
         request_class = self._class_of(request)
         if request_class.idempotency is not Idempotency.KEYED:
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -88,7 +88,7 @@
         now_us: int,
         may_have_restarted: bool,
     ) -> bool:
-        """Whether a time slot of this gateway is open, and surely not used, not before a restart either."""
+        """Whether a time slot of this gateway is open and certainly unused, also by a predecessor of it."""
         window_us = self.settings.overload_window_us
         rounded_work_us = self._rounded_work_us(work_us)
         time_slot_us = rounded_work_us / (self._time_slot_rate * warm_up_factor)
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -24,7 +24,7 @@
 from yardlane.decisions.request import Request
 from yardlane.decisions.settings import Settings
 
-MAX_FORGOTTEN_AT_ONCE = 4  # for an arrival, which brings one tenant at most: so the memory shrinks again
+MAX_FORGOTTEN_AT_ONCE = 4  # an arrival adds one tenant at most, so idle ones go faster than new ones come
 
 TenantId = tuple[int, int]
 """The tenant's number and its plan's: a request may name another plan, and must not change this one's."""
@@ -96,7 +96,7 @@
         return units - self.hard_rate.units
 
     def record_first_attempt(self, units: float, demand_amount: float) -> None:
-        """Take a request that is forwarded off the token buckets."""
+        """Take a forwarded request's units from the token buckets."""
         if self.plan.hard_rate_per_s:
             self.hard_rate.take(units)
         if self.plan.rate_per_s:
@@ -124,7 +124,7 @@
             self.hard_rate.grant_on_first_total()
 
     def is_forgettable(self, now_us: int) -> bool:
-        """Whether nothing that is known of this tenant matters any more."""
+        """Refill, and return whether nothing that is known of this tenant matters any more."""
         if now_us - self.demand.last_request_at_us <= TOTAL_VALID_US or self.in_flight or self.queue:
             return False
         self.refill(now_us)
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -209,7 +209,7 @@
             self._hand_over(request)
 
     def _answer_health_check(self, request: ClientRequest) -> None:
-        if self.server.handler.can_serve() and not self.server.is_draining:
+        if self.server.handler.is_ready() and not self.server.is_draining:
             request.reply(Status.OK, b"ready\n")
         else:
             request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
@@ -231,7 +231,10 @@
     # Responses
 
     def reply(self, request: ClientRequest, status: int, body: bytes, header_lines: bytes) -> None:
-        """Answer `request` in its turn. Only the first response counts, and none once the client has left."""
+        """Answer `request` in its turn. Only the first response counts, and none once the client has left.
+
+        Its trace id is free from now on. What is ready is written, and the connection closed or read on.
+        """
         transport = self.transport
         if request.response or transport is None or transport.is_closing():
             return
@@ -361,7 +364,11 @@
             self.abort()
 
     def _check_request_time(self, now_s: float) -> None:
-        """The time is for the whole request, so that one byte at a time buys no more of it."""
+        """Reject a request that came too slowly, and fail what still waits ahead of it.
+
+        The time is for the whole request, so that one byte at a time buys no more of it. Behind a stream that
+        cannot be read on, it bounds how long its rejection waits for the responses ahead.
+        """
         if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
             return
         self._reject_stream(UnreadableStream(Status.REQUEST_TIMEOUT, "request came too slowly"))
--- a/yardlane/proxy/client_request.py
+++ b/yardlane/proxy/client_request.py
@@ -46,5 +46,5 @@
     def abandon_request(self, request: ClientRequest) -> None:
         """The connection ends with an error: answer `request` at once."""
 
-    def can_serve(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the health check passes."""
--- a/yardlane/proxy/connection_reuse.py
+++ b/yardlane/proxy/connection_reuse.py
@@ -2,15 +2,15 @@
 
 Two faults are guarded against, one by a lower and one by an upper bound of the idle time.
 
-- **Stray bytes.** An upstream that sends a second response, or one too late, has it taken for the response to
-  the next request, as a response names no request. It shows as bytes on an idle connection. So a connection
-  is quarantined before it is used again: for twice as long as such bytes were seen to come late.
+- **Stray bytes.** An upstream may send a second response, or a late one; as a response names no request, it
+  would be read as the response to the next one. It shows as bytes on an idle connection. So a connection is
+  quarantined before it is used again: for twice as long as such bytes were seen to come late.
 - **Dead connections.** An upstream may close an idle connection as a request is sent on it; the request ends
   as CONNECTION_LOST, and may not be sent again where it must not run twice. So a connection stands idle for
   less time than the shortest at which one was found dead; a new connection costs far less.
 
-Both bounds return to their defaults in time, since a bound that lets no connection be used again would also
-keep it from being seen that one could.
+Both bounds return to their defaults in time: otherwise a bound that forbids all reuse could never be
+disproved.
 """
 
 from __future__ import annotations
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -1,8 +1,10 @@
 """The loop round the decisions: all events of one turn of the event loop go to them together.
 
 A fault in the decisions must not stop the requests beside it. It shows as an exception of `Decider.handle`.
-Then the request of the event that was being handled fails, what was decided before that event stands, and
-the events behind it come once more in the next turn. So a request that always raises costs only itself.
+Then the request of the event that was being handled fails, what was decided before the exception stands, and
+the events behind it come once more in the next turn. So a request that always raises costs only itself. An
+event that names no request (`EndpointListUpdate`, `CounterResult`) is lost; a request that waits for that
+result is left to its deadline.
 
 Two cases lie outside the events. A timer that raises, once all events are handled, counts against the last
 event: its request fails although it was handled, as nothing here tells the two apart. What raises before the
@@ -117,7 +119,7 @@
             self.handler.forget_request(request_id)
 
     def _recover(self, events: EventBatch) -> list[Action]:
-        """Fail the request of the event begun last, post the events behind it; what was decided before."""
+        """Fail the request of the event begun last, post the events behind it; the actions until then."""
         request_id = getattr(events.last_begun(), "request_id", None)
         if request_id is not None:
             self.handler.fail_request(request_id)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -119,14 +119,14 @@
 
     def on_client_disconnected(self, client_request: ClientRequest) -> None:
         """The client has left; attempts that may have run go on and still count as in flight."""
-        self._end_undecided(client_request.request_id)
+        self._end_by_proxy(client_request.request_id)
 
     def abandon_request(self, client_request: ClientRequest) -> None:
         """The connection ends and cannot wait for the answer; attempts go on as above."""
-        self._end_undecided(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
+        self._end_by_proxy(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
-    def can_serve(self) -> bool:
-        """Whether the health check passes: not before there is an endpoint list."""
+    def is_ready(self) -> bool:
+        """Whether there is an endpoint list; a cached one counts once a poll of discovery has failed."""
         return self.has_endpoint_list
 
     # From discovery and the configuration
@@ -147,7 +147,7 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def on_poll_failed(self) -> None:
-        """Discovery is silent: the cached list must do, though it may name what has long gone."""
+        """No list came of a poll: the cached one must do, though it may name what has long gone."""
         self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
 
     def move_counter(self, address: Address | None) -> None:
@@ -162,7 +162,7 @@
 
     def _end_all(self) -> None:
         for request_id in list(self.requests):
-            self._end_undecided(request_id, Status.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
+            self._end_by_proxy(request_id, Status.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
 
     # The end of a request
 
@@ -175,7 +175,7 @@
             if not attempt.may_have_run():
                 attempt.finish(Outcome.NOT_SENT)
 
-    def _end_undecided(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
+    def _end_by_proxy(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
         """End a request without a decision, and notify the decisions. Without a status it gets no answer."""
         request = self.requests.get(request_id)
         if request is None or request.has_ended:
@@ -187,7 +187,7 @@
             self.decisions.forget_after_turn(request_id)
         self.post(RequestEnded(request_id))
 
-    def _end_decided(self, request_id: int, request: RequestInFlight) -> None:
+    def _end_by_decision(self, request_id: int, request: RequestInFlight) -> None:
         """End a request by a decision, of which the decisions need no notice."""
         self._end(request)
         if not request.attempts_in_flight:
@@ -222,7 +222,7 @@
 
     def fail_request(self, request_id: int) -> None:
         """Give the request its final answer where the decisions do not."""
-        self._end_undecided(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
+        self._end_by_proxy(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
 
     def forget_request(self, request_id: int) -> None:
         """The decisions refer to the request no more."""
@@ -264,8 +264,8 @@
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
         # A connection may come up long after the attempt's start: its client must still be there.
         attempt.on_connected = request.client_request.connection.close_if_client_left
-        if action.begin_within_us:
-            self._bound_send_time(attempt, action.begin_within_us)
+        if action.send_within_us:
+            self._bound_send_time(attempt, action.send_within_us)
         self.pool.send(attempt)
 
     def _bound_send_time(self, attempt: Attempt, send_within_us: int) -> None:
@@ -326,14 +326,14 @@
         was_attempted = bool(request.attempts)
         status = Status.SERVICE_UNAVAILABLE if was_attempted else Status.TOO_MANY_REQUESTS
         request.client_request.reply(status, REJECTED_BODY, retry_after_line(retry_after_us))
-        self._end_decided(action.request_id, request)
+        self._end_by_decision(action.request_id, request)
 
     def _fail(self, action: Fail) -> None:
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
         request.client_request.reply(Status.BAD_GATEWAY, FAILED_BODY)
-        self._end_decided(action.request_id, request)
+        self._end_by_decision(action.request_id, request)
 
     # Counter and timers
 
@@ -347,7 +347,7 @@
         self._fire_at(self.clock.now_us() + action.delay_us, TimerFired(action.token))
 
     def _fire_at(self, due_us: int, event: TimerFired) -> None:
-        """Early by up to a millisecond, as the loop's timers may be, the decisions would find nothing due."""
+        """The loop's timers may fire up to a millisecond early; the decisions would then find nothing due."""
         left_us = due_us - self.clock.now_us()
         if left_us > 0:
             call_after(self.loop, left_us, self._fire_at, due_us, event)
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -113,7 +113,7 @@
         """Whether it is open and nothing has come since the last response, also in what is not read yet.
 
         Bytes in the socket's buffer would be taken for the response to the next request; an end of the
-        stream there would lose the request.
+        stream there would lose the request. Stray bytes lengthen the quarantine.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -201,7 +201,7 @@
         self.close()
 
     def _on_broken(self) -> None:
-        """The connection is of no more use. The state tells what was sent: an error empties the buffer."""
+        """The connection is of no more use. Its state says what was sent: an error empties the buffer."""
         self._fail(Outcome.CONNECTION_LOST if self.may_have_run() else Outcome.NOT_CONNECTED)
 
     def _on_response_begun(self) -> None:
@@ -277,7 +277,8 @@
         self.transport = None
         is_unanswered = self.attempt is not None and self.state is not RECEIVING
         if is_unanswered and self.idle_before_request_s is not None:
-            self.pool.reuse.on_found_dead(self.idle_before_request_s)  # it was closed while it stood idle
+            # Taken for closed while it stood idle; an upstream that ended before it responded looks the same.
+            self.pool.reuse.on_found_dead(self.idle_before_request_s)
         self._on_broken()
 
     def data_received(self, data: bytes) -> None:
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -26,7 +26,8 @@
 ACCEPT_AFTER_SIGTERM_S = 0.5
 # How long the first request of a connection that was accepted last may take to arrive.
 FIRST_REQUEST_WAIT_S = 0.3
-# SIGKILL comes no earlier than the longest deadline, of which at most so much counts, and this margin.
+# The platform sends SIGKILL no earlier after SIGTERM than
+# min(longest deadline, LONGEST_COUNTED_DEADLINE_US) + KILL_MARGIN_US.
 LONGEST_COUNTED_DEADLINE_US = 3_000_000
 KILL_MARGIN_US = 700_000
 # Kept free before SIGKILL, to write the last responses.
--- a/yardlane/simulator/action_encoder.py
+++ b/yardlane/simulator/action_encoder.py
@@ -82,7 +82,7 @@
 _fetch_endpoints = _encoder(ActionCode.FETCH_ENDPOINTS, "I")
 
 ENCODERS: dict[type, Callable[[int, Any], bytes]] = {
-    # The wire has no field for `begin_within_us`.
+    # The wire has no field for `send_within_us`.
     StartAttempt: lambda i, a: _start_attempt(i, a.request_id, a.timeout_us, a.endpoint_id),
     CancelAttempt: lambda i, a: _cancel_attempt(i, a.request_id, a.attempt_index),
     Reject: lambda i, a: _reject(i, a.request_id, a.retry_after_us),
