--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -5,14 +5,14 @@
 import asyncio
 import socket
 
-from yardlane.proxy.client_connection import ClientConnection
-from yardlane.proxy.client_server import ClientServer
 from tests.loopback import (
     RunningServer,
     Streams,
     ask,
     settings,
 )
+from yardlane.proxy.client_connection import ClientConnection
+from yardlane.proxy.client_server import ClientServer
 
 SMALL_BUFFER_BYTES = 4096  # of the kernel's: far less than one large answer
 LARGE_BODY = b"y" * 60_000
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from tests.gateway_driver import HARD_RATED, MS, IDEMPOTENT, SECOND, GatewayDriver, make_quota_plan, of_type
+from tests.gateway_driver import HARD_RATED, IDEMPOTENT, MS, SECOND, GatewayDriver, make_quota_plan, of_type
 from yardlane.decisions.actions import Action, AddToCounter, StartAttempt
 from yardlane.decisions.events import CounterResult, Outcome, RequestArrived
-from yardlane.decisions.quota import TenantDemand
 from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
+from yardlane.decisions.quota import TenantDemand
 
 PLAN = make_quota_plan(
     rate_per_s=6.5, burst=13.0, hard_rate_per_s=13.0, hard_rate_depth=19.0, hard_rate_slack=2.0
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from yardlane.decisions.gateway import Gateway
+from tests.gateway_driver import MS, SECOND, make_endpoint, make_quota_plan, make_settings
 from yardlane.decisions.actions import Action, AddToCounter, SetTimer, StartAttempt
 from yardlane.decisions.events import (
     AttemptEnded,
@@ -18,7 +18,7 @@
     TimerFired,
     UpdateKind,
 )
-from tests.gateway_driver import MS, SECOND, make_endpoint, make_quota_plan, make_settings
+from yardlane.decisions.gateway import Gateway
 
 GATEWAYS = 100
 DURATION_S = 30
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -17,11 +17,11 @@
 from hypothesis import given, settings, strategies
 
 from tests.gateway_driver import (
-    HARD_RATED,
     CLASSES,
+    HARD_RATED,
+    IDEMPOTENT,
     MS,
     PLANS,
-    IDEMPOTENT,
     SECOND,
     GatewayDriver,
     make_endpoint,
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -5,11 +5,11 @@
 import pytest
 
 from tests.gateway_driver import (
+    IDEMPOTENT,
     KEYED,
     MS,
-    IDEMPOTENT,
-    SECOND,
     NON_IDEMPOTENT,
+    SECOND,
     GatewayDriver,
     make_endpoint,
     of_type,
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.decisions.warm_up_simulation import BEGIN_US, Scenario, Simulation, warm_up_factor
-from tests.gateway_driver import MS, IDEMPOTENT, SECOND, GatewayDriver, make_endpoint, make_settings, of_type
+from tests.gateway_driver import IDEMPOTENT, MS, SECOND, GatewayDriver, make_endpoint, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
 from yardlane.decisions.endpoints import EndpointList
 from yardlane.decisions.events import Endpoint, EndpointListUpdate, UpdateKind
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -5,7 +5,6 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.actions import Action, AddToCounter, SetTimer, StartAttempt
 from yardlane.decisions.events import (
     AttemptEnded,
@@ -20,6 +19,7 @@
     TimerFired,
     UpdateKind,
 )
+from yardlane.decisions.gateway import Gateway
 from yardlane.decisions.settings import DeduplicationScope, Idempotency, QuotaPlan, RequestClass, Settings
 
 A = TypeVar("A")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from yardlane.decisions.gateway import Gateway
+from yardlane.config import Config, parse
 from yardlane.decisions.actions import Action, Fail, Reject, StartAttempt
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
-from yardlane.config import Config, parse
+from yardlane.decisions.gateway import Gateway
 from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.request_in_flight import RequestInFlight
 from yardlane.proxy.request_validation import ParsedRequest
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -6,10 +6,6 @@
 
 import pytest
 
-from yardlane.decisions.actions import Action, Reject
-from yardlane.decisions.events import Event, RequestArrived
-from yardlane.proxy.client_connection import MAX_PIPELINED, MAX_REJECTED_PIPELINED, REQUEST_TIMEOUT_S
-from yardlane.proxy.client_state import ClientState
 from tests.client_side import ManualClock, connect, only_connection, pipeline
 from tests.loopback import (
     HEALTH_CHECK,
@@ -24,6 +20,10 @@
     running,
     socket_test,
 )
+from yardlane.decisions.actions import Action, Reject
+from yardlane.decisions.events import Event, RequestArrived
+from yardlane.proxy.client_connection import MAX_PIPELINED, MAX_REJECTED_PIPELINED, REQUEST_TIMEOUT_S
+from yardlane.proxy.client_state import ClientState
 
 TOO_LARGE = ask("file", Content_Length="4000000") + b"x" * 4_000_000
 
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -13,11 +13,6 @@
 
 import pytest
 
-from yardlane.decisions.actions import Action, StartAttempt
-from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
-from yardlane.decisions.gateway import Gateway
-from yardlane.proxy.attempt import Attempt
-from yardlane.proxy.client_connection import MAX_PIPELINED, ClientConnection
 from tests.client_side import (
     LARGE_BODY,
     PATIENT_CLASSES,
@@ -46,6 +41,11 @@
     socket_test,
     whole_list,
 )
+from yardlane.decisions.actions import Action, StartAttempt
+from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
+from yardlane.decisions.gateway import Gateway
+from yardlane.proxy.attempt import Attempt
+from yardlane.proxy.client_connection import MAX_PIPELINED, ClientConnection
 
 Leave = Callable[[asyncio.StreamWriter], None]
 
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -2,8 +2,6 @@
 
 import asyncio
 
-from yardlane.decisions.events import RequestArrived
-from yardlane.proxy.listener import Listener
 from tests.client_side import ManualClock, connect
 from tests.loopback import (
     Script,
@@ -15,6 +13,8 @@
     running,
     socket_test,
 )
+from yardlane.decisions.events import RequestArrived
+from yardlane.proxy.listener import Listener
 
 
 @socket_test
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -6,15 +6,15 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from yardlane.proxy.client_connection import ClientConnection
-from yardlane.proxy.client_request import ClientRequest
-from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 from tests.loopback import (
     Script,
     hold_all,
     running,
     socket_test,
 )
+from yardlane.proxy.client_connection import ClientConnection
+from yardlane.proxy.client_request import ClientRequest
+from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 
 # A row for each event, with the state after it; a dot is an event that the state never meets.
 DESIGN = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -4,9 +4,6 @@
 
 import pytest
 
-from yardlane.decisions.events import RequestArrived
-from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S
-from yardlane.proxy.client_state import ClientState
 from tests.client_side import ManualClock, connect, only_connection
 from tests.loopback import (
     Script,
@@ -18,6 +15,9 @@
     running,
     socket_test,
 )
+from yardlane.decisions.events import RequestArrived
+from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S
+from yardlane.proxy.client_state import ClientState
 
 
 @socket_test
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -5,7 +5,6 @@
 
 import pytest
 
-from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S, ReusePolicy
 from tests.loopback import (
     Script,
     Streams,
@@ -19,6 +18,7 @@
     until,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
+from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S, ReusePolicy
 
 NO_QUARANTINE_S = 0.0
 
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -3,12 +3,12 @@
 import asyncio
 from collections.abc import Callable
 
+from tests.loopback import Script, hold_all, socket_test
 from yardlane.decisions.actions import Action, Reject, SetTimer
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import Event, RequestEnded, TimerFired
 from yardlane.proxy.clock import Clock
 from yardlane.proxy.decision_loop import DecisionLoop
-from tests.loopback import Script, hold_all, socket_test
 
 UNSUPPORTED = SetTimer(0)
 NO_REQUEST = 0  # ids begin at 1
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
+from tests.counter_calls import settings_with_counter
+from tests.front_door_process import free_port, start_process
 from tests.loopback import (
     HEALTH_CHECK,
     Peer,
@@ -25,8 +26,7 @@
     socket_test,
     whole_list,
 )
-from tests.counter_calls import settings_with_counter
-from tests.front_door_process import free_port, start_process
+from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
 
 DESCRIPTORS = 128  # that the process may hold
 MAX_CLIENTS = divide(DESCRIPTORS).clients
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -3,19 +3,15 @@
 import asyncio
 import socket
 
-from yardlane.decisions.actions import Reject, StartAttempt
-from yardlane.decisions.events import RequestArrived
-from yardlane.server import ACCEPT_AFTER_SIGTERM_S, shutdown_timeout_us
-from yardlane.proxy.client_state import ClientState
 from tests.loopback import (
     HEALTH_CHECK,
     Peer,
     RunningServer,
     Script,
-    hold_all,
     answer,
     ask,
     config,
+    hold_all,
     member,
     read_message,
     running,
@@ -24,7 +20,10 @@
     socket_test,
     whole_list,
 )
-
+from yardlane.decisions.actions import Reject, StartAttempt
+from yardlane.decisions.events import RequestArrived
+from yardlane.proxy.client_state import ClientState
+from yardlane.server import ACCEPT_AFTER_SIGTERM_S, shutdown_timeout_us
 
 LATEST_NEW_CONNECTION_S = 0.4  # after SIGTERM, by the pages
 
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -8,8 +8,6 @@
 
 import pytest
 
-from yardlane.decisions.actions import Action, Fail, StartAttempt
-from yardlane.decisions.events import AttemptEnded, Event, Outcome
 from tests.client_side import PATIENT_CLASSES, all_released
 from tests.loopback import (
     HEALTH_CHECK,
@@ -32,6 +30,8 @@
     until,
     whole_list,
 )
+from yardlane.decisions.actions import Action, Fail, StartAttempt
+from yardlane.decisions.events import AttemptEnded, Event, Outcome
 
 
 @socket_test
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -5,16 +5,6 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from yardlane.decisions.actions import Action, CancelAttempt, Reject, SetTimer, StartAttempt
-from yardlane.decisions.events import (
-    AttemptEnded,
-    EndpointListUpdate,
-    Event,
-    Outcome,
-    RequestArrived,
-    TimerFired,
-)
-from yardlane.decisions.gateway import Gateway
 from tests.loopback import (
     LoopDouble,
     Script,
@@ -30,6 +20,16 @@
     until,
 )
 from tests.upstream_side import forward
+from yardlane.decisions.actions import Action, CancelAttempt, Reject, SetTimer, StartAttempt
+from yardlane.decisions.events import (
+    AttemptEnded,
+    EndpointListUpdate,
+    Event,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+)
+from yardlane.decisions.gateway import Gateway
 
 UNKNOWN_REQUEST = 10**9
 EARLY_S = 0.002
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -9,21 +9,21 @@
 
 import pytest
 
-from yardlane.decisions.events import CounterResult, EndpointListUpdate, Outcome
+from tests.counter_calls import add, first_call, settings_with_counter
+from tests.front_door_process import free_port, start_process
 from tests.loopback import (
     Peer,
     Script,
-    hold_all,
     answer,
     as_json,
+    hold_all,
     member,
     read_message,
     running,
     socket_test,
     whole_list,
 )
-from tests.counter_calls import add, first_call, settings_with_counter
-from tests.front_door_process import free_port, start_process
+from yardlane.decisions.events import CounterResult, EndpointListUpdate, Outcome
 
 
 def configuration(discovery: Peer, counter: Peer, **changes: Any) -> dict[str, Any]:
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -2,8 +2,6 @@
 
 import pytest
 
-from yardlane.decisions.actions import Action, Reject
-from yardlane.decisions.events import Event, RequestArrived
 from tests.loopback import (
     Script,
     answer,
@@ -17,6 +15,8 @@
     running_with_backend,
     socket_test,
 )
+from yardlane.decisions.actions import Action, Reject
+from yardlane.decisions.events import Event, RequestArrived
 
 GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
 
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -4,10 +4,6 @@
 
 import pytest
 
-from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
-from yardlane.errors import MalformedResponse
-from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, read_load_report
-from yardlane.proxy.upstream_state import UpstreamState
 from tests.loopback import (
     Script,
     answer,
@@ -20,6 +16,10 @@
     until,
 )
 from tests.upstream_side import forward, serve_on_new_connection, until_state
+from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
+from yardlane.errors import MalformedResponse
+from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, read_load_report
+from yardlane.proxy.upstream_state import UpstreamState
 
 CLOSE = b""  # the connection ends
 INTERIM = b"HTTP/1.1 102 X\r\n\r\n"
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -9,12 +9,6 @@
 
 import pytest
 
-from yardlane.decisions.actions import Action, CancelAttempt, StartAttempt
-from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
-from yardlane.proxy.attempt import Attempt
-from yardlane.proxy.proxy import Proxy
-from yardlane.proxy.upstream_connection import UpstreamConnection
-from yardlane.proxy.upstream_pool import UpstreamPool
 from tests.loopback import (
     HEALTH_CHECK,
     LoopDouble,
@@ -46,6 +40,12 @@
     reset,
     unsent_bytes,
 )
+from yardlane.decisions.actions import Action, CancelAttempt, StartAttempt
+from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
+from yardlane.proxy.attempt import Attempt
+from yardlane.proxy.proxy import Proxy
+from yardlane.proxy.upstream_connection import UpstreamConnection
+from yardlane.proxy.upstream_pool import UpstreamPool
 
 NO_QUARANTINE_S = 0.0
 FIRST_REQUEST_MAX_BYTES = 4096
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -7,15 +7,12 @@
 import weakref
 from typing import Any
 
-from yardlane.decisions.actions import Action
-from yardlane.decisions.events import AttemptEnded, Event, Outcome
-from yardlane.proxy.upstream_pool import UpstreamPool
 from tests.loopback import (
     Script,
     answer,
     ask,
-    config,
     attempt_each,
+    config,
     member,
     read_message,
     read_status,
@@ -26,6 +23,9 @@
     whole_list,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
+from yardlane.decisions.actions import Action
+from yardlane.decisions.events import AttemptEnded, Event, Outcome
+from yardlane.proxy.upstream_pool import UpstreamPool
 
 NO_QUARANTINE_S = 0.0
 
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -5,11 +5,11 @@
 
 import pytest
 
+from tests.gateway_driver import CLASSES, PLANS, GatewayDriver, make_endpoint_id, make_settings
+from yardlane.decisions.events import AttemptEnded, Outcome, RequestArrived
+from yardlane.decisions.gateway import Gateway
 from yardlane.errors import SettingsError
 from yardlane.simulator import adapter
-from yardlane.decisions.gateway import Gateway
-from yardlane.decisions.events import AttemptEnded, Outcome, RequestArrived
-from tests.gateway_driver import CLASSES, PLANS, GatewayDriver, make_endpoint_id, make_settings
 
 
 @pytest.mark.parametrize(
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -7,8 +7,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from yardlane.proxy.upstream_connection import UpstreamConnection
-from yardlane.proxy.upstream_state import UpstreamState
 from tests.loopback import (
     LoopDouble,
     Peer,
@@ -21,6 +19,8 @@
     until,
     whole_list,
 )
+from yardlane.proxy.upstream_connection import UpstreamConnection
+from yardlane.proxy.upstream_state import UpstreamState
 
 SMALL_SEND_BUFFER_BYTES = 4096  # of the kernel's: far less than `LARGE_REQUEST_BYTES`
 SMALL_RECEIVE_BUFFER_BYTES = 1024
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -13,6 +13,7 @@
 from yardlane.decisions.burst import BurstEstimate
 from yardlane.decisions.counter_polling import CountingPeriods
 from yardlane.decisions.events import RequestArrived
+from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
 from yardlane.decisions.quota import (
     TOTAL_VALID_US,
     TenantDemand,
@@ -20,7 +21,6 @@
     is_limit_below_gateway_count,
     split_concurrency_limit,
 )
-from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
 from yardlane.decisions.request import Request
 from yardlane.decisions.settings import Settings
 
