--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -64,8 +64,8 @@
     """The time constant of the decay: without requests, demand falls to 1/e in it.
 
     It is short for a rate over a large fleet, where each gateway has few requests in the time: a long one
-    saves few polls there, and shows a burst late. It is short for a limit below the number of gateways, too:
-    about as long as a request takes, so that the total tells what is in flight now.
+    saves few polls there, and shows a burst late. For a plan without a rate it is short for a limit below
+    the number of gateways, too, so that the total says what is in flight now.
     """
     burst_us = 0.0
     is_short = is_limit_below_gateway_count(plan, gateway_count)
