--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -7,7 +7,7 @@
 from yardlane.decisions.events import Outcome
 
 
-def log_of_mixed_requests() -> list[tuple[int, Action]]:
+def run_mixed_requests() -> list[tuple[int, Action]]:
     driver = GatewayDriver(seed=11)
     for number in range(200):
         driver.ask(tenant=number % 7, quota_plan=number % 4, request_class=number % 3)
@@ -15,11 +15,11 @@
     return driver.log
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
-    assert log_of_mixed_requests() == log_of_mixed_requests()
+def test_same_events_and_seed_give_same_actions() -> None:
+    assert run_mixed_requests() == run_mixed_requests()
 
 
-def test_a_repeated_end_of_an_attempt_changes_nothing() -> None:
+def test_duplicate_attempt_ended_is_ignored() -> None:
     driver = GatewayDriver(endpoints=1)
     number, _ = driver.ask(quota_plan=FREE)
     driver.ask(quota_plan=FREE)
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -30,11 +30,11 @@
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, Outcome, RequestEnded, UpdateKind
 from yardlane.decisions.settings import Idempotency
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
-FAILURES = (*NEVER_RAN, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
-ZONES = 3
-ENDPOINTS = 6
-MOVES = 150
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+FAILURES = (*NEVER_RAN_OUTCOMES, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+ZONE_COUNT = 3
+ENDPOINT_COUNT = 6
+STEPS = 150
 STATES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
@@ -44,7 +44,7 @@
 
     sent_at_us: int
     endpoint_id: bytes
-    in_flight: bool = True
+    is_in_flight: bool = True
     may_have_run: bool = True
 
 
@@ -56,13 +56,13 @@
     plan: int
     gives_up_at_us: int
     attempts: list[SentAttempt] = field(default_factory=list)
-    is_over: bool = False
+    has_ended: bool = False
 
-    def first_that_may_have_run(self) -> SentAttempt | None:
+    def first_attempt_that_may_have_run(self) -> SentAttempt | None:
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
-class RuleChecker:
+class InvariantChecker:
     """Checks every action of a gateway against the rules."""
 
     def __init__(self, driver: GatewayDriver) -> None:
@@ -73,7 +73,7 @@
         self.endpoint_zones: dict[bytes, int] = {}
         # This gateway's part of the hard rate's token bucket: a third, as there are three gateways.
         self.hard_rate_units = PLANS[HARD_RATED].hard_rate_slack / 3
-        self.hard_rate_at_us = driver.now
+        self.hard_rate_refilled_at_us = driver.now
 
     def check_new_actions(self) -> None:
         new_actions = self.driver.log[self.checked_count :]
@@ -82,31 +82,31 @@
             if isinstance(action, StartAttempt):
                 self._check_attempt(at_us, action)
             elif isinstance(action, Reject | Fail):
-                self._check_answer(at_us, action)
+                self._check_final_answer(at_us, action)
 
-    def _check_answer(self, at_us: int, answer: Reject | Fail) -> None:
+    def _check_final_answer(self, at_us: int, answer: Reject | Fail) -> None:
         request = self.requests[answer.request_id]
-        assert not request.is_over
+        assert not request.has_ended
         assert at_us <= request.gives_up_at_us + self.driver.settings.answer_grace_us
         idempotency = CLASSES[request.request_class].idempotency
         if isinstance(answer, Reject) and idempotency is not Idempotency.IDEMPOTENT:
-            assert request.first_that_may_have_run() is None
-        request.is_over = True
+            assert request.first_attempt_that_may_have_run() is None
+        request.has_ended = True
 
     def _check_attempt(self, at_us: int, action: StartAttempt) -> None:
         request = self.requests[action.request_id]
-        assert not request.is_over
-        first = request.first_that_may_have_run()
+        assert not request.has_ended
+        first = request.first_attempt_that_may_have_run()
         if first is not None:
-            self._check_repeat(at_us, action.endpoint_id, request, first)
+            self._check_retry(at_us, action.endpoint_id, request, first)
         if not self.driver.settings.may_hedge:
-            assert not any(attempt.in_flight for attempt in request.attempts)
+            assert not any(attempt.is_in_flight for attempt in request.attempts)
         assert self.endpoint_states[action.endpoint_id] is EndpointState.READY
         if request.plan == HARD_RATED and not request.attempts:
             self._check_hard_rate(at_us)
         request.attempts.append(SentAttempt(at_us, action.endpoint_id))
 
-    def _check_repeat(
+    def _check_retry(
         self, at_us: int, endpoint_id: bytes, request: RequestHistory, first: SentAttempt
     ) -> None:
         request_class = CLASSES[request.request_class]
@@ -118,9 +118,9 @@
     def _check_hard_rate(self, at_us: int) -> None:
         depth = PLANS[HARD_RATED].hard_rate_depth / 3
         units_per_s = PLANS[HARD_RATED].hard_rate_per_s / 3
-        filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_at_us) / SECOND
+        filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_refilled_at_us) / SECOND
         self.hard_rate_units = min(depth, filled) - 1.0
-        self.hard_rate_at_us = at_us
+        self.hard_rate_refilled_at_us = at_us
         assert self.hard_rate_units >= -1e-6
 
 
@@ -130,34 +130,36 @@
     def __init__(self, seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
         self.random = Random(seed)
         self.driver = GatewayDriver(endpoints=0, may_hedge=may_hedge, has_shared_counter=has_shared_counter)
-        self.checker = RuleChecker(self.driver)
-        self.update_endpoints(UpdateKind.SNAPSHOT, range(ENDPOINTS))
+        self.checker = InvariantChecker(self.driver)
+        self.update_endpoints(UpdateKind.SNAPSHOT, range(ENDPOINT_COUNT))
 
-    def move(self) -> None:
+    def step(self) -> None:
         choice = self.random.random()
         in_flight = sorted(
             (number, index)
             for number, request in self.checker.requests.items()
             for index, attempt in enumerate(request.attempts)
-            if attempt.in_flight
+            if attempt.is_in_flight
+        )
+        open_requests = sorted(
+            number for number, request in self.checker.requests.items() if not request.has_ended
         )
-        alive = sorted(number for number, request in self.checker.requests.items() if not request.is_over)
         if choice < 0.45:
-            self.ask()
+            self.send_request()
         elif choice < 0.75 and in_flight:
             self.end_attempt(*self.random.choice(in_flight))
-        elif choice < 0.80 and alive:
-            self.disconnect(self.random.choice(alive))
+        elif choice < 0.80 and open_requests:
+            self.disconnect(self.random.choice(open_requests))
         elif choice < 0.85:
             kind = self.random.choice((UpdateKind.DELTA, UpdateKind.SNAPSHOT))
-            self.update_endpoints(kind, range(self.random.randrange(ENDPOINTS + 1)))
+            self.update_endpoints(kind, range(self.random.randrange(ENDPOINT_COUNT + 1)))
         elif choice < 0.88:
             self.driver.counter_answers = not self.driver.counter_answers
         else:
-            self.let_time_pass()
+            self.advance_time()
         self.checker.check_new_actions()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         request_class = self.random.randrange(len(CLASSES))
         plan = self.random.randrange(len(PLANS))
         time_left_us = self.random.choice((5 * MS, 400 * MS, 2 * SECOND))
@@ -171,15 +173,15 @@
             outcome = Outcome.CANCELLED
         request = self.checker.requests[number]
         attempt = request.attempts[index]
-        attempt.in_flight = False
-        attempt.may_have_run = outcome not in NEVER_RAN
+        attempt.is_in_flight = False
+        attempt.may_have_run = outcome not in NEVER_RAN_OUTCOMES
         if outcome is Outcome.OK:
-            request.is_over = True
+            request.has_ended = True
         elapsed_us = max(1, self.driver.now - attempt.sent_at_us)
-        self.driver.end(number, attempt.endpoint_id, outcome, elapsed_us, index, request.is_over)
+        self.driver.end(number, attempt.endpoint_id, outcome, elapsed_us, index, request.has_ended)
 
     def disconnect(self, number: int) -> None:
-        self.checker.requests[number].is_over = True
+        self.checker.requests[number].has_ended = True
         self.driver.give(RequestEnded(number))
 
     def update_endpoints(self, kind: UpdateKind, numbers: range) -> None:
@@ -187,7 +189,7 @@
             make_endpoint(
                 number,
                 self.random.choice(STATES),
-                zone=number % ZONES,
+                zone=number % ZONE_COUNT,
                 started_at_us=self.random.choice((0, self.driver.now - 2 * SECOND)),
             )
             for number in numbers
@@ -201,7 +203,7 @@
             self.checker.endpoint_zones[entry.endpoint_id] = entry.zone
         self.driver.give(EndpointListUpdate(kind, 1, tuple(entries)))
 
-    def let_time_pass(self) -> None:
+    def advance_time(self) -> None:
         for _ in range(self.random.randrange(1, 40)):
             self.driver.run(self.random.choice((1, 20, 50)) * MS)
             self.checker.check_new_actions()
@@ -209,16 +211,16 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
-def test_random_orders_keep_the_rules(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
+def test_random_event_sequences_keep_invariants(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
     run = RandomRun(seed, may_hedge, has_shared_counter)
-    for _ in range(MOVES):
-        run.move()
+    for _ in range(STEPS):
+        run.step()
     run.driver.run(5 * SECOND)
     run.checker.check_new_actions()
-    assert all(request.is_over for request in run.checker.requests.values())
+    assert all(request.has_ended for request in run.checker.requests.values())
 
 
-def test_every_delay_of_a_timer_is_positive() -> None:
+def test_timer_delays_are_positive() -> None:
     driver = GatewayDriver()
     for _ in range(100):
         driver.ask(request_class=IDEMPOTENT)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -22,14 +22,14 @@
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def ask_and_attempt(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
+def send_request(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
     """A new request that is sent at once: its number, and the endpoint of its attempt."""
     number, actions = driver.ask(request_class=request_class)
     [attempt] = of_type(StartAttempt, actions)
     return number, attempt.endpoint_id
 
 
-def test_a_request_without_an_answer_gets_one_in_time() -> None:
+def test_request_without_response_fails_within_answer_grace() -> None:
     driver = GatewayDriver()
     number, _ = driver.ask(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
     deadline_us = driver.now + 700 * MS
@@ -39,31 +39,31 @@
     assert answers[0][0] <= deadline_us + driver.settings.answer_grace_us
 
 
-def test_nothing_is_sent_after_the_client_disconnected() -> None:
+def test_request_gets_no_attempt_or_answer_after_client_disconnects() -> None:
     driver = GatewayDriver()
-    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
+    number, endpoint_id = send_request(driver, IDEMPOTENT)
     driver.give(RequestEnded(number))
     later = driver.end(number, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, later) and not final_answers(later)
     assert not of_type(StartAttempt, driver.run(3 * SECOND))
 
 
-def test_a_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
+def test_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     driver = GatewayDriver()
-    number, first_id = ask_and_attempt(driver, NON_IDEMPOTENT)
+    number, first_id = send_request(driver, NON_IDEMPOTENT)
     retries = of_type(StartAttempt, driver.end(number, first_id, Outcome.REJECTED))
     assert len(retries) == 1 and retries[0].endpoint_id != first_id
     last = driver.end(number, retries[0].endpoint_id, Outcome.ERROR)
     assert final_answers(last) == [Fail(number)] and not of_type(StartAttempt, last)
 
 
-def test_a_request_with_a_key_is_retried_in_its_zone_and_window() -> None:
+def test_keyed_request_that_may_have_run_is_retried_in_its_zone_and_not_rejected() -> None:
     driver = GatewayDriver(endpoints=0)
     entries = tuple(make_endpoint(number, zone=number % 2) for number in range(6))
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
     for outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
-        number, first_id = ask_and_attempt(driver, KEYED)
+        number, first_id = send_request(driver, KEYED)
         retries = of_type(StartAttempt, driver.end(number, first_id, outcome))
         assert len(retries) == 1 and zones[retries[0].endpoint_id] == zones[first_id]
         driver.end(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
@@ -76,7 +76,7 @@
     ("request_class", "outcome", "is_bounded"),
     [(KEYED, Outcome.ERROR, True), (IDEMPOTENT, Outcome.ERROR, False), (KEYED, Outcome.REJECTED, False)],
 )
-def test_a_retry_with_a_key_is_written_within_the_window_or_never(
+def test_retry_of_keyed_request_must_be_sent_within_idempotency_window(
     request_class: int, outcome: Outcome, is_bounded: bool
 ) -> None:
     """A retry was decided within the window, but its connection came up late.
@@ -86,42 +86,42 @@
     """
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
-    number, endpoint_id = ask_and_attempt(driver, request_class)
+    number, endpoint_id = send_request(driver, request_class)
     driver.now += 300 * MS
     [retry] = of_type(StartAttempt, driver.end(number, endpoint_id, outcome))
     assert retry.send_within_us == (window_us - 300 * MS if is_bounded else 0)
 
 
-def test_a_request_with_a_key_that_never_ran_may_change_the_zone() -> None:
+def test_keyed_request_that_never_ran_is_retried_in_any_zone() -> None:
     driver = GatewayDriver(endpoints=0)
     entries = (make_endpoint(1, zone=1), make_endpoint(2, zone=2))
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
-    number, endpoint_id = ask_and_attempt(driver, KEYED)
+    number, endpoint_id = send_request(driver, KEYED)
     assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.NOT_CONNECTED))) == 1
 
 
-def test_where_hedging_is_not_allowed_an_overdue_attempt_is_cancelled_first() -> None:
+def test_overdue_attempt_is_cancelled_before_retry_without_hedging() -> None:
     driver = GatewayDriver(may_hedge=False)
-    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
+    number, endpoint_id = send_request(driver, IDEMPOTENT)
     later = driver.run(800 * MS)
     assert not of_type(StartAttempt, later)
     assert of_type(CancelAttempt, later) == [CancelAttempt(number, 0)]
     assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.CANCELLED))) <= 1
 
 
-def test_where_hedging_is_allowed_an_overdue_attempt_goes_on_beside_another() -> None:
+def test_overdue_attempt_is_hedged_if_hedging_is_allowed() -> None:
     driver = GatewayDriver()
-    number, first_id = ask_and_attempt(driver, IDEMPOTENT)
+    number, first_id = send_request(driver, IDEMPOTENT)
     later = driver.run(800 * MS)
     hedges = of_type(StartAttempt, later)
     assert hedges and hedges[0].request_id == number and hedges[0].endpoint_id != first_id
     assert not of_type(CancelAttempt, later)
 
 
-def test_a_spent_budget_allows_no_retry() -> None:
+def test_exhausted_retry_budget_prevents_retry() -> None:
     """When all endpoints failed, retries multiplied the requests, and the overload fed itself."""
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
-    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
+    number, endpoint_id = send_request(driver, IDEMPOTENT)
     actions = driver.end(number, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, actions) and len(final_answers(actions)) == 1
--- a/tests/decisions/test_timers.py
+++ b/tests/decisions/test_timers.py
@@ -1,10 +1,10 @@
 """The queue of timers, and the detection of a stall."""
 
-from yardlane.decisions.timers import STALL_US, Timers
+from yardlane.decisions.timers import STALL_THRESHOLD_US, Timers
 from yardlane.decisions.units import NEVER_US
 
 
-def test_due_calls_are_made_by_time_and_equal_times_in_the_order_of_scheduling() -> None:
+def test_due_callbacks_run_by_time_then_in_scheduling_order() -> None:
     timers = Timers()
     calls: list[str] = []
     for at_us, name in ((30, "late"), (10, "first"), (20, "second"), (10, "first again")):
@@ -14,7 +14,7 @@
     assert len(timers) == 1
 
 
-def test_a_call_that_is_scheduled_for_now_by_another_is_made_in_the_same_turn() -> None:
+def test_callback_scheduled_for_now_by_a_callback_runs_in_same_turn() -> None:
     timers = Timers()
     calls: list[int] = []
     timers.schedule(10, lambda: timers.schedule(10, lambda: calls.append(10)))
@@ -22,7 +22,7 @@
     assert calls == [10] and len(timers) == 0
 
 
-def test_the_timer_is_set_only_when_it_has_to_be_earlier_or_has_fired() -> None:
+def test_timer_is_set_only_if_it_has_fired_or_must_fire_earlier() -> None:
     timers = Timers()
     assert timers.next_delay_us(0) is None
     timers.schedule(100, lambda: None)
@@ -35,17 +35,17 @@
     assert timers.next_delay_us(50) == 50
 
 
-def test_a_turn_long_after_the_timer_was_due_is_a_stall() -> None:
+def test_turn_later_than_stall_threshold_is_a_stall() -> None:
     timers = Timers()
     timers.schedule(100, lambda: None)
     timers.next_delay_us(0)
-    timers.detect_stall(100 + STALL_US)
-    assert timers.resumed_at_us == NEVER_US
-    timers.detect_stall(101 + STALL_US)
-    assert timers.resumed_at_us == 101 + STALL_US
+    timers.detect_stall(100 + STALL_THRESHOLD_US)
+    assert timers.stall_ended_at_us == NEVER_US
+    timers.detect_stall(101 + STALL_THRESHOLD_US)
+    assert timers.stall_ended_at_us == 101 + STALL_THRESHOLD_US
 
 
-def test_without_any_scheduled_call_a_late_turn_is_no_stall() -> None:
+def test_late_turn_without_scheduled_callbacks_is_not_a_stall() -> None:
     timers = Timers()
-    timers.detect_stall(10 * STALL_US)
-    assert timers.resumed_at_us == NEVER_US
+    timers.detect_stall(10 * STALL_THRESHOLD_US)
+    assert timers.stall_ended_at_us == NEVER_US
--- a/yardlane/decisions/attempt_record.py
+++ b/yardlane/decisions/attempt_record.py
@@ -5,7 +5,7 @@
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import Outcome
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
 
 
 class AttemptRecord:
@@ -23,7 +23,7 @@
         self.is_in_flight = True
         self.may_have_run = True
 
-    def end(self, outcome: Outcome) -> None:
+    def record_end(self, outcome: Outcome) -> None:
         """Note how the attempt ended."""
         self.is_in_flight = False
-        self.may_have_run = outcome not in NEVER_RAN
+        self.may_have_run = outcome not in NEVER_RAN_OUTCOMES
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -81,10 +81,10 @@
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
-        is_first_call = self.now_us == NEVER_US
+        is_first_turn = self.now_us == NEVER_US
         self.now_us = now_us
         self.actions = []
-        if is_first_call:
+        if is_first_turn:
             self._start()
         for event in events:
             self._dispatch(event)
@@ -131,7 +131,7 @@
     def _on_request_arrived(self, event: RequestArrived) -> None:
         """Register a request, count its demand, and poll the counter or decide on its admission."""
         self.settings.require_known(event.request_class, event.quota_plan)
-        request = self._register(event)
+        request = self._register_request(event)
         tenant = request.tenant
         service_time_us = self._mean_service_time_us(request)
         self.service_times.record_arrival(request.class_index)
@@ -142,11 +142,11 @@
         if self.polling.is_due(tenant.demand, amount, capacity, self.now_us):
             self.actions.append(self.polling.start(request, self.now_us))
         else:
-            self._admit(request)
+            self._decide_admission(request)
 
-    def _register(self, event: RequestArrived) -> Request:
+    def _register_request(self, event: RequestArrived) -> Request:
         """Make the request, and schedule the end of its time in the queue."""
-        request = Request(event, self._find_tenant(event), self.now_us, self.settings.tick_us)
+        request = Request(event, self._get_or_create_tenant(event), self.now_us, self.settings.tick_us)
         self.requests[event.request_id] = request
         request_class = self.settings.request_classes[event.request_class]
         service_time_us = self.service_times.mean_us[event.request_class]
@@ -155,7 +155,7 @@
         self.timers.schedule(final_answer_at_us, self._on_final_answer_due, request)
         return request
 
-    def _find_tenant(self, event: RequestArrived) -> Tenant:
+    def _get_or_create_tenant(self, event: RequestArrived) -> Tenant:
         """The tenant of a request, new if need be; it becomes the last of all tenants."""
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
@@ -175,9 +175,9 @@
             capacity = admission.sustained_capacity(request.tenant, request.units, service_time_us)
             request.tenant.apply_total(result.total, call.period_index, capacity, self.now_us)
         if not request.has_ended:
-            self._admit(request)
+            self._decide_admission(request)
 
-    def _admit(self, request: Request) -> None:
+    def _decide_admission(self, request: Request) -> None:
         """Reject a request, or queue it and forward what may go."""
         tenant = request.tenant
         if not admission.decide_admission(
@@ -187,16 +187,16 @@
             return
         tenant.queue.append(request)
         request.is_queued = True
-        self._release(tenant)
+        self._forward_queued(tenant)
 
-    def _release(self, tenant: Tenant) -> None:
+    def _forward_queued(self, tenant: Tenant) -> None:
         """Forward queued requests, in order, while concurrency bound, hard rate and endpoints allow."""
         while tenant.queue and tenant.has_free_slot():
             request = tenant.queue[0]
             missing_units = tenant.missing_units(request.units, self.now_us)
             endpoint = self._choose_endpoint(request) if missing_units <= 0.0 else None
             if endpoint is None:
-                self._release_later(tenant, missing_units)
+                self._schedule_forwarding(tenant, missing_units)
                 return
             del tenant.queue[0]
             request.is_queued = False
@@ -206,13 +206,13 @@
             self.retries.record_first_attempt()
             self._start_attempt(request, endpoint)
 
-    def _release_later(self, tenant: Tenant, missing_units: float) -> None:
+    def _schedule_forwarding(self, tenant: Tenant, missing_units: float) -> None:
         """Look again once the hard rate may have filled by these units, or an endpoint may be free."""
         if tenant.next_release_at_us > self.now_us:
             return
         delay_us = admission.release_delay_us(tenant, missing_units, self.now_us)
         tenant.next_release_at_us = self.now_us + delay_us
-        self.timers.schedule(tenant.next_release_at_us, self._release, tenant)
+        self.timers.schedule(tenant.next_release_at_us, self._forward_queued, tenant)
 
     # Attempts
 
@@ -258,18 +258,18 @@
         attempt = request.attempt_in_flight(event.attempt_index)
         if attempt is None:
             return
-        self._record_end(request, attempt, event)
+        self._record_attempt_end(request, attempt, event)
         if event.request_ended or request.has_ended:
-            self._end(request)
+            self._end_request(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
             self._reject_or_fail(request)
         # Only this tenant's queue: others that wait for an endpoint look within NO_ENDPOINT_RETRY_US.
-        self._release(request.tenant)
+        self._forward_queued(request.tenant)
 
-    def _record_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
+    def _record_attempt_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
         """Let the rules learn from the end of an attempt."""
         endpoint = attempt.endpoint
-        attempt.end(event.outcome)
+        attempt.record_end(event.outcome)
         request.tenant.in_flight -= 1
         endpoint.in_flight -= 1
         self.concurrency.record_ended()
@@ -314,15 +314,15 @@
     def _reject_or_fail(self, request: Request) -> None:
         """Give a request its final answer where no endpoint gives it."""
         self.actions.append(self.retries.final_answer(request, self._mean_service_time_us(request)))
-        self._end(request)
+        self._end_request(request)
 
     def _on_request_ended(self, request_id: int) -> None:
         """The client disconnected, or a response flows to it: nothing more is to be sent."""
         request = self.requests.get(request_id)
         if request is not None:
-            self._end(request)
+            self._end_request(request)
 
-    def _end(self, request: Request) -> None:
+    def _end_request(self, request: Request) -> None:
         """End a request; it is kept while an attempt of it is in flight."""
         request.has_ended = True
         if request.is_queued:
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -90,7 +90,7 @@
         _add_latency_sample(attempt.endpoint, OVERDUE_MULTIPLE)
 
     def _was_in_flight_during_stall(self, attempt: AttemptRecord) -> bool:
-        return attempt.sent_at_us < self._timers.resumed_at_us
+        return attempt.sent_at_us < self._timers.stall_ended_at_us
 
 
 def _add_failure_sample(endpoint: EndpointRecord, plan: QuotaPlan | None, sample: float) -> None:
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -34,8 +34,8 @@
 BUDGET_PER_REQUEST = 0.1
 MAX_BUDGET = 10.0
 RETRY_AFTER_SHARE = 0.25
-NO_BOUND_US = 0
-SHORTEST_BOUND_US = 1
+NO_SEND_LIMIT_US = 0
+MIN_SEND_LIMIT_US = 1
 
 
 class RetryPolicy:
@@ -64,7 +64,7 @@
         if now_us + mean_service_time_us > min(request.gives_up_at_us, objective_ends_at_us):
             return False
         first = request.first_attempt_that_may_have_run()
-        return first is None or _may_repeat(request_class, first, now_us)
+        return first is None or _idempotency_allows_retry(request_class, first, now_us)
 
     def candidates(self, request: Request, endpoints: EndpointList) -> list[EndpointRecord]:
         """The endpoints that may get the next attempt: mostly those of this gateway's subset."""
@@ -77,19 +77,19 @@
         return _endpoints_in_scope(request_class.deduplication_scope, first.endpoint.entry, endpoints)
 
     def send_within_us(self, request: Request, now_us: int) -> int:
-        """The time in which the next attempt has to be written whole; `NO_BOUND_US` for no bound."""
+        """The time in which the next attempt has to be written whole; `NO_SEND_LIMIT_US` for no bound."""
         request_class = self._class_of(request)
         if request_class.idempotency is not Idempotency.KEYED:
-            return NO_BOUND_US
+            return NO_SEND_LIMIT_US
         first = request.first_attempt_that_may_have_run()
         if first is None:
-            return NO_BOUND_US
-        return max(SHORTEST_BOUND_US, first.sent_at_us + request_class.idempotency_window_us - now_us)
+            return NO_SEND_LIMIT_US
+        return max(MIN_SEND_LIMIT_US, first.sent_at_us + request_class.idempotency_window_us - now_us)
 
     def final_answer(self, request: Request, mean_service_time_us: float) -> Reject | Fail:
         """The final answer to a request that gets no further attempt."""
         may_have_run = request.first_attempt_that_may_have_run() is not None
-        if may_have_run and not _is_repeatable_anywhere(self._class_of(request)):
+        if may_have_run and not _is_safe_to_resend(self._class_of(request)):
             return Fail(request.id)
         return Reject(request.id, self._retry_after_us(mean_service_time_us))
 
@@ -102,7 +102,7 @@
         return self._settings.request_classes[request.class_index]
 
 
-def _may_repeat(request_class: RequestClass, first: AttemptRecord, now_us: int) -> bool:
+def _idempotency_allows_retry(request_class: RequestClass, first: AttemptRecord, now_us: int) -> bool:
     if request_class.idempotency is Idempotency.KEYED:
         return now_us - first.sent_at_us < request_class.idempotency_window_us
     return request_class.idempotency is Idempotency.IDEMPOTENT
@@ -119,7 +119,7 @@
     return endpoints.subset
 
 
-def _is_repeatable_anywhere(request_class: RequestClass) -> bool:
+def _is_safe_to_resend(request_class: RequestClass) -> bool:
     if request_class.idempotency is Idempotency.KEYED:
         return request_class.deduplication_scope is DeduplicationScope.ALL
     return request_class.idempotency is Idempotency.IDEMPOTENT
--- a/yardlane/decisions/settings.py
+++ b/yardlane/decisions/settings.py
@@ -128,6 +128,6 @@
         _require(0 <= quota_plan < len(self.quota_plans), "quota_plan", quota_plan, "known")
 
 
-def _require(holds: bool, field: str, value: object, wanted: str) -> None:
-    if not holds:
-        raise SettingsError(f"{field} is {value!r}: wanted {wanted}")
+def _require(is_valid: bool, field: str, value: object, requirement: str) -> None:
+    if not is_valid:
+        raise SettingsError(f"{field} is {value!r}: wanted {requirement}")
