--- a/yardlane/decisions/attempt_record.py
+++ b/yardlane/decisions/attempt_record.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, as the decisions remember it."""
+"""The gateway's record of one attempt of a request."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class AttemptRecord:
-    """One attempt: where and when it was sent, and what is known of it.
+    """The endpoint and the start time of one attempt, and what is known about its state.
 
-    `may_have_run` stays true until the outcome proves that the endpoint never began the request: an attempt
-    that timed out or lost its connection may have taken effect.
+    `may_have_run` becomes false only when the outcome proves that the endpoint never began the request. An
+    attempt that timed out or lost its connection may have taken effect.
     """
 
     __slots__ = ("endpoint", "is_in_flight", "may_have_run", "sent_at_us")
@@ -24,6 +24,6 @@
         self.may_have_run = True
 
     def record_end(self, outcome: Outcome) -> None:
-        """Note how the attempt ended."""
+        """Record the outcome of the attempt."""
         self.is_in_flight = False
         self.may_have_run = outcome not in NEVER_RAN_OUTCOMES
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -1,15 +1,17 @@
-"""The decisions of one gateway: events go to the rules, and what the rules decide becomes actions.
+"""The decisions of one gateway: it passes each event to the rules and returns their decisions as actions.
 
-The rules have a module each; here stands in which order they are asked. The way of a request:
+Each rule has a module of its own; this module defines the order in which the rules are applied. A request
+passes through these steps:
 
-1. It arrives. If its tenant's total is too old, `counter_polling` polls the shared counter first.
-2. `admission` rejects it, or it queues at its tenant (`tenant`, `quota`, `burst`).
-3. It leaves the queue once the tenant's concurrency bound, the hard rate (`hard_rate`) and the limit on
-   all attempts (`concurrency`) allow it, and `load_balancing` finds an endpoint (`endpoints`, `slow_start`).
-4. Its attempts end, or are overdue: `outliers`, `service_time` and `concurrency` learn from that, and
-   `retries` says whether another attempt may follow, and else what the final answer is.
+1. The request arrives. If its tenant's total is too old, `counter_polling` first polls the shared counter.
+2. `admission` rejects the request, or the request joins its tenant's queue (`tenant`, `quota`, `burst`).
+3. The request leaves the queue once the tenant's concurrency bound, the hard rate (`hard_rate`) and the limit
+   on all attempts (`concurrency`) allow it, and `load_balancing` finds an endpoint for it (`endpoints`,
+   `slow_start`).
+4. When an attempt ends or is overdue, `outliers`, `service_time` and `concurrency` update their statistics.
+   `retries` then decides whether another attempt may follow, and if not, what the final answer is.
 
-See docs/design.md for why it is so.
+See docs/design.md for the reasons behind this design.
 """
 
 from __future__ import annotations
@@ -55,7 +57,11 @@
 
 
 class Gateway:
-    """All decisions of one gateway. It holds the requests and tenants; the rules hold their own state."""
+    """Makes all decisions of one gateway.
+
+    An instance holds the requests and tenants; each rule holds its own state. One call of `handle` is called
+    a turn.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -64,7 +70,7 @@
         self.now_us = NEVER_US
         self.timers = Timers()
         self.requests: dict[int, Request] = {}
-        self.tenants: dict[TenantId, Tenant] = {}  # in the order of their last requests
+        self.tenants: dict[TenantId, Tenant] = {}  # ordered by last request, oldest first
         self.polling = CounterPolling(settings.has_shared_counter, settings.counter_timeout_us, self.random)
         self.endpoints = EndpointList(settings)
         self.service_times = ServiceTimes(settings)
@@ -75,9 +81,9 @@
         self.retries = RetryPolicy(settings)
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Decide on what happened up to `now_us`; return the actions in the order to carry them out in.
+        """Handle the events up to `now_us`; return the actions in the order in which to carry them out.
 
-        SettingsError if a request names a class or a plan that the settings do not have.
+        Raises SettingsError if a request names a class or a plan that the settings do not have.
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
@@ -112,7 +118,9 @@
             case EndpointListUpdate():
                 self._on_endpoint_list_update(event)
             case _:
-                pass  # a fired timer needs only the turn; health checks and gossip are never requested
+                # `TimerFired` needs no handler, as each turn runs the callbacks that are due. The gateway never
+                # requests health checks or gossip, so it ignores these events.
+                pass
 
     # Endpoints
 
@@ -126,10 +134,10 @@
         self.endpoints.apply_update(update)
         self.concurrency.set_endpoint_count(len(self.endpoints.ready))
 
-    # Requests, from their arrival until they are forwarded
+    # Requests, from arrival until they are forwarded
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
-        """Register a request, count its demand, and poll the counter or decide on its admission."""
+        """Register a request and count its demand; then poll the counter or decide on its admission."""
         self.settings.require_known(event.request_class, event.quota_plan)
         request = self._register_request(event)
         tenant = request.tenant
@@ -145,7 +153,7 @@
             self._decide_admission(request)
 
     def _register_request(self, event: RequestArrived) -> Request:
-        """Make the request, and schedule the end of its time in the queue."""
+        """Create and store the request, and schedule the end of its queueing time."""
         request = Request(event, self._get_or_create_tenant(event), self.now_us, self.settings.tick_us)
         self.requests[event.request_id] = request
         request_class = self.settings.request_classes[event.request_class]
@@ -156,7 +164,7 @@
         return request
 
     def _get_or_create_tenant(self, event: RequestArrived) -> Tenant:
-        """The tenant of a request, new if need be; it becomes the last of all tenants."""
+        """Return the tenant of a request, created if necessary, and move it to the end of `tenants`."""
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
         if tenant is None:
@@ -178,7 +186,7 @@
             self._decide_admission(request)
 
     def _decide_admission(self, request: Request) -> None:
-        """Reject a request, or queue it and forward what may go."""
+        """Reject a request, or queue it and forward the requests of its tenant that may leave the queue."""
         tenant = request.tenant
         if not admission.decide_admission(
             tenant, request.units, self._mean_service_time_us(request), self.now_us
@@ -190,7 +198,10 @@
         self._forward_queued(tenant)
 
     def _forward_queued(self, tenant: Tenant) -> None:
-        """Forward queued requests, in order, while concurrency bound, hard rate and endpoints allow."""
+        """Forward a tenant's queued requests in order of arrival.
+
+        Stop at the first one for which there is no concurrency slot, no units of the hard rate or no endpoint.
+        """
         while tenant.queue and tenant.has_free_slot():
             request = tenant.queue[0]
             missing_units = tenant.missing_units(request.units, self.now_us)
@@ -207,7 +218,10 @@
             self._start_attempt(request, endpoint)
 
     def _schedule_forwarding(self, tenant: Tenant, missing_units: float) -> None:
-        """Look again once the hard rate may have filled by these units, or an endpoint may be free."""
+        """Schedule the next `_forward_queued` of this tenant, unless one is already scheduled.
+
+        By then the missing units of the hard rate may have been refilled, or an endpoint may be free.
+        """
         if tenant.next_release_at_us > self.now_us:
             return
         delay_us = admission.release_delay_us(tenant, missing_units, self.now_us)
@@ -239,9 +253,10 @@
         self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Hedge. Where that is not allowed, cancel the attempt if a retry could be sent now.
+        """Send a hedged request once an attempt is overdue.
 
-        The `AttemptEnded` of the cancelled attempt then causes that retry (`_on_attempt_ended`).
+        If hedging is not allowed, cancel the overdue attempt instead, provided that a retry could be sent now.
+        The `AttemptEnded` of the cancelled attempt then triggers that retry (`_on_attempt_ended`).
         """
         if not attempt.is_in_flight:
             return
@@ -263,11 +278,12 @@
             self._end_request(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
             self._reject_or_fail(request)
-        # Only this tenant's queue: others that wait for an endpoint look within NO_ENDPOINT_RETRY_US.
+        # Only this tenant's queue is checked now. The queues of other tenants that wait for an endpoint are
+        # checked again within NO_ENDPOINT_RETRY_US.
         self._forward_queued(request.tenant)
 
     def _record_attempt_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
-        """Let the rules learn from the end of an attempt."""
+        """Update the state of the attempt, its endpoint and tenant, and of the rules, when an attempt ends."""
         endpoint = attempt.endpoint
         attempt.record_end(event.outcome)
         request.tenant.in_flight -= 1
@@ -292,7 +308,7 @@
         return self._choose_endpoint(request)
 
     def _retry(self, request: Request) -> bool:
-        """Send a further attempt if one may go; whether it did."""
+        """Send a further attempt if one is allowed and there is an endpoint; return whether it was sent."""
         endpoint = self._choose_endpoint_for_retry(request)
         if endpoint is None:
             return False
@@ -303,7 +319,10 @@
     # The end of requests
 
     def _on_final_answer_due(self, request: Request) -> None:
-        """End a request that has queued for too long, or whose client is about to give up."""
+        """Called when a request's queueing time ends, and again shortly before its client gives up.
+
+        Reject or fail the request if it is still queued, or if its client is about to give up.
+        """
         if request.has_ended:
             return
         if request.is_queued or self.now_us >= request.final_answer_by_us:
@@ -312,18 +331,18 @@
             self.timers.schedule(request.final_answer_by_us, self._on_final_answer_due, request)
 
     def _reject_or_fail(self, request: Request) -> None:
-        """Give a request its final answer where no endpoint gives it."""
+        """Give a request a final answer that does not come from an endpoint, and end it."""
         self.actions.append(self.retries.final_answer(request, self._mean_service_time_us(request)))
         self._end_request(request)
 
     def _on_request_ended(self, request_id: int) -> None:
-        """The client disconnected, or a response flows to it: nothing more is to be sent."""
+        """Called when nothing more may be sent: the client disconnected, or a response is streaming to it."""
         request = self.requests.get(request_id)
         if request is not None:
             self._end_request(request)
 
     def _end_request(self, request: Request) -> None:
-        """End a request; it is kept while an attempt of it is in flight."""
+        """End a request and remove it from its queue; keep its record while an attempt is in flight."""
         request.has_ended = True
         if request.is_queued:
             request.tenant.queue.remove(request)
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -1,24 +1,29 @@
-"""Retries and hedged requests: whether a request may get a further attempt and where, and its final answer.
-
-A retry follows an attempt that ended without a good response (only a 200 is one). A hedged request is a
-further attempt while an overdue one is still in flight; where the settings do not allow hedging, the overdue
-one is cancelled first. Both have to keep these rules:
-
-- **In time.** The mean service time must fit before the latency objective and before the client gives up, and
-  the attempts of a request are limited (`max_attempts`).
-- **Budget.** Each first attempt adds `BUDGET_PER_REQUEST` to a budget, each further one takes 1 from it.
-  Without a budget an overload grows by itself: failures cause retries, and these cause more failures.
-- **Idempotency.** As long as no attempt may have run, any further one is harmless. Else it depends on the
-  class: an idempotent request may be repeated anywhere, a non-idempotent one never. A request with an
-  idempotency key may be repeated on endpoints that share their record of keys with the one of the first
-  such attempt, and within `idempotency_window_us` of it. A connection may come up late, so that window also
-  bounds how late the repeat's last byte may be written (`StartAttempt.send_within_us`).
-
-The final answer is `Reject`, with the promise that the client may safely send the request again, or `Fail`
-without it. The promise holds if no attempt may have run, or if a repeat does no harm wherever it arrives: for
-an idempotent class, and for keys that all backends share (`idempotency_window_us` is not looked at there).
-`Retry-After` is `RETRY_AFTER_SHARE` of the mean service time: some of what is in flight has ended by
-then, and a client that returns later cannot be served within the objective.
+"""Retries and hedged requests: whether and where a request gets a further attempt, and its final answer.
+
+A retry follows an attempt that ended without a good response; only a response with status 200 is good. A
+hedged request is a further attempt that is sent while an overdue one is still in flight. If the settings do
+not allow hedging, the overdue attempt is cancelled first and then retried. Retries and hedged requests follow
+the same rules:
+
+- **Time and number.** The mean service time must fit into the time that is left before the latency objective
+  ends and before the client gives up. `max_attempts` limits the attempts of one request.
+- **Budget.** Each first attempt adds `BUDGET_PER_REQUEST` to the retry budget, and each further attempt takes
+  1 from it. Without a budget an overload would amplify itself: failures cause retries, and the retries cause
+  more failures.
+- **Idempotency.** While no attempt may have run, a further attempt is always safe. Otherwise it depends on
+  the request class. An idempotent request may be sent again to any endpoint, a non-idempotent one to none. A
+  request with an idempotency key may be sent again only within `idempotency_window_us` of the first attempt
+  that may have run, and only to endpoints that share their record of keys with the endpoint of that attempt.
+  As a connection may be established late, the window also limits when the last byte of the further attempt
+  may be written (`StartAttempt.send_within_us`).
+
+A request without a good response gets `Reject` or `Fail` as its final answer. `Reject` promises that the
+client may safely send the request again; `Fail` does not. The promise holds if no attempt may have run, or if
+a duplicate is harmless wherever it arrives. The latter is the case for an idempotent class, and for a class
+whose idempotency keys all backends share; `idempotency_window_us` is not considered here.
+
+`Retry-After` is `RETRY_AFTER_SHARE` of the mean service time. By then some of the attempts in flight have
+ended, and a client that waited longer could no longer be served within the latency objective.
 """
 
 from __future__ import annotations
@@ -35,11 +40,11 @@
 MAX_BUDGET = 10.0
 RETRY_AFTER_SHARE = 0.25
 NO_SEND_LIMIT_US = 0
-MIN_SEND_LIMIT_US = 1
+MIN_SEND_LIMIT_US = 1  # as 0 would mean no limit
 
 
 class RetryPolicy:
-    """The rules on further attempts, and the budget for them."""
+    """Decides on further attempts and final answers, and keeps the retry budget."""
 
     __slots__ = ("_settings", "budget")
 
@@ -48,15 +53,15 @@
         self.budget = MAX_BUDGET
 
     def record_first_attempt(self) -> None:
-        """Count a request that is sent for the first time."""
+        """Add the share of a request that is sent for the first time to the retry budget."""
         self.budget = min(MAX_BUDGET, self.budget + BUDGET_PER_REQUEST)
 
     def record_retry(self) -> None:
-        """Count a retry or a hedged request."""
+        """Take a retry or a hedged request from the retry budget."""
         self.budget -= 1.0
 
     def may_retry(self, request: Request, mean_service_time_us: float, now_us: int) -> bool:
-        """Whether a request may get a further attempt now."""
+        """Return whether a request may get a further attempt now."""
         if request.has_ended or self.budget < 1.0 or len(request.attempts) >= self._settings.max_attempts:
             return False
         request_class = self._class_of(request)
@@ -67,7 +72,11 @@
         return first is None or _idempotency_allows_retry(request_class, first, now_us)
 
     def candidates(self, request: Request, endpoints: EndpointList) -> list[EndpointRecord]:
-        """The endpoints that may get the next attempt: mostly those of this gateway's subset."""
+        """Return the endpoints that may get the next attempt of a request.
+
+        These are the endpoints of this gateway's subset, unless the request has an idempotency key and may
+        already have run. Then they are the endpoints of its deduplication scope.
+        """
         request_class = self._class_of(request)
         if request_class.idempotency is not Idempotency.KEYED:
             return endpoints.subset
@@ -77,7 +86,10 @@
         return _endpoints_in_scope(request_class.deduplication_scope, first.endpoint.entry, endpoints)
 
     def send_within_us(self, request: Request, now_us: int) -> int:
-        """The time in which the next attempt has to be written whole; `NO_SEND_LIMIT_US` for no bound."""
+        """Return the time within which the next attempt must be written completely.
+
+        `NO_SEND_LIMIT_US` means that there is no such limit.
+        """
         request_class = self._class_of(request)
         if request_class.idempotency is not Idempotency.KEYED:
             return NO_SEND_LIMIT_US
@@ -87,7 +99,7 @@
         return max(MIN_SEND_LIMIT_US, first.sent_at_us + request_class.idempotency_window_us - now_us)
 
     def final_answer(self, request: Request, mean_service_time_us: float) -> Reject | Fail:
-        """The final answer to a request that gets no further attempt."""
+        """Return the final answer to a request that gets no further attempt."""
         may_have_run = request.first_attempt_that_may_have_run() is not None
         if may_have_run and not _is_safe_to_resend(self._class_of(request)):
             return Fail(request.id)
@@ -103,6 +115,7 @@
 
 
 def _idempotency_allows_retry(request_class: RequestClass, first: AttemptRecord, now_us: int) -> bool:
+    """Return whether a request may be sent again; `first` is its first attempt that may have run."""
     if request_class.idempotency is Idempotency.KEYED:
         return now_us - first.sent_at_us < request_class.idempotency_window_us
     return request_class.idempotency is Idempotency.IDEMPOTENT
@@ -111,7 +124,10 @@
 def _endpoints_in_scope(
     scope: DeduplicationScope, entry: Endpoint, endpoints: EndpointList
 ) -> list[EndpointRecord]:
-    """The endpoints that share their record of idempotency keys with this one."""
+    """Return the endpoints that share their record of idempotency keys with the endpoint of `entry`.
+
+    If all endpoints share it, these are the endpoints of this gateway's subset.
+    """
     if scope is DeduplicationScope.ZONE:
         return [record for record in endpoints.ready if record.entry.zone == entry.zone]
     if scope is DeduplicationScope.CELL:
@@ -120,6 +136,7 @@
 
 
 def _is_safe_to_resend(request_class: RequestClass) -> bool:
+    """Return whether a client may send a request again that may have run, whichever endpoint gets it."""
     if request_class.idempotency is Idempotency.KEYED:
         return request_class.deduplication_scope is DeduplicationScope.ALL
     return request_class.idempotency is Idempotency.IDEMPOTENT
