--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -62,4 +62,4 @@
 
     monkeypatch.setattr(adapter, "serve", serve)
     assert adapter.main() == 2
-    assert capsys.readouterr().err == "yardlane: rank is 8: wanted from 0 to 2\n"
+    assert capsys.readouterr().err == "yardlane: rank is 8: must be between 0 and 2\n"
--- a/yardlane/decisions/__init__.py
+++ b/yardlane/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one gateway. Nothing in this package does I/O or reads a clock."""
+"""The decisions of one gateway. The modules of this package do no I/O and read no clock."""
--- a/yardlane/decisions/actions.py
+++ b/yardlane/decisions/actions.py
@@ -1,6 +1,6 @@
-"""What to do: the actions that a gateway's decisions return. Times are whole microseconds.
+"""The actions that the decisions of a gateway return. Times are whole microseconds.
 
-Actions are not frozen, for the same reason as events.
+The dataclasses of actions are not frozen, for the same reason as those of events (`events.py`).
 """
 
 from __future__ import annotations
@@ -10,12 +10,14 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send a request to an endpoint; `timeout_us` 0 lets it run until the client's deadline.
+    """Send a request to an endpoint.
 
-    No rule sets another `timeout_us`: it is there for the wire.
+    A `timeout_us` of 0 lets the attempt run until the client's deadline. No rule sets another value: the
+    field is part of the wire format only.
 
-    `send_within_us` bounds how late its last byte may be written, as a connection may come up late: an
-    attempt that is not written by then never is, and ends as `NOT_CONNECTED`. 0 sets no bound.
+    `send_within_us` limits when the last byte of the request may be written, as a connection may be
+    established late. If the request has not been written completely by then, it is not sent any more, and the
+    attempt ends as `NOT_CONNECTED`. 0 sets no limit.
     """
 
     request_id: int
@@ -26,7 +28,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """End an attempt; its `AttemptEnded` follows."""
+    """Cancel an attempt; an `AttemptEnded` for it follows."""
 
     request_id: int
     attempt_index: int
@@ -34,7 +36,10 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer, with the promise that the request had no effect; `retry_after_us` 0 names no time."""
+    """Give a request its final answer, and promise that its client may safely send it again.
+
+    If `retry_after_us` is 0, the client is not told when to do so.
+    """
 
     request_id: int
     retry_after_us: int = 0
@@ -42,14 +47,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer without a promise: the request may have had its effect."""
+    """Give a request its final answer without that promise: the request may have taken effect."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a shared count and read its total; a new key expires after `lifetime_us`."""
+    """Add to a count of the shared counter and read its total; a new key expires after `lifetime_us`."""
 
     counter_key: int
     amount: float
@@ -58,7 +63,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Call again after a delay, with a `TimerFired`."""
+    """Call the decisions again after a delay, with a `TimerFired` event."""
 
     delay_us: int
     token: int = 0
@@ -66,21 +71,27 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Request the health of an endpoint. On the wire only: no rule returns it."""
+    """Check the health of an endpoint. The action is part of the wire format only: no rule returns it."""
 
     endpoint_id: bytes
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to an endpoint. On the wire only: no rule returns it."""
+    """Close the idle connections to an endpoint.
+
+    The action is part of the wire format only: no rule returns it.
+    """
 
     endpoint_id: bytes
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Fetch a snapshot of the endpoint list. On the wire only: no rule returns it."""
+    """Fetch a snapshot of the endpoint list.
+
+    The action is part of the wire format only: no rule returns it.
+    """
 
 
 @dataclass(slots=True)
@@ -92,9 +103,9 @@
 
 @dataclass(slots=True)
 class SendGossip:
-    """A message to one gateway by its rank, or to all others when `gateway` is None.
+    """Send a message to the gateway with the rank `gateway`, or to all others if `gateway` is None.
 
-    On the wire only: no rule returns it.
+    The action is part of the wire format only: no rule returns it.
     """
 
     gateway: int | None
@@ -103,7 +114,7 @@
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the log. On the wire only: no rule returns it."""
+    """Write a line to the log. The action is part of the wire format only: no rule returns it."""
 
     text: str
 
--- a/yardlane/decisions/decider.py
+++ b/yardlane/decisions/decider.py
@@ -1,4 +1,4 @@
-"""The interface between the decisions and what drives them: the proxy, or the simulator's adapter."""
+"""The interface of the decisions to their callers: the proxy and the simulator's adapter."""
 
 from __future__ import annotations
 
@@ -9,14 +9,20 @@
 
 
 class Decider(Protocol):
-    """Takes events, returns actions, and does no I/O. `yardlane.decisions.gateway.Gateway` implements it."""
+    """Handles events and returns actions, without any I/O.
+
+    `yardlane.decisions.gateway.Gateway` implements this protocol.
+    """
 
     actions: list[Action]
-    """The actions of the last call. If `handle` raised, those decided before; they have to be carried out."""
+    """The actions of the last call of `handle`.
+
+    If that call raised an exception, these are the actions decided before it; they must be carried out.
+    """
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Decide on what happened up to `now_us`; return the actions in the order to carry them out in.
+        """Handle the events up to `now_us`; return the actions in the order in which to carry them out.
 
-        SettingsError if a request names a class or a plan that the settings do not have.
+        Raises SettingsError if a request names a class or a plan that the settings do not have.
         """
         ...
--- a/yardlane/decisions/events.py
+++ b/yardlane/decisions/events.py
@@ -1,10 +1,10 @@
-"""What happened: the events that a gateway's decisions take.
+"""The events that are passed to the decisions of a gateway.
 
-Times are whole microseconds of the gateway's own clock. Endpoint ids and counter keys are values that the
-decisions only hand back; they carry no meaning of their own.
+Times are whole microseconds of the gateway's own clock. Endpoint ids and counter keys only identify an
+endpoint or a count: actions return the same values as events have them, and they carry no other meaning.
 
-Events are not frozen, although nothing changes them: a frozen dataclass costs a call a field when it is made,
-and some are made for each request.
+The dataclasses of events are not frozen, although events are never modified. The constructor of a frozen
+dataclass makes one extra call for each field, and several events are constructed for each request.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"
-    """The peer shed it, with the promise that it had no effect."""
+    """The peer refused the request or call and promises that it had no effect."""
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     CONNECTION_LOST = "connection lost"
@@ -28,7 +28,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint according to the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -36,12 +36,12 @@
 
 
 class UpdateKind(Enum):
-    """What an update of the endpoint list holds."""
+    """The kind of content of an endpoint list update."""
 
     DELTA = "delta"
     SNAPSHOT = "snapshot"
     CACHED = "cached"
-    """The list as an earlier process of this gateway had it last; it may be old."""
+    """The last list that an earlier process of this gateway had; it may be out of date."""
     FAILED = "failed"
 
 
@@ -49,8 +49,8 @@
 class Endpoint:
     """One entry of the endpoint list.
 
-    `started_at_us` is in Unix time, and 0 for an endpoint that started long ago.
-    `weight` (the endpoint's size) and `hardware_kind` are on the wire only: no rule reads them.
+    `started_at_us` is in Unix time, or 0 for an endpoint that started long ago. `weight` (the endpoint's
+    size) and `hardware_kind` are part of the wire format only: no rule reads them.
     """
 
     endpoint_id: bytes
@@ -64,9 +64,10 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What an endpoint says of its own load; None where it does not say.
+    """The load that an endpoint reports of itself; a value that it does not report is None.
 
-    `in_flight` counts requests; where it is not reported, `queued` and `utilization` stand for it.
+    `in_flight` is a number of requests. If it is not reported, the sum of `queued` and `utilization` is used
+    instead.
     """
 
     in_flight: float | None = None
@@ -76,7 +77,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """An update of the endpoint list, by which it becomes version `version` of discovery's list."""
+    """An update of the endpoint list, which brings it to version `version` of discovery's list."""
 
     kind: UpdateKind
     version: int
@@ -85,11 +86,12 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request.
+    """A client's request arrived.
 
-    `quota_plan` and `request_class` are indices into the settings. The tenant's requests come to
-    `gateway_count` gateways, from rank `first_gateway` on. `units` is the request's cost against a rate.
-    `is_retry` and `is_write` are on the wire only: no rule reads them.
+    `quota_plan` and `request_class` are indices into the settings. `gateway_count` gateways with consecutive
+    ranks serve the tenant; the first of them has the rank `first_gateway`. `units` is the cost of the
+    request, which counts against the rates of its plan. `is_retry` and `is_write` are part of the wire format
+    only: no rule reads them.
     """
 
     request_id: int
@@ -106,9 +108,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt's only end. `request_ended` says that the request has had its final answer.
+    """An attempt ended; each attempt has exactly one such event.
 
-    `usage_percent` is on the wire only: no rule reads it.
+    `request_ended` says whether the request has already had its final answer. `usage_percent` is part of the
+    wire format only: no rule reads it.
     """
 
     request_id: int
@@ -123,7 +126,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A response began to flow to the client: it is the final answer, whatever comes of it."""
+    """A response began to stream to the client. It is the final answer, even if it fails later."""
 
     request_id: int
     attempt_index: int
@@ -133,14 +136,17 @@
 
 @dataclass(slots=True)
 class RequestEnded:
-    """A request ended by no decision: mostly, its client disconnected. It gets no final answer."""
+    """A request ended without a decision, usually because its client disconnected.
+
+    The decisions give it no final answer.
+    """
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CounterResult:
-    """The end of an `AddToCounter`; `total` counts only where the outcome is OK."""
+    """An `AddToCounter` ended; `total` is valid only if the outcome is OK."""
 
     counter_key: int
     outcome: Outcome
@@ -150,7 +156,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The end of a `CheckHealth`. On the wire only: no rule reads it."""
+    """A `CheckHealth` ended. The event is part of the wire format only: no rule reads it."""
 
     endpoint_id: bytes
     outcome: Outcome
@@ -160,7 +166,10 @@
 
 @dataclass(slots=True)
 class Gossip:
-    """A message of another gateway, named by its rank. On the wire only: no rule reads it."""
+    """A message arrived from another gateway; `sender` is the rank of that gateway.
+
+    The event is part of the wire format only: no rule reads it.
+    """
 
     sender: int
     content: bytes
@@ -168,7 +177,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """The end of a `SetTimer`."""
+    """The timer of a `SetTimer` fired."""
 
     token: int
 
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -118,8 +118,8 @@
             case EndpointListUpdate():
                 self._on_endpoint_list_update(event)
             case _:
-                # `TimerFired` needs no handler, as each turn runs the callbacks that are due. The gateway never
-                # requests health checks or gossip, so it ignores these events.
+                # `TimerFired` needs no handler, as each turn runs the callbacks that are due. The gateway
+                # never requests health checks or gossip, so it ignores events of these kinds.
                 pass
 
     # Endpoints
@@ -200,7 +200,7 @@
     def _forward_queued(self, tenant: Tenant) -> None:
         """Forward a tenant's queued requests in order of arrival.
 
-        Stop at the first one for which there is no concurrency slot, no units of the hard rate or no endpoint.
+        Stop at the first one that lacks a concurrency slot, units of the hard rate or an endpoint.
         """
         while tenant.queue and tenant.has_free_slot():
             request = tenant.queue[0]
@@ -253,10 +253,11 @@
         self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Send a hedged request once an attempt is overdue.
+        """Called when an attempt is overdue unless it has ended: try to send a hedged request.
 
-        If hedging is not allowed, cancel the overdue attempt instead, provided that a retry could be sent now.
-        The `AttemptEnded` of the cancelled attempt then triggers that retry (`_on_attempt_ended`).
+        If the settings allow cancelling but not hedging, cancel the overdue attempt instead, provided that a
+        retry could be sent now. The `AttemptEnded` of the cancelled attempt then triggers that retry
+        (`_on_attempt_ended`).
         """
         if not attempt.is_in_flight:
             return
@@ -283,7 +284,7 @@
         self._forward_queued(request.tenant)
 
     def _record_attempt_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
-        """Update the state of the attempt, its endpoint and tenant, and of the rules, when an attempt ends."""
+        """Record the end of an attempt in its own state, its endpoint's and tenant's, and in the rules."""
         endpoint = attempt.endpoint
         attempt.record_end(event.outcome)
         request.tenant.in_flight -= 1
@@ -336,7 +337,10 @@
         self._end_request(request)
 
     def _on_request_ended(self, request_id: int) -> None:
-        """Called when nothing more may be sent: the client disconnected, or a response is streaming to it."""
+        """Called when a request needs no decisions any more: end it, so that nothing more is sent for it.
+
+        Its client has disconnected, or a response has begun to stream to the client.
+        """
         request = self.requests.get(request_id)
         if request is not None:
             self._end_request(request)
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -2,8 +2,8 @@
 
 A retry follows an attempt that ended without a good response; only a response with status 200 is good. A
 hedged request is a further attempt that is sent while an overdue one is still in flight. If the settings do
-not allow hedging, the overdue attempt is cancelled first and then retried. Retries and hedged requests follow
-the same rules:
+not allow hedging, the overdue attempt is cancelled first (if they allow cancelling) and then retried. Retries
+and hedged requests follow the same rules:
 
 - **Time and number.** The mean service time must fit into the time that is left before the latency objective
   ends and before the client gives up. `max_attempts` limits the attempts of one request.
--- a/yardlane/decisions/settings.py
+++ b/yardlane/decisions/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a gateway, fixed while it runs.
+"""The settings of a gateway, which do not change while it runs.
 
-Fields end in their unit: `_us` for whole microseconds, `_per_s` for a rate, `_share` for a fraction. The
-names that the settings text has for them are in `yardlane.settings_reader`, and nowhere else.
+Field names end in their unit: `_us` for whole microseconds, `_per_s` for a rate, `_share` for a fraction. The
+settings text has other names for the fields; only `yardlane.settings_reader` knows them.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"
-    """Backends of one `DeduplicationScope` drop a repeat of its idempotency key."""
+    """It carries an idempotency key; backends of one `DeduplicationScope` drop a duplicate of the key."""
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class DeduplicationScope(Enum):
-    """The backends that share their record of idempotency keys."""
+    """Which backends share their record of idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One kind of request: its latency objective, and whether it may be repeated.
+    """A class of requests: its latency objective, and whether its requests may be sent again.
 
-    `priority_weight` is what one answer in time is worth, relative to the other classes. A repeat of a
-    `KEYED` request has to be sent within `idempotency_window_us` of the first attempt that may have run.
+    `priority_weight` is the value of one timely response, relative to the other classes. A further attempt of
+    a `KEYED` request must be sent within `idempotency_window_us` of the first attempt that may have run.
     """
 
     latency_objective_us: int
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPlan:
-    """What every tenant of a plan may use over all gateways together; 0 means that there is no such limit.
+    """The limits on what each tenant of a plan may use over all gateways together; 0 means no such limit.
 
-    The quota is a token bucket (`rate_per_s`, `burst` units) or a limit on attempts in flight; use beyond it
-    is allowed but worth less. The hard rate is a second token bucket, which must never be overdrawn by more
-    than `hard_rate_slack` units.
+    The quota is a token bucket (`rate_per_s`, `burst` units) or a limit on attempts in flight. Use beyond the
+    quota is allowed, but worth less. The hard rate is a second token bucket, which must never be overdrawn by
+    more than `hard_rate_slack` units.
     """
 
     rate_per_s: float
@@ -64,25 +64,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one gateway. SettingsError where a value cannot be."""
+    """All settings of one gateway. The constructor raises SettingsError if a value is out of its range."""
 
     gateway_count: int
     rank: int
-    """The number of this gateway among all, from 0."""
+    """The index of this gateway among all gateways, from 0."""
     zone: int
     request_classes: tuple[RequestClass, ...]
     quota_plans: tuple[QuotaPlan, ...]
     tick_us: int
-    """How late a timer of the gateway may fire."""
+    """The longest delay with which a timer of the gateway may fire."""
     answer_grace_us: int
-    """How long after its deadline a request may still get its final answer; no rule reads it."""
+    """How long after its deadline a request may still get its final answer; the decisions do not use it."""
     drain_grace_us: int
-    """How long after a gateway was notified that an endpoint drains it may still send to it."""
+    """How long a gateway may still send to an endpoint after being notified that the endpoint drains."""
     initial_capacity_share: float
-    """The share of its capacity that an endpoint has as it starts."""
+    """The share of its capacity that an endpoint has when it starts."""
     warm_up_us: int
     overload_multiple: float
-    """A warming endpoint fails when sent more than this multiple of its capacity in `overload_window_us`."""
+    """The multiple of its capacity at which an endpoint fails while it is warming up.
+
+    It fails if it is sent more work within `overload_window_us` than this multiple of what it can do in that
+    time.
+    """
     overload_window_us: int
     max_attempts: int
     may_hedge: bool
@@ -94,14 +98,19 @@
     has_shared_counter: bool
     counter_timeout_us: int
     cross_zone_cost: float
-    """The price of an attempt in another zone; only whether there is one counts here."""
+    """The cost of an attempt in another zone; the decisions use only whether it is 0."""
 
     def __post_init__(self) -> None:
         _require(self.gateway_count >= 1, "gateway_count", self.gateway_count, "at least 1")
         _require(
-            0 <= self.rank < self.gateway_count, "rank", self.rank, f"from 0 to {self.gateway_count - 1}"
+            0 <= self.rank < self.gateway_count, "rank", self.rank, f"between 0 and {self.gateway_count - 1}"
+        )
+        _require(
+            bool(self.request_classes),
+            "request_classes",
+            self.request_classes,
+            "a tuple of at least one class",
         )
-        _require(bool(self.request_classes), "request_classes", self.request_classes, "at least one class")
         for field in (
             "tick_us",
             "answer_grace_us",
@@ -110,24 +119,34 @@
             "overload_window_us",
             "counter_timeout_us",
         ):
-            _require(getattr(self, field) >= 0, field, getattr(self, field), "no negative time")
+            _require(getattr(self, field) >= 0, field, getattr(self, field), "at least 0")
         share = self.initial_capacity_share
-        _require(0.0 < share <= 1.0, "initial_capacity_share", share, "a share over 0")
+        _require(0.0 < share <= 1.0, "initial_capacity_share", share, "more than 0 and at most 1")
         for n, request_class in enumerate(self.request_classes):
             for field in ("latency_objective_us", "deadline_us"):
                 value = getattr(request_class, field)
-                _require(value > 0, f"request_classes[{n}].{field}", value, "a time over 0")
+                _require(value > 0, f"request_classes[{n}].{field}", value, "more than 0")
         for n, plan in enumerate(self.quota_plans):
             for field in QuotaPlan.__slots__:
                 value = getattr(plan, field)
-                _require(value >= 0, f"quota_plans[{n}].{field}", value, "no negative limit")
+                _require(value >= 0, f"quota_plans[{n}].{field}", value, "at least 0")
 
     def require_known(self, request_class: int, quota_plan: int) -> None:
-        """Raise SettingsError where a request names a class or plan that these settings do not have."""
-        _require(0 <= request_class < len(self.request_classes), "request_class", request_class, "known")
-        _require(0 <= quota_plan < len(self.quota_plans), "quota_plan", quota_plan, "known")
+        """Raise SettingsError if these settings do not have the class or plan of a request."""
+        _require(
+            0 <= request_class < len(self.request_classes),
+            "request_class",
+            request_class,
+            "the index of a request class in the settings",
+        )
+        _require(
+            0 <= quota_plan < len(self.quota_plans),
+            "quota_plan",
+            quota_plan,
+            "the index of a quota plan in the settings",
+        )
 
 
 def _require(is_valid: bool, field: str, value: object, requirement: str) -> None:
     if not is_valid:
-        raise SettingsError(f"{field} is {value!r}: wanted {requirement}")
+        raise SettingsError(f"{field} is {value!r}: must be {requirement}")
