--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway as a whole: events in, actions out."""
+"""Tests of a whole gateway through its events and actions."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 def test_duplicate_attempt_ended_is_ignored() -> None:
     driver = GatewayDriver(endpoints=1)
-    number, _ = driver.ask(quota_plan=FREE)
+    request_id, _ = driver.ask(quota_plan=FREE)
     driver.ask(quota_plan=FREE)
     for _ in range(3):
-        driver.end(number, make_endpoint_id(0), Outcome.OK)
+        driver.end(request_id, make_endpoint_id(0), Outcome.OK)
     endpoint = driver.gateway.endpoints.by_id[make_endpoint_id(0)]
     assert driver.gateway.concurrency.in_flight == 1 == endpoint.in_flight
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -1,12 +1,16 @@
-"""Whatever happens in whatever order, the rules hold that no decision may ever break.
-
-A random run gives a gateway a legal order of events; each action is checked as it comes:
-
-- a request gets one final answer, in time, and nothing is sent for it afterwards;
-- a non-idempotent request is sent again only if it never ran; one with an idempotency key within its window
-  and in the zone of the first attempt that may have run; a rejection promises no more than that;
-- attempts go only to endpoints that are ready, and there is no hedged request where it is not allowed;
-- the hard rate is never exceeded.
+"""Property tests: the decisions keep these invariants for any valid sequence of events.
+
+Each random run passes a valid sequence of events to a gateway and checks every action:
+
+- Each request ends, and gets at most one final answer from the gateway, which is in time. No attempt is sent
+  for the request afterwards.
+- A non-idempotent request is sent again only if no earlier attempt may have run.
+- If a request with an idempotency key may have run, it is sent again only within its idempotency window and
+  only to the zone of the first attempt that may have run. Its deduplication scope is the zone.
+- A request that may have run is rejected only if it is idempotent.
+- Attempts are sent only to endpoints that are ready.
+- No hedged request is sent if the settings do not allow hedging.
+- The hard rate is never exceeded.
 """
 
 from __future__ import annotations
@@ -40,7 +44,7 @@
 
 @dataclass
 class SentAttempt:
-    """One attempt, as the test saw it."""
+    """An attempt that the gateway started, as far as the test has observed it."""
 
     sent_at_us: int
     endpoint_id: bytes
@@ -50,7 +54,7 @@
 
 @dataclass
 class RequestHistory:
-    """One request, as the test saw it."""
+    """A request and its attempts, as far as the test has observed them."""
 
     request_class: int
     plan: int
@@ -63,7 +67,7 @@
 
 
 class InvariantChecker:
-    """Checks every action of a gateway against the rules."""
+    """Checks every action of a gateway against the invariants."""
 
     def __init__(self, driver: GatewayDriver) -> None:
         self.driver = driver
@@ -71,7 +75,8 @@
         self.requests: dict[int, RequestHistory] = {}
         self.endpoint_states: dict[bytes, EndpointState] = {}
         self.endpoint_zones: dict[bytes, int] = {}
-        # This gateway's part of the hard rate's token bucket: a third, as there are three gateways.
+        # The units in this gateway's share of the hard rate's token bucket. As there are three gateways, the
+        # share is a third.
         self.hard_rate_units = PLANS[HARD_RATED].hard_rate_slack / 3
         self.hard_rate_refilled_at_us = driver.now
 
@@ -125,7 +130,7 @@
 
 
 class RandomRun:
-    """Gives a gateway random events that are legal where it stands."""
+    """Passes random events to a gateway, each of which is valid in the gateway's current state."""
 
     def __init__(self, seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
         self.random = Random(seed)
@@ -136,13 +141,13 @@
     def step(self) -> None:
         choice = self.random.random()
         in_flight = sorted(
-            (number, index)
-            for number, request in self.checker.requests.items()
-            for index, attempt in enumerate(request.attempts)
+            (request_id, attempt_index)
+            for request_id, request in self.checker.requests.items()
+            for attempt_index, attempt in enumerate(request.attempts)
             if attempt.is_in_flight
         )
         open_requests = sorted(
-            number for number, request in self.checker.requests.items() if not request.has_ended
+            request_id for request_id, request in self.checker.requests.items() if not request.has_ended
         )
         if choice < 0.45:
             self.send_request()
@@ -167,22 +172,24 @@
         self.checker.requests[self.driver.next_request] = history
         self.driver.ask(tenant=plan, quota_plan=plan, request_class=request_class, time_left_us=time_left_us)
 
-    def end_attempt(self, number: int, index: int) -> None:
+    def end_attempt(self, request_id: int, attempt_index: int) -> None:
         outcome = Outcome.OK if self.random.random() < 0.5 else self.random.choice(FAILURES)
-        if any(action == CancelAttempt(number, index) for _, action in self.driver.log):
+        if any(action == CancelAttempt(request_id, attempt_index) for _, action in self.driver.log):
             outcome = Outcome.CANCELLED
-        request = self.checker.requests[number]
-        attempt = request.attempts[index]
+        request = self.checker.requests[request_id]
+        attempt = request.attempts[attempt_index]
         attempt.is_in_flight = False
         attempt.may_have_run = outcome not in NEVER_RAN_OUTCOMES
         if outcome is Outcome.OK:
             request.has_ended = True
         elapsed_us = max(1, self.driver.now - attempt.sent_at_us)
-        self.driver.end(number, attempt.endpoint_id, outcome, elapsed_us, index, request.has_ended)
+        self.driver.end(
+            request_id, attempt.endpoint_id, outcome, elapsed_us, attempt_index, request.has_ended
+        )
 
-    def disconnect(self, number: int) -> None:
-        self.checker.requests[number].has_ended = True
-        self.driver.give(RequestEnded(number))
+    def disconnect(self, request_id: int) -> None:
+        self.checker.requests[request_id].has_ended = True
+        self.driver.give(RequestEnded(request_id))
 
     def update_endpoints(self, kind: UpdateKind, numbers: range) -> None:
         entries = [
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedged requests, and the one final answer of each request."""
+"""Tests of retries, hedged requests and final answers; each request gets at most one final answer."""
 
 from __future__ import annotations
 
@@ -19,42 +19,43 @@
 
 
 def final_answers(actions: list[Action]) -> list[Action]:
+    """Return the final answers among these actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
 def send_request(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
-    """A new request that is sent at once: its number, and the endpoint of its attempt."""
-    number, actions = driver.ask(request_class=request_class)
+    """Send a new request, which is forwarded at once; return its id and the endpoint id of its attempt."""
+    request_id, actions = driver.ask(request_class=request_class)
     [attempt] = of_type(StartAttempt, actions)
-    return number, attempt.endpoint_id
+    return request_id, attempt.endpoint_id
 
 
 def test_request_without_response_fails_within_answer_grace() -> None:
     driver = GatewayDriver()
-    number, _ = driver.ask(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
+    request_id, _ = driver.ask(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
     deadline_us = driver.now + 700 * MS
     driver.run(2 * SECOND)
     answers = [(at_us, action) for at_us, action in driver.log if isinstance(action, Reject | Fail)]
-    assert [action for _, action in answers] == [Fail(number)]
+    assert [action for _, action in answers] == [Fail(request_id)]
     assert answers[0][0] <= deadline_us + driver.settings.answer_grace_us
 
 
 def test_request_gets_no_attempt_or_answer_after_client_disconnects() -> None:
     driver = GatewayDriver()
-    number, endpoint_id = send_request(driver, IDEMPOTENT)
-    driver.give(RequestEnded(number))
-    later = driver.end(number, endpoint_id, Outcome.ERROR)
-    assert not of_type(StartAttempt, later) and not final_answers(later)
+    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    driver.give(RequestEnded(request_id))
+    later_actions = driver.end(request_id, endpoint_id, Outcome.ERROR)
+    assert not of_type(StartAttempt, later_actions) and not final_answers(later_actions)
     assert not of_type(StartAttempt, driver.run(3 * SECOND))
 
 
 def test_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     driver = GatewayDriver()
-    number, first_id = send_request(driver, NON_IDEMPOTENT)
-    retries = of_type(StartAttempt, driver.end(number, first_id, Outcome.REJECTED))
+    request_id, first_id = send_request(driver, NON_IDEMPOTENT)
+    retries = of_type(StartAttempt, driver.end(request_id, first_id, Outcome.REJECTED))
     assert len(retries) == 1 and retries[0].endpoint_id != first_id
-    last = driver.end(number, retries[0].endpoint_id, Outcome.ERROR)
-    assert final_answers(last) == [Fail(number)] and not of_type(StartAttempt, last)
+    last_actions = driver.end(request_id, retries[0].endpoint_id, Outcome.ERROR)
+    assert final_answers(last_actions) == [Fail(request_id)] and not of_type(StartAttempt, last_actions)
 
 
 def test_keyed_request_that_may_have_run_is_retried_in_its_zone_and_not_rejected() -> None:
@@ -63,10 +64,10 @@
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
     for outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
-        number, first_id = send_request(driver, KEYED)
-        retries = of_type(StartAttempt, driver.end(number, first_id, outcome))
+        request_id, first_id = send_request(driver, KEYED)
+        retries = of_type(StartAttempt, driver.end(request_id, first_id, outcome))
         assert len(retries) == 1 and zones[retries[0].endpoint_id] == zones[first_id]
-        driver.end(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
+        driver.end(request_id, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
         driver.now += driver.settings.request_classes[KEYED].deadline_us
         driver.run(0)
         assert not any(isinstance(action, Reject) for _, action in driver.log)
@@ -79,16 +80,16 @@
 def test_retry_of_keyed_request_must_be_sent_within_idempotency_window(
     request_class: int, outcome: Outcome, is_bounded: bool
 ) -> None:
-    """A retry was decided within the window, but its connection came up late.
+    """A retry is decided within the idempotency window, but its connection is established late.
 
-    It was written after the window, when the endpoint had forgotten the key, and took effect twice. So the
-    time left is given with the attempt.
+    If it were written after the window, the endpoint would have forgotten the key, and the request would take
+    effect twice. The attempt must therefore carry the time that is left.
     """
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
-    number, endpoint_id = send_request(driver, request_class)
+    request_id, endpoint_id = send_request(driver, request_class)
     driver.now += 300 * MS
-    [retry] = of_type(StartAttempt, driver.end(number, endpoint_id, outcome))
+    [retry] = of_type(StartAttempt, driver.end(request_id, endpoint_id, outcome))
     assert retry.send_within_us == (window_us - 300 * MS if is_bounded else 0)
 
 
@@ -96,32 +97,32 @@
     driver = GatewayDriver(endpoints=0)
     entries = (make_endpoint(1, zone=1), make_endpoint(2, zone=2))
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
-    number, endpoint_id = send_request(driver, KEYED)
-    assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.NOT_CONNECTED))) == 1
+    request_id, endpoint_id = send_request(driver, KEYED)
+    assert len(of_type(StartAttempt, driver.end(request_id, endpoint_id, Outcome.NOT_CONNECTED))) == 1
 
 
 def test_overdue_attempt_is_cancelled_before_retry_without_hedging() -> None:
     driver = GatewayDriver(may_hedge=False)
-    number, endpoint_id = send_request(driver, IDEMPOTENT)
-    later = driver.run(800 * MS)
-    assert not of_type(StartAttempt, later)
-    assert of_type(CancelAttempt, later) == [CancelAttempt(number, 0)]
-    assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.CANCELLED))) <= 1
+    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    later_actions = driver.run(800 * MS)
+    assert not of_type(StartAttempt, later_actions)
+    assert of_type(CancelAttempt, later_actions) == [CancelAttempt(request_id, 0)]
+    assert len(of_type(StartAttempt, driver.end(request_id, endpoint_id, Outcome.CANCELLED))) <= 1
 
 
 def test_overdue_attempt_is_hedged_if_hedging_is_allowed() -> None:
     driver = GatewayDriver()
-    number, first_id = send_request(driver, IDEMPOTENT)
-    later = driver.run(800 * MS)
-    hedges = of_type(StartAttempt, later)
-    assert hedges and hedges[0].request_id == number and hedges[0].endpoint_id != first_id
-    assert not of_type(CancelAttempt, later)
+    request_id, first_id = send_request(driver, IDEMPOTENT)
+    later_actions = driver.run(800 * MS)
+    hedges = of_type(StartAttempt, later_actions)
+    assert hedges and hedges[0].request_id == request_id and hedges[0].endpoint_id != first_id
+    assert not of_type(CancelAttempt, later_actions)
 
 
 def test_exhausted_retry_budget_prevents_retry() -> None:
-    """When all endpoints failed, retries multiplied the requests, and the overload fed itself."""
+    """When all endpoints fail, retries without a budget multiply the load and prolong the overload."""
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
-    number, endpoint_id = send_request(driver, IDEMPOTENT)
-    actions = driver.end(number, endpoint_id, Outcome.ERROR)
+    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    actions = driver.end(request_id, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, actions) and len(final_answers(actions)) == 1
--- a/tests/decisions/test_timers.py
+++ b/tests/decisions/test_timers.py
@@ -1,4 +1,4 @@
-"""The queue of timers, and the detection of a stall."""
+"""Tests of the timer queue and of the stall detection."""
 
 from yardlane.decisions.timers import STALL_THRESHOLD_US, Timers
 from yardlane.decisions.units import NEVER_US
