--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -21,18 +21,20 @@
 
 GATEWAY_COUNT = 40
 ENDPOINT_COUNT = 60
-ID_HASH = 2654435761  # spreads the numbers over all ids
+ID_MULTIPLIER = 2654435761  # spreads the numbers over all ids
 
 
 def make_endpoints(count: int = ENDPOINT_COUNT, first: int = 0) -> tuple[Endpoint, ...]:
     """Endpoints that are warm, with ids as different as real ones."""
     return tuple(
-        make_endpoint(0, endpoint_id=b"s-%08x" % (number * ID_HASH % 2**32))
+        make_endpoint(0, endpoint_id=b"s-%08x" % (number * ID_MULTIPLIER % 2**32))
         for number in range(first, first + count)
     )
 
 
-def make_lists(entries: tuple[Endpoint, ...], gateway_count: int = GATEWAY_COUNT) -> list[EndpointList]:
+def make_endpoint_lists(
+    entries: tuple[Endpoint, ...], gateway_count: int = GATEWAY_COUNT
+) -> list[EndpointList]:
     """The list of each gateway, after a snapshot of these endpoints."""
     lists = [
         EndpointList(make_settings(gateway_count=gateway_count, rank=rank)) for rank in range(gateway_count)
@@ -46,54 +48,54 @@
     return {record.entry.endpoint_id for record in endpoints.subset}
 
 
-def test_each_of_many_gateways_uses_a_few_endpoints_and_all_are_used_alike() -> None:
+def test_subsets_of_many_gateways_cover_all_endpoints_evenly() -> None:
     """Forty gateways used sixty endpoints each. Every second request opened a connection of its own.
 
     So a gateway uses a subset, and the subsets of all gateways cover the endpoints evenly.
     """
-    users: Counter[bytes] = Counter()
-    for endpoints in make_lists(make_endpoints()):
+    gateway_counts: Counter[bytes] = Counter()
+    for endpoints in make_endpoint_lists(make_endpoints()):
         assert len(endpoints.subset) == SUBSET_SIZE
-        users.update(subset_ids(endpoints))
-    assert len(users) == ENDPOINT_COUNT
-    assert max(users.values()) <= 2 * GATEWAY_COUNT * SUBSET_SIZE / ENDPOINT_COUNT
+        gateway_counts.update(subset_ids(endpoints))
+    assert len(gateway_counts) == ENDPOINT_COUNT
+    assert max(gateway_counts.values()) <= 2 * GATEWAY_COUNT * SUBSET_SIZE / ENDPOINT_COUNT
 
 
-def test_a_small_fleet_is_used_whole_by_every_gateway() -> None:
-    for endpoints in make_lists(make_endpoints(9), gateway_count=3):
-        assert len(endpoints.subset) == 9 and endpoints.users_per_endpoint == 3
+def test_subset_holds_all_endpoints_of_a_small_list() -> None:
+    for endpoints in make_endpoint_lists(make_endpoints(9), gateway_count=3):
+        assert len(endpoints.subset) == 9 and endpoints.gateways_per_endpoint == 3
 
 
-def test_a_change_of_the_list_moves_few_other_endpoints() -> None:
+def test_added_endpoint_displaces_at_most_one_from_each_subset() -> None:
     added = make_endpoints(1, first=900)
-    for endpoints in make_lists(make_endpoints()):
+    for endpoints in make_endpoint_lists(make_endpoints()):
         before = subset_ids(endpoints)
         endpoints.apply_update(EndpointListUpdate(UpdateKind.DELTA, 2, added))
         assert len(before - subset_ids(endpoints)) <= 1
 
 
-def test_a_warming_endpoint_has_as_many_users_as_divide_its_budget() -> None:
+def test_warming_endpoint_admits_as_many_gateways_as_share_its_budget() -> None:
     now = 500 * SECOND
     for number in range(20):
         warming = make_endpoint(0, endpoint_id=b"s-%x" % number, started_at_us=now - 2 * SECOND)
-        users = set()
-        for rank, endpoints in enumerate(make_lists((*make_endpoints(), warming))):
+        admitted_ranks = set()
+        for rank, endpoints in enumerate(make_endpoint_lists((*make_endpoints(), warming))):
             slow_start = SlowStart(endpoints.settings, endpoints)
             record = endpoints.by_id[warming.endpoint_id]
             if any(
                 slow_start.admits(record, slow_start.warm_up_factor(record, at), 200 * MS, at)
                 for at in range(now, now + 8 * SECOND, 50 * MS)
             ):
-                users.add(rank)
-        assert len(users) == endpoints.users_per_endpoint < GATEWAY_COUNT
+                admitted_ranks.add(rank)
+        assert len(admitted_ranks) == endpoints.gateways_per_endpoint < GATEWAY_COUNT
 
 
-def test_an_endpoint_that_a_list_lacks_for_a_moment_keeps_its_record() -> None:
+def test_endpoint_removed_and_listed_again_keeps_its_record() -> None:
     """A list lacked a warming endpoint for a moment. Named again, it got its whole budget once more.
 
     What it was sent is remembered for a window, if it comes back with the same start.
     """
-    [endpoints] = make_lists((), gateway_count=1)
+    [endpoints] = make_endpoint_lists((), gateway_count=1)
     warming = make_endpoint(0, started_at_us=500 * SECOND)
     named = EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,))
     endpoints.apply_update(named)
@@ -105,8 +107,8 @@
     assert endpoints.by_id[warming.endpoint_id] is record
 
 
-def test_a_restarted_endpoint_gets_a_new_record() -> None:
-    [endpoints] = make_lists((make_endpoint(0),), gateway_count=1)
+def test_restarted_endpoint_gets_a_new_record() -> None:
+    [endpoints] = make_endpoint_lists((make_endpoint(0),), gateway_count=1)
     before = endpoints.by_id[make_endpoint(0).endpoint_id]
     restarted = make_endpoint(0, started_at_us=500 * SECOND)
     endpoints.apply_update(EndpointListUpdate(UpdateKind.DELTA, 2, (restarted,)))
@@ -114,12 +116,12 @@
     assert after is not before and after.entry is restarted
 
 
-def attempted_endpoints(driver: GatewayDriver) -> set[bytes]:
+def attempted_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
     """Where all attempts of the log went."""
     return {action.endpoint_id for _, action in driver.log if isinstance(action, StartAttempt)}
 
 
-def reached_endpoints(driver: GatewayDriver) -> set[bytes]:
+def serve_and_collect_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
     """Where the next sixty requests go, each answered at once."""
     reached = set()
     for _ in range(60):
@@ -131,29 +133,29 @@
     return reached
 
 
-def test_requests_go_to_the_subset_and_to_the_next_when_one_of_it_drains() -> None:
+def test_draining_endpoint_is_replaced_in_the_subset() -> None:
     driver = GatewayDriver(endpoints=0, gateway_count=GATEWAY_COUNT)
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
     before = subset_ids(driver.gateway.endpoints)
-    assert reached_endpoints(driver) <= before
+    assert serve_and_collect_endpoint_ids(driver) <= before
     first_id = driver.gateway.endpoints.subset[0].entry.endpoint_id
     draining = make_endpoint(0, endpoint_id=first_id, state=EndpointState.DRAINING)
     driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
     assert len(driver.gateway.endpoints.subset) == SUBSET_SIZE
-    assert first_id not in reached_endpoints(driver)
+    assert first_id not in serve_and_collect_endpoint_ids(driver)
 
 
-def test_nothing_goes_to_an_endpoint_that_drains_or_is_not_listed() -> None:
+def test_draining_and_unlisted_endpoints_get_no_attempts() -> None:
     driver = GatewayDriver(endpoints=4)
     draining = make_endpoint(0, EndpointState.DRAINING)
     removed = make_endpoint(1, EndpointState.REMOVED)
     driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
     for _ in range(6):
         driver.ask()
-    assert attempted_endpoints(driver) == {make_endpoint_id(2), make_endpoint_id(3)}
+    assert attempted_endpoint_ids(driver) == {make_endpoint_id(2), make_endpoint_id(3)}
     driver.run(4 * SECOND)
     driver.log.clear()
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, (make_endpoint(3),)))
     for _ in range(30):
         driver.serve()
-    assert attempted_endpoints(driver) <= {make_endpoint_id(3)}
+    assert attempted_endpoint_ids(driver) <= {make_endpoint_id(3)}
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -9,23 +9,23 @@
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import EndpointListUpdate, LoadReport, UpdateKind
 
-EXPECTED_US = 150 * MS  # the mean service time before any answer
+INITIAL_SERVICE_TIME_US = 150 * MS  # the mean service time before any answer
 
 
-def served_by(driver: GatewayDriver, requests: int) -> Counter[bytes]:
+def serve_and_count_by_endpoint(driver: GatewayDriver, requests: int) -> Counter[bytes]:
     """The endpoints of so many requests, each answered as fast as is expected at first."""
     counts: Counter[bytes] = Counter()
     for _ in range(requests):
         number, actions = driver.ask(quota_plan=FREE)
         for attempt in of_type(StartAttempt, actions):
             counts[attempt.endpoint_id] += 1
-            driver.end(number, attempt.endpoint_id, elapsed_us=EXPECTED_US)
+            driver.end(number, attempt.endpoint_id, elapsed_us=INITIAL_SERVICE_TIME_US)
         driver.run(50 * MS)
     return counts
 
 
-def test_a_choice_looks_at_few_endpoints_however_many_there_are() -> None:
-    looked = []
+def test_choice_examines_few_endpoints_however_many_are_listed() -> None:
+    examined_counts = []
     for endpoint_count in (40, 200):
         driver = GatewayDriver(endpoints=endpoint_count)
         driver.serve(quota_plan=FREE)
@@ -38,36 +38,38 @@
 
         driver.gateway.slow_start.warm_up_factor = count  # type: ignore[method-assign]
         driver.serve(quota_plan=FREE)
-        looked.append(calls)
-    assert 0 < looked[0] == looked[1] <= 20
+        examined_counts.append(calls)
+    assert 0 < examined_counts[0] == examined_counts[1] <= 20
 
 
-def test_an_endpoint_with_attempts_in_flight_is_passed_over_for_an_idle_one() -> None:
+def test_idle_endpoint_is_preferred_to_one_with_attempts_in_flight() -> None:
     driver = GatewayDriver(endpoints=4)
     started = [of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])[0] for _ in range(4)]
     assert len({attempt.endpoint_id for attempt in started}) == 4
 
 
-def test_a_load_report_counts_for_a_second() -> None:
+def test_load_report_expires_after_a_second() -> None:
     driver = GatewayDriver(endpoints=2)
     number, actions = driver.ask(quota_plan=FREE)
     [attempt] = of_type(StartAttempt, actions)
-    driver.end(number, attempt.endpoint_id, elapsed_us=EXPECTED_US, load=LoadReport(in_flight=30.0))
+    driver.end(
+        number, attempt.endpoint_id, elapsed_us=INITIAL_SERVICE_TIME_US, load=LoadReport(in_flight=30.0)
+    )
     [other] = {make_endpoint_id(0), make_endpoint_id(1)} - {attempt.endpoint_id}
     driver.now += 100 * MS
     number, actions = driver.ask(quota_plan=FREE)
     assert [one.endpoint_id for one in of_type(StartAttempt, actions)] == [other]
-    driver.end(number, other, elapsed_us=EXPECTED_US)
+    driver.end(number, other, elapsed_us=INITIAL_SERVICE_TIME_US)
     driver.run(2 * SECOND)
-    assert set(served_by(driver, 40)) == {attempt.endpoint_id, other}
+    assert set(serve_and_count_by_endpoint(driver, 40)) == {attempt.endpoint_id, other}
 
 
-def test_where_crossing_zones_has_a_price_the_own_zone_is_preferred() -> None:
+def test_own_zone_is_preferred_where_crossing_zones_has_a_cost() -> None:
     entries = (make_endpoint(0, zone=0), make_endpoint(1, zone=1))
     counts = []
     for cross_zone_cost in (0.0, 1.0):
         driver = GatewayDriver(endpoints=0, zone=0, cross_zone_cost=cross_zone_cost)
         driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
-        counts.append(served_by(driver, 40))
+        counts.append(serve_and_count_by_endpoint(driver, 40))
     assert counts[0][make_endpoint_id(1)] > 5
     assert counts[1] == {make_endpoint_id(0): 40}
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -16,7 +16,7 @@
 from yardlane.decisions.actions import StartAttempt
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import Outcome
-from yardlane.decisions.outliers import OVERDUE_MULTIPLE, remembered_share
+from yardlane.decisions.outliers import OVERDUE_MULTIPLE, decay_factor
 from yardlane.decisions.settings import QuotaPlan
 
 
@@ -31,7 +31,7 @@
     )
 
 
-def test_an_endpoint_that_hangs_is_avoided_before_any_timeout() -> None:
+def test_hanging_endpoint_is_avoided_before_any_timeout() -> None:
     """One endpoint of four accepts requests and never answers.
 
     Until the first attempt there times out it would get a quarter of all requests. Overdue attempts count
@@ -50,7 +50,7 @@
     assert count_attempts(driver, hanging_id) <= 0.1 * 200
 
 
-def test_an_endpoint_that_fails_fast_gets_few_attempts() -> None:
+def test_endpoint_that_fails_fast_gets_few_attempts() -> None:
     """An endpoint refused all connections, and so never had anything in flight.
 
     While the others were busy it looked like the one to finish first, and drew most of the requests. A
@@ -70,7 +70,7 @@
     assert count_attempts(driver, failing_id) <= 20
 
 
-def test_a_client_with_little_time_does_not_count_against_an_endpoint() -> None:
+def test_timeout_at_a_short_client_deadline_is_not_counted_as_a_failure() -> None:
     driver = GatewayDriver(endpoints=1)
     for _ in range(6):
         number, actions = driver.ask(quota_plan=FREE, time_left_us=60 * MS)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("outcome", (Outcome.CANCELLED, Outcome.NOT_SENT))
-def test_an_attempt_that_this_gateway_ended_does_not_count_against_an_endpoint(outcome: Outcome) -> None:
+def test_cancelled_or_unsent_attempt_is_not_counted_as_a_failure(outcome: Outcome) -> None:
     driver = GatewayDriver(endpoints=1)
     number, actions = driver.ask(quota_plan=FREE)
     [attempt] = of_type(StartAttempt, actions)
@@ -88,7 +88,7 @@
     assert not any(record_of(driver, 0).failure_rates.values())
 
 
-def test_an_overdue_attempt_is_a_failure_only_at_an_endpoint_that_answers_nothing() -> None:
+def test_overdue_attempt_is_a_failure_only_if_the_endpoint_does_not_respond_at_all() -> None:
     silent, slow = GatewayDriver(endpoints=1), GatewayDriver(endpoints=1)
     for driver in (silent, slow):
         driver.ask(quota_plan=FREE)
@@ -101,7 +101,7 @@
     assert 1.0 < record_of(slow, 0).latency_ratio < OVERDUE_MULTIPLE
 
 
-def test_a_gateway_that_stalled_counts_nothing_against_any_endpoint() -> None:
+def test_attempts_in_flight_during_a_gateway_stall_are_not_counted() -> None:
     """The gateway's process stood still for two seconds.
 
     It then found its attempts timed out, and the answers that had come meanwhile looked as late. It counted
@@ -110,19 +110,19 @@
     driver = GatewayDriver(endpoints=3, gateway_count=100)
     started = [one for _ in range(2) for one in of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])]
 
-    def figures() -> dict[bytes, tuple[float, dict[QuotaPlan | None, float]]]:
+    def endpoint_averages() -> dict[bytes, tuple[float, dict[QuotaPlan | None, float]]]:
         by_id = driver.gateway.endpoints.by_id
         return {key: (record.latency_ratio, record.failure_rates.copy()) for key, record in by_id.items()}
 
-    before = figures()
+    before = endpoint_averages()
     driver.now += 2 * SECOND  # without any turn in between
     for attempt in started:
         driver.end(attempt.request_id, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=2 * SECOND)
     assert len(started) > 0
-    assert before == figures()
+    assert before == endpoint_averages()
 
 
-def test_an_endpoint_that_is_full_for_one_plan_is_avoided_by_that_plan_only() -> None:
+def test_rejections_count_only_for_the_rejected_plan() -> None:
     """Endpoints rejected requests of one plan, as they were full for it.
 
     They were then avoided by the requests of all plans, and the remaining endpoints were overloaded.
@@ -138,7 +138,7 @@
     assert rates[None] == rates[plans[CAPPED]] == 0.0
 
 
-def test_a_record_fades_while_an_endpoint_is_not_used() -> None:
-    assert remembered_share(0) == 1.0
-    assert remembered_share(SECOND) == pytest.approx(0.9)
-    assert remembered_share(30 * SECOND) < 0.05
+def test_decay_factor_falls_while_an_endpoint_is_unused() -> None:
+    assert decay_factor(0) == 1.0
+    assert decay_factor(SECOND) == pytest.approx(0.9)
+    assert decay_factor(30 * SECOND) < 0.05
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -14,7 +14,7 @@
 from yardlane.decisions.endpoints import EndpointList
 from yardlane.decisions.events import Endpoint, EndpointListUpdate, UpdateKind
 from yardlane.decisions.settings import Settings
-from yardlane.decisions.slow_start import BUDGET_SHARE, RESTART_SHARE, SlowStart
+from yardlane.decisions.slow_start import RESTART_BUDGET_SHARE, USABLE_BUDGET_SHARE, SlowStart
 
 # A budget of many requests, so that little is chance.
 LARGE_BUDGET = {"overload_multiple": 4.0, "overload_window_us": 3 * SECOND}
@@ -31,8 +31,8 @@
     "join, all others drain": Scenario(),
     "join, three gateways": Scenario(gateway_count=3),
     "join, twenty gateways": Scenario(gateway_count=20, warm_count=20, warming_count=4),
-    "join, others stay": Scenario(warm_count=6, warm_ones_stay=True, load=10.0),
-    "come back after a crash": Scenario(warming_ones_crashed=True),
+    "join, others stay": Scenario(warm_count=6, warm_endpoints_stay=True, offered_load=10.0),
+    "come back after a crash": Scenario(warming_endpoints_crashed=True),
     "many endpoints, lists differ": Scenario(warm_count=50, warming_count=4, partial_list_share=0.5),
     "half of the gateways restart": Scenario(restart_share=0.5),
     "classes differ": Scenario(class_factors=UNEQUAL_CLASSES),
@@ -40,7 +40,7 @@
     "estimate four times too low": Scenario(work_factor=4.0),
     "estimate four times too high": Scenario(work_factor=0.25),
     "small requests": SMALL_REQUESTS,
-    "small requests, come back after a crash": replace(SMALL_REQUESTS, warming_ones_crashed=True),
+    "small requests, come back after a crash": replace(SMALL_REQUESTS, warming_endpoints_crashed=True),
     "small requests, lists differ": replace(
         SMALL_REQUESTS, warm_count=40, warming_count=2, partial_list_share=0.5
     ),
@@ -53,25 +53,25 @@
 
 
 @dataclass
-class Result:
+class SimulationResult:
     """What the warming endpoints of all seeds were sent."""
 
-    worst_ratio: float
+    max_load_ratio: float
     """The largest work of a window, over what is allowed."""
     overloaded_share: float
     """The share of endpoints that were sent more than is allowed."""
-    used_share: float
+    used_budget_share: float
     """The mean share of the budgets that was sent."""
 
 
-def simulate(scenario: Scenario, seeds: range) -> Result:
+def simulate(scenario: Scenario, seeds: range) -> SimulationResult:
     loads: list[tuple[float, float]] = []
     for seed in seeds:
         simulation = Simulation(scenario, seed)
         simulation.clock.run(19 * SECOND)
-        loads += simulation.loads()
+        loads += simulation.warm_up_loads()
     ratios = [ratio for ratio, _ in loads]
-    return Result(
+    return SimulationResult(
         max(ratios),
         sum(ratio > 1.0 for ratio in ratios) / len(ratios),
         sum(used for _, used in loads) / len(loads),
@@ -95,13 +95,13 @@
         "small requests, estimate too low, 40",
     ],
 )
-def test_no_warming_endpoint_is_sent_more_than_it_bears(title: str) -> None:
+def test_warming_endpoints_are_not_overloaded(title: str) -> None:
     result = simulate(SCENARIOS[title], range(2))
-    assert result.worst_ratio <= 1.0
-    assert result.used_share >= 0.2  # and it warms up under load
+    assert result.max_load_ratio <= 1.0
+    assert result.used_budget_share >= 0.2  # and it warms up under load
 
 
-def start_all(settings: Settings, warming: EndpointListUpdate, started_at_us: int) -> list[SlowStart]:
+def make_slow_starts(settings: Settings, warming: EndpointListUpdate, started_at_us: int) -> list[SlowStart]:
     """The slow start of each gateway, all started at this time."""
     started = []
     for rank in range(settings.gateway_count):
@@ -117,22 +117,22 @@
 @pytest.mark.parametrize(
     ("gateway_count", "work_us"), [(1, 1 * MS), (3, 150 * MS), (20, 15 * MS), (60, 150 * MS)]
 )
-def test_all_that_is_admitted_at_once_is_within_the_budget(
-    gateway_count: int, work_us: int, restart: bool
-) -> None:
+def test_admitted_requests_stay_within_the_budget(gateway_count: int, work_us: int, restart: bool) -> None:
     """Each gateway sends whenever it may; all may restart once, and so spend half of a part more."""
     base = make_settings(gateway_count=gateway_count, **LARGE_BUDGET)
     classes = tuple(replace(c, latency_objective_us=6 * work_us) for c in base.request_classes)
     settings = replace(base, request_classes=classes)
     entry = make_endpoint(1, started_at_us=BEGIN_US)
     warming = EndpointListUpdate(UpdateKind.SNAPSHOT, 1, (entry,))
-    gateways = start_all(settings, warming, 0)
+    gateways = make_slow_starts(settings, warming, 0)
     sent = deque[int]()
     for now in range(BEGIN_US, BEGIN_US + settings.warm_up_us, 20 * MS):
         if restart and now == BEGIN_US + SECOND:
-            gateways = start_all(settings, warming, now)
+            gateways = make_slow_starts(settings, warming, now)
         factor = warm_up_factor(settings, BEGIN_US, now)
-        budget = BUDGET_SHARE * settings.overload_multiple * factor * settings.overload_window_us / work_us
+        budget = (
+            USABLE_BUDGET_SHARE * settings.overload_multiple * factor * settings.overload_window_us / work_us
+        )
         for slow_start in gateways:
             endpoint = slow_start.endpoints.by_id[entry.endpoint_id]
             while slow_start.admits(endpoint, factor, work_us, now):
@@ -141,10 +141,12 @@
                 sent.append(now)
                 while sent[0] <= now - settings.overload_window_us:
                     sent.popleft()
-                assert len(sent) <= budget * (1.0 + RESTART_SHARE * restart) + 1  # the slot that is open
+                assert (
+                    len(sent) <= budget * (1.0 + RESTART_BUDGET_SHARE * restart) + 1
+                )  # the slot that is open
 
 
-def test_a_warming_endpoint_gets_no_more_than_our_part_of_its_budget() -> None:
+def test_gateway_sends_at_most_its_share_of_the_budget() -> None:
     driver = GatewayDriver(endpoints=0)
     warming = make_endpoint(0, started_at_us=driver.now)
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,)))
@@ -153,14 +155,14 @@
     assert work_us <= 3.0 * 0.2 * SECOND / 3
 
 
-def test_a_warm_endpoint_has_no_budget() -> None:
+def test_warm_endpoint_has_no_budget_limit() -> None:
     driver = GatewayDriver(endpoints=0)
     warm = make_endpoint(0, started_at_us=driver.now - driver.settings.warm_up_us)
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warm,)))
     assert all(driver.serve() for _ in range(20))
 
 
-def times_sent_by_250_gateways(settings: Settings, new: Endpoint, started_at_us: int) -> list[int]:
+def attempt_times_of_250_gateways(settings: Settings, new: Endpoint, started_at_us: int) -> list[int]:
     """When 250 gateways, with five requests a second each for 20 s, send to a new endpoint of sixty."""
     entries = (new, *(make_endpoint(number) for number in range(1, 60)))
     times: list[int] = []
@@ -175,7 +177,7 @@
     return sorted(times)
 
 
-def test_a_new_endpoint_is_used_while_it_warms_up_but_not_overloaded_by_250_gateways() -> None:
+def test_250_gateways_use_a_warming_endpoint_without_overloading_it() -> None:
     """Divided by 250 gateways the budget was less than one request, and none of them sent any.
 
     The endpoint was not used at all until it was warm. Now its users take slots, and one sends in each.
@@ -183,7 +185,7 @@
     settings = make_settings(gateway_count=250)
     started_at_us = 77 * SECOND
     new = make_endpoint(0, started_at_us=started_at_us)
-    ages = [at - started_at_us for at in times_sent_by_250_gateways(settings, new, started_at_us)]
+    ages = [at - started_at_us for at in attempt_times_of_250_gateways(settings, new, started_at_us)]
     warming = [age for age in ages if age < settings.warm_up_us]
     assert len(warming) >= 15
     initial_work_us = max(c.latency_objective_us for c in settings.request_classes) / 6
@@ -200,7 +202,7 @@
         if len(sys.argv) < 3 or sys.argv[2] in title:
             result = simulate(scenario, range(int(sys.argv[1])))
             print(
-                f"{title:40} worst {result.worst_ratio:.2f}, overloaded {result.overloaded_share:.3f},"
-                f" of budget {result.used_share:.3f}",
+                f"{title:40} worst {result.max_load_ratio:.2f}, overloaded {result.overloaded_share:.3f},"
+                f" of budget {result.used_budget_share:.3f}",
                 flush=True,
             )
--- a/tests/decisions/test_work_window.py
+++ b/tests/decisions/test_work_window.py
@@ -6,7 +6,7 @@
 BUCKET_US = 10
 
 
-def test_work_counts_for_a_window_and_at_most_a_bucket_longer() -> None:
+def test_work_expires_at_most_one_bucket_after_the_window() -> None:
     window = WorkWindow(WINDOW_US)
     window.add(7, now_us=5_003)
     window.add(5, now_us=5_009)
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -33,11 +33,11 @@
 BEGIN_US = 100 * SECOND
 JOIN_US = BEGIN_US + 3 * SECOND  # from here on the endpoints start that the test looks at
 DRAIN_US = JOIN_US + SECOND * 3 // 2
-FAILURE_TAKES_US = 2 * MS  # a rejection or a failed connection
-HANG_TAKES_US = 2 * SECOND
-NOTIFICATION_US = (20 * MS, 800 * MS)  # how late a gateway learns of a change
+FAILURE_DURATION_US = 2 * MS  # a rejection or a failed connection
+HANG_DURATION_US = 2 * SECOND
+NOTIFICATION_DELAY_US = (20 * MS, 800 * MS)  # how late a gateway learns of a change
 INITIAL_SERVICE_TIME_SHARE = 1 / 6  # of the latency objective: what a gateway takes a request for at first
-BURST_S = (7, 9)  # twice the load
+BURST_PERIOD_S = (7, 9)  # twice the load
 
 
 @dataclass
@@ -47,14 +47,14 @@
     gateway_count: int = 30
     warm_count: int = 8
     warming_count: int = 2
-    warm_ones_stay: bool = False  # else they drain, and all requests go to the warming ones
-    warming_ones_crashed: bool = False  # they were up and warm before; else they are new
+    warm_endpoints_stay: bool = False  # else they drain, and all requests go to the warming ones
+    warming_endpoints_crashed: bool = False  # they were up and warm before; else they are new
     restart_share: float = 0.0  # of the gateways, twice
     partial_list_share: float = 0.0  # of the gateways: their list lacks half of the warm endpoints
     lists_flap: bool = False  # lists lose the warming endpoints for a moment and name them again
     work_factor: float = 1.0  # the mean work of a request, in initial estimates
     class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # that of each class, in means of all
-    load: float = 4.0  # offered work, in warm cores for each warming endpoint
+    offered_load: float = 4.0  # offered work, in warm cores for each warming endpoint
     hang_share: float = 0.05  # of the attempts: never answered in time
     latency_objective_us: int = 900 * MS
     settings: dict[str, float] = field(default_factory=dict)
@@ -88,7 +88,7 @@
 
 
 @dataclass
-class SentWork:
+class ReceivedAttempt:
     """One attempt as it reached its endpoint."""
 
     at_us: int
@@ -102,29 +102,33 @@
 
     entry: Endpoint
     is_down: bool = False
-    sent: list[SentWork] = field(default_factory=list)
+    received: list[ReceivedAttempt] = field(default_factory=list)
 
-    def load_while_warming(self, settings: Settings, mean_work_us: float, now_us: int) -> tuple[float, float]:
+    def warm_up_load(self, settings: Settings, mean_work_us: float, now_us: int) -> tuple[float, float]:
         """Of all windows the largest work over what is allowed, and all work over the whole budget."""
         started_at_us = self.entry.started_at_us
-        warming = [sent for sent in self.sent if warm_up_factor(settings, started_at_us, sent.at_us) < 1.0]
-        worst = 0.0
-        window: deque[SentWork] = deque()
-        for sent in warming:
-            window.append(sent)
-            while window[0].at_us <= sent.at_us - settings.overload_window_us:
+        warming = [
+            attempt
+            for attempt in self.received
+            if warm_up_factor(settings, started_at_us, attempt.at_us) < 1.0
+        ]
+        max_ratio = 0.0
+        window: deque[ReceivedAttempt] = deque()
+        for attempt in warming:
+            window.append(attempt)
+            while window[0].at_us <= attempt.at_us - settings.overload_window_us:
                 window.popleft()
             total_us = sum(earlier.work_us for earlier in window)
-            knowing_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start)
-            factor = warm_up_factor(settings, started_at_us, sent.at_us)
+            informed_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start)
+            factor = warm_up_factor(settings, started_at_us, attempt.at_us)
             allowed = settings.overload_multiple * factor * settings.overload_window_us / mean_work_us
-            if knowing_us > total_us * 2 / 3:  # else most of it came from those that could not know
-                worst = max(worst, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
+            if informed_us > total_us * 2 / 3:  # else most of it came from those that could not know
+                max_ratio = max(max_ratio, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
         until_us = min(now_us, started_at_us + settings.warm_up_us)
         first_factor = warm_up_factor(settings, started_at_us, started_at_us)
         last_factor = warm_up_factor(settings, started_at_us, until_us)
         budget_us = settings.overload_multiple * (until_us - started_at_us) * (first_factor + last_factor) / 2
-        return worst, sum(sent.work_us for sent in warming) / budget_us
+        return max_ratio, sum(attempt.work_us for attempt in warming) / budget_us
 
 
 @dataclass
@@ -174,13 +178,13 @@
             for endpoint_id in ids[: scenario.warm_count]
         }
         crashed = ids[: scenario.warming_count]
-        self.warming_ids = crashed if scenario.warming_ones_crashed else ids[scenario.warm_count :]
+        self.warming_ids = crashed if scenario.warming_endpoints_crashed else ids[scenario.warm_count :]
         self.processes = [
             GatewayProcess(rank, self._new_gateway(rank)) for rank in range(scenario.gateway_count)
         ]
         self._notify_of_initial_lists()
         self._schedule_warming_endpoints()
-        if not scenario.warm_ones_stay:
+        if not scenario.warm_endpoints_stay:
             self._schedule_drains()
         if scenario.restart_share:
             self._schedule_restarts()
@@ -189,12 +193,10 @@
                 self.clock.schedule(JOIN_US + (2 + number) * SECOND, self._flap_lists)
         self.clock.schedule(BEGIN_US, self._send_request)
 
-    def loads(self) -> list[tuple[float, float]]:
-        """`load_while_warming` of each endpoint that the test looks at."""
+    def warm_up_loads(self) -> list[tuple[float, float]]:
+        """`warm_up_load` of each endpoint that the test looks at."""
         return [
-            self.endpoints[endpoint_id].load_while_warming(
-                self.settings, self.mean_work_us, self.clock.now_us
-            )
+            self.endpoints[endpoint_id].warm_up_load(self.settings, self.mean_work_us, self.clock.now_us)
             for endpoint_id in self.warming_ids
         ]
 
@@ -218,7 +220,7 @@
     def _schedule_warming_endpoints(self) -> None:
         for endpoint_id in self.warming_ids:
             at_us = JOIN_US + self.random.randrange(SECOND)
-            if self.scenario.warming_ones_crashed:
+            if self.scenario.warming_endpoints_crashed:
                 self.clock.schedule(at_us - SECOND, partial(self._crash, endpoint_id))
             self.clock.schedule(at_us, partial(self._start, endpoint_id))
 
@@ -268,7 +270,7 @@
     def _notify_all(self, entry: Endpoint) -> None:
         """Let each gateway learn of a change at its own time."""
         for process in self.processes:
-            at_us = self.clock.now_us + self.random.randrange(*NOTIFICATION_US)
+            at_us = self.clock.now_us + self.random.randrange(*NOTIFICATION_DELAY_US)
             self.clock.schedule(at_us, partial(self._notify, process, (entry,)))
 
     def _notify(
@@ -283,8 +285,8 @@
 
     def _send_request(self) -> None:
         seconds = (self.clock.now_us - BEGIN_US) / SECOND
-        rate = self.scenario.load * self.scenario.warming_count / self.mean_work_us
-        if BURST_S[0] < seconds < BURST_S[1]:
+        rate = self.scenario.offered_load * self.scenario.warming_count / self.mean_work_us
+        if BURST_PERIOD_S[0] < seconds < BURST_PERIOD_S[1]:
             rate *= 2.0
         self.clock.schedule(self.clock.now_us + 1 + self.random.expovariate(rate), self._send_request)
         self.request_count += 1
@@ -322,8 +324,8 @@
         attempts = self.attempts.setdefault(request_id, [])
         index = len(attempts)
         attempts.append(SimulatedAttempt(action.endpoint_id, self.clock.now_us))
-        takes_us, outcome = self._serve(process, action.endpoint_id, self._draw_work_us(request_id))
-        at_us = self.clock.now_us + max(1, takes_us)
+        duration_us, outcome = self._serve(process, action.endpoint_id, self._draw_work_us(request_id))
+        at_us = self.clock.now_us + max(1, duration_us)
         incarnation = process.incarnation
         self.clock.schedule(
             at_us, partial(self._end_attempt, process, incarnation, request_id, index, outcome)
@@ -333,16 +335,16 @@
         """How long an attempt takes and how it ends."""
         endpoint = self.endpoints[endpoint_id]
         if endpoint.is_down:
-            return float(FAILURE_TAKES_US), Outcome.NOT_CONNECTED
+            return float(FAILURE_DURATION_US), Outcome.NOT_CONNECTED
         knew_start = process.endpoints[endpoint_id].started_at_us == endpoint.entry.started_at_us
-        endpoint.sent.append(SentWork(self.clock.now_us, work_us, knew_start))
+        endpoint.received.append(ReceivedAttempt(self.clock.now_us, work_us, knew_start))
         chance = self.random.random() - self.scenario.hang_share
         if chance < 0.0:
-            return float(HANG_TAKES_US), Outcome.TIMED_OUT
+            return float(HANG_DURATION_US), Outcome.TIMED_OUT
         if chance < 0.05:
-            return float(FAILURE_TAKES_US), Outcome.ERROR
+            return float(FAILURE_DURATION_US), Outcome.ERROR
         if chance < 0.1:
-            return float(FAILURE_TAKES_US), Outcome.REJECTED
+            return float(FAILURE_DURATION_US), Outcome.REJECTED
         return work_us, Outcome.OK
 
     def _draw_work_us(self, request_id: int) -> float:
--- a/yardlane/decisions/endpoints.py
+++ b/yardlane/decisions/endpoints.py
@@ -25,7 +25,7 @@
 class EndpointList:
     """The endpoints by their ids; `ready` holds those that may get requests, the lowest subset rank first.
 
-    `subset` is the first of `ready`. `users_per_endpoint` is how many gateways use one endpoint.
+    `subset` is the first of `ready`. `gateways_per_endpoint` is how many gateways use one endpoint.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -33,22 +33,22 @@
         self.by_id: dict[bytes, EndpointRecord] = {}
         self.ready: list[EndpointRecord] = []
         self.subset: list[EndpointRecord] = []
-        self.users_per_endpoint = settings.gateway_count
+        self.gateways_per_endpoint = settings.gateway_count
         self._recently_removed: dict[bytes, EndpointRecord] = {}
 
     def apply_update(self, update: EndpointListUpdate) -> None:
         """Take over an update of the list. What a whole list does not name is removed."""
         if update.kind is not UpdateKind.DELTA:
-            self._remove_all_but({entry.endpoint_id for entry in update.endpoints})
+            self._remove_unlisted({entry.endpoint_id for entry in update.endpoints})
         for entry in update.endpoints:
             if entry.state is EndpointState.REMOVED:
                 self._remove(entry.endpoint_id)
             else:
-                self._set(entry)
-        self._choose_subset()
+                self._add_or_update(entry)
+        self._update_subset()
 
-    def _remove_all_but(self, listed: set[bytes]) -> None:
-        for endpoint_id in [known for known in self.by_id if known not in listed]:
+    def _remove_unlisted(self, listed_ids: set[bytes]) -> None:
+        for endpoint_id in [known for known in self.by_id if known not in listed_ids]:
             self._remove(endpoint_id)
 
     def _remove(self, endpoint_id: bytes) -> None:
@@ -68,7 +68,7 @@
             if record.last_sent_at_us > newest_us - self.settings.overload_window_us
         }
 
-    def _set(self, entry: Endpoint) -> None:
+    def _add_or_update(self, entry: Endpoint) -> None:
         endpoint_id = entry.endpoint_id
         record = self.by_id.get(endpoint_id) or self._recently_removed.pop(endpoint_id, None)
         if record is None or record.entry.started_at_us != entry.started_at_us:
@@ -76,13 +76,13 @@
         record.entry = entry
         self.by_id[endpoint_id] = record
 
-    def _choose_subset(self) -> None:
+    def _update_subset(self) -> None:
         ready = [record for record in self.by_id.values() if record.entry.state is EndpointState.READY]
         self.ready = sorted(ready, key=lambda record: record.subset_rank)
         self.subset = self.ready[:SUBSET_SIZE]
         gateway_count = self.settings.gateway_count
-        users = _divide_rounding_up(SUBSET_SIZE * gateway_count, max(1, len(ready)))
-        self.users_per_endpoint = min(gateway_count, users)
+        gateways_per_endpoint = _divide_rounding_up(SUBSET_SIZE * gateway_count, max(1, len(ready)))
+        self.gateways_per_endpoint = min(gateway_count, gateways_per_endpoint)
 
     def _subset_rank(self, endpoint_id: bytes) -> int:
         """How many gateways come before this one in the endpoint's order.
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -7,15 +7,15 @@
 - and its failure rates, of all requests and of the request's plan, each times the latency objective: a
   failure costs as much as a response at the end of the objective.
 
-What was learned long ago counts less: latency ratio and failure rates by `outliers.remembered_share`, and the
+What was learned long ago counts less: latency ratio and failure rates by `outliers.decay_factor`, and the
 in-flight attempts of other gateways, as the endpoint reported them, fade within `LOAD_REPORT_VALID_US`.
 
 An endpoint that is warming up is a candidate only while `slow_start.py` admits a request. That is rare, and
 what is not used of its budget is lost. So a request that it will finish well within the objective prefers
 it: without this it would get its first requests only when all others are busy.
 
-Endpoints of another zone have to look faster by `CROSS_ZONE_FACTOR` where crossing zones has a price. The
-costs get some random jitter, as gateways that see the same loads would otherwise all send to the same
+Endpoints of another zone have to look faster by `CROSS_ZONE_COST_FACTOR` where crossing zones has a price.
+The costs get some random jitter, as gateways that see the same loads would otherwise all send to the same
 endpoint.
 """
 
@@ -26,7 +26,7 @@
 from random import Random
 
 from yardlane.decisions.endpoint_record import EndpointRecord
-from yardlane.decisions.outliers import remembered_share
+from yardlane.decisions.outliers import decay_factor
 from yardlane.decisions.request import Request
 from yardlane.decisions.service_time import ServiceTimes
 from yardlane.decisions.settings import QuotaPlan, Settings
@@ -34,9 +34,9 @@
 from yardlane.decisions.units import SECOND_US
 
 LOAD_REPORT_VALID_US = SECOND_US
-WARMING_OBJECTIVE_SHARE = 0.5  # of the objective: what a request on a warming endpoint may take to prefer it
+WARMING_MAX_LATENCY_SHARE = 0.5  # of the objective: what a request there may take to prefer it
 WARMING_COST_FACTOR = 0.5
-CROSS_ZONE_FACTOR = 1.5
+CROSS_ZONE_COST_FACTOR = 1.5
 JITTER_SHARE = 0.05
 
 
@@ -58,14 +58,14 @@
         self, request: Request, candidates: Iterable[EndpointRecord], now_us: int
     ) -> EndpointRecord | None:
         """The candidate of the least cost that the request was not sent to yet; None if there is none."""
-        used = [attempt.endpoint for attempt in request.attempts]
+        tried = [attempt.endpoint for attempt in request.attempts]
         plan = request.tenant.plan
         objective_us = self._settings.request_classes[request.class_index].latency_objective_us
         service_time_us = self._service_times.mean_us[request.class_index]
         best = None
         least_cost_us = math.inf
         for endpoint in candidates:
-            if endpoint in used:
+            if endpoint in tried:
                 continue
             warm_up_factor = self._slow_start.warm_up_factor(endpoint, now_us)
             if warm_up_factor < 1.0 and not self._slow_start.admits(
@@ -88,18 +88,21 @@
         warm_up_factor: float,
         now_us: int,
     ) -> float:
-        remembered = remembered_share(now_us - endpoint.last_sent_at_us)
-        latency_ratio = 1.0 + (endpoint.latency_ratio - 1.0) * remembered
+        decay = decay_factor(now_us - endpoint.last_sent_at_us)
+        latency_ratio = 1.0 + (endpoint.latency_ratio - 1.0) * decay
         report_age_us = now_us - endpoint.load_reported_at_us
         remote_in_flight = endpoint.remote_in_flight * max(0.0, 1.0 - report_age_us / LOAD_REPORT_VALID_US)
         queue_length = 1.0 + endpoint.in_flight + remote_in_flight
         cost_us = service_time_us * latency_ratio * queue_length / warm_up_factor
         failure_rate = endpoint.failure_rates[None] + endpoint.failure_rates.get(plan, 0.0)
-        cost_us += failure_rate * remembered * objective_us
-        if warm_up_factor < 1.0 and service_time_us < warm_up_factor * objective_us * WARMING_OBJECTIVE_SHARE:
+        cost_us += failure_rate * decay * objective_us
+        if (
+            warm_up_factor < 1.0
+            and service_time_us < warm_up_factor * objective_us * WARMING_MAX_LATENCY_SHARE
+        ):
             # This undoes the division by the warm-up factor, so that the endpoint counts as warm, and prefers
             # it. The failure cost, which was not divided, shrinks as well.
             cost_us *= warm_up_factor * WARMING_COST_FACTOR
         if self._prefers_own_zone and endpoint.entry.zone != self._settings.zone:
-            cost_us *= CROSS_ZONE_FACTOR
+            cost_us *= CROSS_ZONE_COST_FACTOR
         return cost_us
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -2,7 +2,7 @@
 
 Each endpoint has a failure rate from 0 to 1, of all requests and of each quota plan (an endpoint may be full
 for one plan alone), and a latency ratio: its service times over the means of all endpoints. They are moving
-averages over attempts, which `load_balancing.py` makes costs of. `remembered_share` lets both fade while an
+averages over attempts, which `load_balancing.py` makes costs of. `decay_factor` lets both fade while an
 endpoint is not used, so that it gets requests again and can recover.
 
 What counts:
@@ -34,13 +34,13 @@
 FAILURE_SAMPLE_WEIGHT = 0.25  # failures must show fast
 LATENCY_SAMPLE_WEIGHT = 0.1
 OVERDUE_MULTIPLE = 4.0  # of the mean service time
-FORGOTTEN_PER_S = 0.1  # the share of a bad record that a second without use takes away
+DECAY_PER_S = 0.1  # the share of a bad record that a second without use takes away
 
 
-def remembered_share(unused_us: int) -> float:
+def decay_factor(unused_us: int) -> float:
     """The share of an endpoint's record that still counts after it was not used for so long."""
-    share: float = (1.0 - FORGOTTEN_PER_S) ** (unused_us / SECOND_US)
-    return share
+    factor: float = (1.0 - DECAY_PER_S) ** (unused_us / SECOND_US)
+    return factor
 
 
 def overdue_after_us(mean_service_time_us: float) -> int:
--- a/yardlane/decisions/service_time.py
+++ b/yardlane/decisions/service_time.py
@@ -2,8 +2,8 @@
 
 There is a mean for each request class and one over all requests. Before any response, a class is taken to
 need `INITIAL_SERVICE_TIME_SHARE` of its latency objective: rather too much than too little, as a warming
-endpoint is sent requests by this figure (`slow_start.py`). A sample counts as at most `LONGEST_SAMPLE` means,
-so that one slow response does not stand for a change.
+endpoint is sent requests by this figure (`slow_start.py`). A sample counts as at most `MAX_SAMPLE_MULTIPLE`
+means, so that one slow response does not stand for a change.
 
 `relative_weight_per_time` compares classes: priority weight / mean service time, relative to the mean of that
 ratio over all arrivals.
@@ -16,7 +16,7 @@
 INITIAL_SERVICE_TIME_SHARE = 1 / 6
 SAMPLE_WEIGHT = 0.1
 ARRIVAL_SAMPLE_WEIGHT = SAMPLE_WEIGHT / 10  # so that a short run of one class moves the mean little
-LONGEST_SAMPLE = 5  # in means of the class
+MAX_SAMPLE_MULTIPLE = 5  # in means of the class
 
 
 class ServiceTimes:
@@ -52,7 +52,7 @@
         classes are at once.
         """
         mean_us = self.mean_us[class_index]
-        sample_us = min(elapsed_us, LONGEST_SAMPLE * mean_us)
+        sample_us = min(elapsed_us, MAX_SAMPLE_MULTIPLE * mean_us)
         self.mean_us[class_index] = mean_us + SAMPLE_WEIGHT * (sample_us - mean_us)
         last_weight = self._overall_sample_weight
         self._overall_sample_weight = max(SAMPLE_WEIGHT, last_weight / (1.0 + last_weight))
