--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -110,7 +110,7 @@
     on_idle = asyncio.ensure_future(read_message(idle[0]))
     on_new = asyncio.ensure_future(backend.connection())
     done, _ = await asyncio.wait((on_idle, on_new), return_when=asyncio.FIRST_COMPLETED)
-    if on_new in done:  # the idle one is still in quarantine
+    if on_new in done:  # the idle one is still within its reuse delay
         on_idle.cancel()
         reader, writer = on_new.result()
         message = await read_message(reader)
@@ -400,7 +400,7 @@
     async def run() -> None:
         script = Script(send_all)
         async with running_with_backend(script) as (server, backend):
-            server.pool.reuse.quarantine_s = 0.0
+            server.pool.reuse_policy.reuse_delay_s = 0.0
             client, to_proxy = await server.client()
             to_proxy.write(ask(trace="first"))
             reader, writer = await backend.connection()
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -18,74 +18,76 @@
     until,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
-from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S, ReusePolicy
+from yardlane.proxy.connection_reuse import DEFAULT_REUSE_DELAY_S, MAX_SHARED_REUSE_DELAY_S, ReusePolicy
 
-NO_QUARANTINE_S = 0.0
+NO_REUSE_DELAY_S = 0.0
 
 
-def test_stray_bytes_of_one_upstream_cost_the_others_little_and_decay() -> None:
+def test_unsolicited_bytes_from_one_upstream_delay_reuse_for_others_only_slightly() -> None:
     """An upstream sends bytes that belong to no response, long after the last one. Its own connections are
     quarantined for twice as long; the others' quarantine only doubles, and all of it decays."""
     policy = ReusePolicy(keepalive_s=30.0)
     for _ in range(100):
-        policy.on_stray_bytes(b"s-1", 5.0)
-    assert policy.endpoint_quarantine_s == {b"s-1": 10.0} and policy.quarantine_s == 2 * QUARANTINE_S
-    policy.on_stray_bytes(b"s-2", 3 * QUARANTINE_S)
-    assert policy.quarantine_s == 4 * QUARANTINE_S
+        policy.on_unsolicited_bytes(b"s-1", 5.0)
+    assert (
+        policy.endpoint_reuse_delays_s == {b"s-1": 10.0} and policy.reuse_delay_s == 2 * DEFAULT_REUSE_DELAY_S
+    )
+    policy.on_unsolicited_bytes(b"s-2", 3 * DEFAULT_REUSE_DELAY_S)
+    assert policy.reuse_delay_s == 4 * DEFAULT_REUSE_DELAY_S
     for number in range(100):
-        policy.on_stray_bytes(b"t-%d" % number, 1e6)
-    assert policy.quarantine_s == MAX_SHARED_QUARANTINE_S
-    assert max(policy.endpoint_quarantine_s.values()) == policy.max_idle_limit_s
-    policy.forget(b"t-1")
-    assert b"t-1" not in policy.endpoint_quarantine_s
+        policy.on_unsolicited_bytes(b"t-%d" % number, 1e6)
+    assert policy.reuse_delay_s == MAX_SHARED_REUSE_DELAY_S
+    assert max(policy.endpoint_reuse_delays_s.values()) == policy.max_idle_limit_s
+    policy.forget_endpoint(b"t-1")
+    assert b"t-1" not in policy.endpoint_reuse_delays_s
     for _ in range(1000):
-        policy.recover()
-    assert policy.quarantine_s == QUARANTINE_S and not policy.endpoint_quarantine_s
+        policy.relax_bounds()
+    assert policy.reuse_delay_s == DEFAULT_REUSE_DELAY_S and not policy.endpoint_reuse_delays_s
 
 
-def test_the_idle_limit_recovers_by_good_connections_and_by_time() -> None:
+def test_idle_limit_recovers_with_successful_reuse_and_over_time() -> None:
     """Connections were found dead, and the cause is gone. An idle limit that stayed short would cost a new
     connection for nearly each request from then on."""
     policy = ReusePolicy(keepalive_s=30.0)
-    policy.on_found_dead(5.0)
+    policy.on_reuse_failed(5.0)
     assert 3.0 < policy.idle_limit_s < 5.0 < policy.max_idle_limit_s
     for _ in range(1000):
-        policy.on_reused(policy.idle_limit_s)
+        policy.on_reuse_succeeded(policy.idle_limit_s)
     assert policy.idle_limit_s == policy.max_idle_limit_s
-    policy.on_found_dead(0.0)
+    policy.on_reuse_failed(0.0)
     for _ in range(100):
-        policy.recover()
+        policy.relax_bounds()
     assert policy.idle_limit_s == policy.max_idle_limit_s
 
 
-def test_the_quarantine_of_an_upstream_is_its_own_where_that_is_longer() -> None:
+def test_reuse_delay_of_an_upstream_is_the_longer_of_its_own_and_the_shared_one() -> None:
     """One upstream sent bytes a second late. With the shared quarantine alone its next late bytes would
     answer another client's request; with its own for all, no connection would be reused."""
     policy = ReusePolicy(keepalive_s=30.0)
-    assert policy.quarantine_of(b"s-1") == QUARANTINE_S
-    policy.on_stray_bytes(b"s-1", 1.0)
-    assert policy.quarantine_of(b"s-1") == 2.0
-    assert policy.quarantine_of(b"s-2") == policy.quarantine_s == 2 * QUARANTINE_S
+    assert policy.reuse_delay_of(b"s-1") == DEFAULT_REUSE_DELAY_S
+    policy.on_unsolicited_bytes(b"s-1", 1.0)
+    assert policy.reuse_delay_of(b"s-1") == 2.0
+    assert policy.reuse_delay_of(b"s-2") == policy.reuse_delay_s == 2 * DEFAULT_REUSE_DELAY_S
 
 
 @socket_test
-async def test_a_connection_is_quarantined_before_it_is_used_again() -> None:
+async def test_connection_is_not_reused_before_the_reuse_delay_has_passed() -> None:
     """A second request comes while the only connection is still in quarantine. Sent on it, the request could
     be answered by a late second response to the first one."""
     async with running_with_backend(Script(send_all)) as (server, backend):
-        server.pool.reuse.quarantine_s = 1e6
+        server.pool.reuse_policy.reuse_delay_s = 1e6
         client = await server.client()
         for trace in ("a1", "a2"):
             await serve_on_new_connection(client, backend, trace)
 
 
 @socket_test
-async def test_a_connection_found_dead_shortens_the_idle_time_of_the_others() -> None:
+async def test_failed_reuse_shortens_the_idle_limit() -> None:
     """A backend forgets a connection that stands idle, without a word; the next request on it is lost. The
     connections that have stood idle as long are then closed rather than used."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         pool = server.pool
-        pool.reuse.quarantine_s = NO_QUARANTINE_S
+        pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
         client = await server.client()
         client_reader, to_proxy = client
         reader, writer = await serve_on_new_connection(client, backend, "a1")
@@ -94,7 +96,7 @@
         await read_message(reader)
         writer.transport.abort()
         assert await read_status(client_reader) == "502"
-        assert 3.0 < pool.reuse.idle_limit_s < 5.0 < pool.reuse.max_idle_limit_s
+        assert 3.0 < pool.reuse_policy.idle_limit_s < 5.0 < pool.reuse_policy.max_idle_limit_s
         await serve_on_new_connection(client, backend, "a3")
         pool.idle[b"s-1"][0].idle_since_s -= 5.0
         to_proxy.write(ask(trace="a4"))
@@ -102,7 +104,7 @@
 
 
 @pytest.mark.parametrize("is_read", [True, False])
-def test_quarantine_is_longer_than_a_second_response_was_late(is_read: bool) -> None:
+def test_reuse_delay_exceeds_the_lateness_of_a_second_response(is_read: bool) -> None:
     """A backend answers a request a second time, three seconds later. The loop reads it, or the look at the
     socket before the next use shows it. Connections to this backend are then quarantined for longer."""
 
@@ -130,7 +132,7 @@
 
 
 @pytest.mark.parametrize("stray", [answer(200, b"stale"), b"noise", answer(200, b"stale")[:20]])
-def test_stray_bytes_never_answer_the_next_request(stray: bytes) -> None:
+def test_unsolicited_bytes_never_answer_the_next_request(stray: bytes) -> None:
     """A backend sends more than one response to a request, together with the first or later. The next client
     must not get it: the connection is closed, and the next request goes out on a new one."""
 
@@ -142,16 +144,16 @@
     async def run() -> None:
         async with running_with_backend(Script(send_all)) as (server, backend):
             pool = server.pool
-            pool.reuse.quarantine_s = NO_QUARANTINE_S
+            pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
             client, (_, writer) = await forward(server, backend, ask(trace="a0"))
             await serve(client, writer, b"first", stray)
             client[1].write(ask(trace="a1"))
             _, writer = await accept_request(backend, "a1")
             await serve(client, writer, b"second")
             idle = pool.idle[b"s-1"][0]
-            assert idle.is_clean()
+            assert idle.is_reusable()
             os.write(writer.get_extra_info("socket").fileno(), stray)
-            assert not idle.is_clean()  # it has come, and the loop has not read it yet
+            assert not idle.is_reusable()  # it has come, and the loop has not read it yet
             client[1].write(ask(trace="b1"))
             _, writer = await accept_request(backend, "b1")
             await serve(client, writer, b"third")
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -64,7 +64,7 @@
 async def test_an_upstream_connection_is_reused() -> None:
     """The parser says only within its own call whether the peer keeps the connection."""
     async with running_with_backend() as (server, backend):
-        server.pool.reuse.quarantine_s = 0.0
+        server.pool.reuse_policy.reuse_delay_s = 0.0
         client, to_proxy = await server.client()
         to_proxy.write(ask(trace="a1"))
         reader, writer = await backend.connection()
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -35,7 +35,7 @@
 
 
 @socket_test
-async def test_a_hedged_request_still_connecting_when_the_first_is_answered_is_never_written() -> None:
+async def test_hedge_still_connecting_when_the_first_attempt_succeeds_is_not_sent() -> None:
     """Two attempts run at once, and the second still connects as the first brings the answer."""
     script = Script(attempt_each(b"s-1", b"s-2"))
     async with (
@@ -61,7 +61,7 @@
 
 
 @socket_test
-async def test_an_attempt_still_connecting_at_the_final_answer_is_never_written() -> None:
+async def test_attempt_still_connecting_when_its_request_ends_is_not_sent() -> None:
     """The decisions give the request up while its one attempt still connects."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
@@ -78,15 +78,15 @@
 
 
 @socket_test
-async def test_an_endpoint_that_begins_to_drain_gets_nothing_that_still_connects() -> None:
+async def test_attempt_still_connecting_to_a_draining_endpoint_is_not_sent() -> None:
     """An endpoint begins to drain while an attempt connects to it: the attempt goes to another one."""
 
-    def retry_at_the_next(event: Event) -> list[Action]:
+    def retry_on_second_endpoint(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_CONNECTED:
             return [StartAttempt(event.request_id, b"s-2")]
         return send_all(event)
 
-    script = Script(retry_at_the_next)
+    script = Script(retry_on_second_endpoint)
     async with Peer() as one, Peer() as two, Peer() as discovery:
         first, second = member("s-1", one.port), member("s-2", two.port)
         async with running(
@@ -111,7 +111,7 @@
 
 
 @socket_test
-async def test_a_connection_up_as_its_timeout_ends_serves_what_was_written() -> None:
+async def test_connect_timeout_does_not_end_an_attempt_that_was_already_sent() -> None:
     """A connection comes up and is used, but the loop says so only after the time to connect is over.
 
     The timeout must not end the attempt: its request has been written.
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("has_timer", [True, False])  # else the proxy stalled, and the timer is not due yet
-def test_a_retry_whose_idempotency_window_is_over_is_never_written(has_timer: bool) -> None:
+def test_attempt_is_not_sent_after_its_send_deadline(has_timer: bool) -> None:
     """An idempotency key holds for a time from the first attempt; this connection takes longer."""
 
     async def run() -> None:
@@ -155,8 +155,8 @@
                 assert not ended.request_ended
             else:
                 [request] = server.proxy.requests.values()
-                assert request.attempts[0].send_by_timer is not None
-                request.attempts[0].send_by_timer.cancel()
+                assert request.attempts[0].send_deadline_timer is not None
+                request.attempts[0].send_deadline_timer.cancel()
                 server.proxy.clock.offset_ns += 10**9
             delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
@@ -168,11 +168,11 @@
 
 
 @socket_test
-async def test_a_retry_written_within_its_window_keeps_its_whole_timeout() -> None:
+async def test_attempt_sent_before_its_send_deadline_keeps_its_whole_timeout() -> None:
     """The bound is for the writing alone: an attempt that is written in time waits for its response."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
-        server.pool.reuse.quarantine_s = 0.0
+        server.pool.reuse_policy.reuse_delay_s = 0.0
         client, to_proxy = await server.client()
         to_proxy.write(ask("file"))
         reader, writer = await backend.connection()
@@ -182,6 +182,6 @@
         script.reply = attempt_each(b"s-1", send_within_us=1)
         to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
         await read_message(reader)
-        server.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
+        server.proxy.requests[2].attempts[0].on_send_deadline()  # as its timer comes
         writer.write(answer())
         assert await read_status(client) == "200"
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -18,7 +18,7 @@
 from tests.upstream_side import forward, serve_on_new_connection, until_state
 from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
 from yardlane.errors import MalformedResponse
-from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, read_load_report
+from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, parse_load_report
 from yardlane.proxy.upstream_state import UpstreamState
 
 CLOSE = b""  # the connection ends
@@ -89,7 +89,7 @@
 
 
 @socket_test
-async def test_figures_beyond_any_load_are_dropped() -> None:
+async def test_load_metrics_above_their_limits_are_ignored() -> None:
     """A backend reports figures that no load can reach. Believed, one such report would keep all requests
     from it until the next one."""
     script = Script(send_all)
@@ -101,16 +101,16 @@
         assert (ended.outcome, ended.load) == (Outcome.OK, None)
 
 
-def test_a_load_report_keeps_what_can_be_read() -> None:
+def test_readable_metrics_of_a_load_report_are_kept() -> None:
     """One figure of a report is no number, or has a name that nobody knows. The others still hold; with no
     figure left there is no report, which is not the same as a load of 0."""
-    assert read_load_report(b"TEXT util=0.5, depth=nan, queue=4, unknown=1") == LoadReport(
+    assert parse_load_report(b"TEXT util=0.5, depth=nan, queue=4, unknown=1") == LoadReport(
         queued=4.0, utilization=0.5
     )
-    assert read_load_report(b"TEXT depth=inf, mean_ms=-1") is None
+    assert parse_load_report(b"TEXT depth=inf, mean_ms=-1") is None
 
 
-def test_a_reader_has_typed_errors_and_its_limits() -> None:
+def test_reader_raises_malformed_response_beyond_its_limits() -> None:
     """A backend sends interim responses without end, or two responses to one request. The reader says so by
     its own error, by which the connection knows that the fault is the upstream's."""
     reader = ResponseReader()
@@ -126,7 +126,7 @@
 
 
 @socket_test
-async def test_a_response_that_stalls_ends_its_attempt_long_before_the_deadline() -> None:
+async def test_stalled_response_ends_its_attempt_before_the_deadline() -> None:
     """A backend hangs in the middle of a response; its client's time is long. Backends write a response at
     once, so the rest is not waited for until the deadline."""
     script = Script(send_all)
@@ -139,7 +139,7 @@
 
 
 @socket_test
-async def test_an_interim_response_is_not_one_that_stalls() -> None:
+async def test_complete_interim_response_starts_no_stall_timeout() -> None:
     """A backend sends a whole interim response and takes its time for the final one. Ended as stalled, a
     request that is only slow would fail, and could not be retried if it must not run twice."""
     async with running_with_backend(Script(send_all)) as (server, backend):
@@ -154,7 +154,7 @@
 
 
 @socket_test
-async def test_an_interim_response_in_two_parts_is_followed_by_the_final_one() -> None:
+async def test_interim_response_in_two_parts_is_followed_by_the_final_one() -> None:
     """The network splits an interim response. Taken for the final one, or for a fault, it would cost the
     client the response that follows."""
     async with running_with_backend(Script(send_all)) as (server, backend):
@@ -169,12 +169,12 @@
 
 
 @socket_test
-async def test_a_response_in_two_parts_leaves_the_next_one_all_its_time() -> None:
+async def test_stall_timer_ends_with_its_response() -> None:
     """The timer for the rest of a response must end with it: left over, it would end the next request on the
     connection, which may rightly take longer."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         pool = server.pool
-        pool.reuse.quarantine_s = 0.0
+        pool.reuse_policy.reuse_delay_s = 0.0
         pool.stall_timeout_s = 0.02
         (client, to_server), (reader, writer) = await forward(server, backend)
         [connection] = pool.connections
@@ -190,11 +190,11 @@
 
 
 @socket_test
-async def test_a_connection_that_the_backend_announced_to_close_is_not_used_again() -> None:
+async def test_connection_is_not_reused_after_connection_close() -> None:
     """A backend names the response the connection's last one, and closes it a little later. A request sent in
     between would be lost, and could not be retried where it must not run twice."""
     async with running_with_backend(Script(send_all)) as (server, backend):
-        server.pool.reuse.quarantine_s = 0.0
+        server.pool.reuse_policy.reuse_delay_s = 0.0
         client = await server.client()
         await serve_on_new_connection(client, backend, "a1", answer(extra="Connection: close\r\n"))
         assert not server.pool.connections
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -35,8 +35,8 @@
     RESET_ON_CLOSE,
     SmallBufferBackends,
     forward,
-    read_in_this_turn,
-    read_while_unsent,
+    read_available,
+    read_until_request_sent,
     reset,
     unsent_bytes,
 )
@@ -47,11 +47,11 @@
 from yardlane.proxy.upstream_connection import UpstreamConnection
 from yardlane.proxy.upstream_pool import UpstreamPool
 
-NO_QUARANTINE_S = 0.0
+NO_REUSE_DELAY_S = 0.0
 FIRST_REQUEST_MAX_BYTES = 4096
 
 
-async def outcomes(script: Script, count: int = 1) -> list[Outcome]:
+async def wait_for_outcomes(script: Script, count: int = 1) -> list[Outcome]:
     """The outcomes of so many attempts, once they have ended."""
     return [ended.outcome for ended in await script.wait_for(AttemptEnded, count)]
 
@@ -63,7 +63,7 @@
 
 
 @socket_test
-async def test_a_request_to_a_refused_connection_never_ran() -> None:
+async def test_refused_connection_ends_the_attempt_as_not_connected() -> None:
     """A backend's process is gone and its port refuses. Taken for an attempt that may have run, the request
     could not be retried elsewhere, and a restart would fail requests that others could serve."""
     async with Peer() as backend:
@@ -72,11 +72,11 @@
     async with running(script, known=whole_list(member("s-1", port))) as server:
         line, _, _ = await server.call(ask())
         assert line.split()[1] == "502"
-        assert await outcomes(script) == [Outcome.NOT_CONNECTED]
+        assert await wait_for_outcomes(script) == [Outcome.NOT_CONNECTED]
 
 
 @socket_test
-async def test_a_request_to_a_connection_that_never_comes_up_never_ran() -> None:
+async def test_connect_timeout_ends_the_attempt_as_not_connected() -> None:
     """A backend's host drops connection requests: here by a full queue that nobody accepts from. The
     client's time is long, so that only the connect timeout can end the attempt."""
     with socket.socket() as listener, ExitStack() as waiting:
@@ -90,12 +90,12 @@
         async with running(script, known=whole_list(member("s-1", listener.getsockname()[1]))) as server:
             line, _, _ = await server.call(ask(X_Expires_In="3000000m"))
             assert line.split()[1] == "502"
-            assert await outcomes(script) == [Outcome.NOT_CONNECTED]
+            assert await wait_for_outcomes(script) == [Outcome.NOT_CONNECTED]
             assert not server.pool.connections
 
 
 @socket_test
-async def test_the_attempts_timeout_ends_it_and_closes_its_connection() -> None:
+async def test_attempt_timeout_closes_the_connection() -> None:
     """A backend does not respond within the attempt's timeout. Were its connection kept, the late response
     would be read as the answer to the next request."""
 
@@ -114,7 +114,7 @@
 
 
 @socket_test
-async def test_an_attempt_never_outlives_its_clients_time() -> None:
+async def test_attempt_ends_at_the_clients_deadline() -> None:
     """Backend and decisions are silent. The attempt ends with the client's time, and the deadline guard gives
     the client its one final answer."""
     script = Script(attempt_each(b"s-1"))
@@ -125,12 +125,12 @@
         _, headers, _ = await read_message(reader)
         assert int(headers["x-expires-in"].removesuffix("m")) <= 1000
         assert await read_status(client) == "500"
-        assert await outcomes(script) == [Outcome.TIMED_OUT]
+        assert await wait_for_outcomes(script) == [Outcome.TIMED_OUT]
         await script.wait_for(RequestEnded)
 
 
 @socket_test
-async def test_the_first_good_response_is_final_and_the_other_one_is_read_and_dropped() -> None:
+async def test_first_successful_response_is_final_and_the_other_is_discarded() -> None:
     """Two attempts run at once. The response that comes second must not reach the client, where it would be
     taken for the answer to its next request."""
     script = Script(attempt_each(b"s-1", b"s-2"))
@@ -159,14 +159,14 @@
 
 
 @socket_test
-async def test_a_cancelled_attempt_closes_its_connection() -> None:
+async def test_cancelled_attempt_closes_its_connection() -> None:
     """The client leaves and the decisions cancel its attempt. Only the closed connection tells the backend
     so; left open, the backend would go on for nobody, and its response would meet the next request."""
 
-    def cancel_as_the_client_leaves(event: Event) -> list[Action]:
+    def cancel_on_client_disconnect(event: Event) -> list[Action]:
         return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
 
-    script = Script(cancel_as_the_client_leaves)
+    script = Script(cancel_on_client_disconnect)
     async with running_with_backend(script) as (server, backend):
         (_, to_proxy), (reader, _) = await forward(server, backend)
         to_proxy.transport.abort()
@@ -175,7 +175,7 @@
         await assert_closed(reader)
 
 
-class TimeoutAsConnected(LoopDouble):
+class TimeoutAfterConnect(LoopDouble):
     """Each connection comes up just as its connect timeout fires."""
 
     async def create_connection(self, *args: Any) -> None:
@@ -184,12 +184,12 @@
 
 
 @socket_test
-async def test_a_connection_up_in_its_last_moment_may_have_carried_the_request() -> None:
+async def test_connect_timeout_after_the_request_was_sent_is_reported_as_connection_lost() -> None:
     """The connection comes up, the request is sent, and the failure to connect is reported after that. Taken
     for one that never ran, the request could run twice."""
     ends: list[Outcome] = []
     async with Peer() as backend:
-        pool = UpstreamPool(config(), 8, TimeoutAsConnected(asyncio.get_running_loop()).as_loop())
+        pool = UpstreamPool(config(), 8, TimeoutAfterConnect(asyncio.get_running_loop()).as_loop())
         attempt = Attempt(1, 0, b"s-1", 0, lambda attempt, outcome, response: ends.append(outcome))
         attempt.address = ("127.0.0.1", backend.port)
         attempt.request_bytes = ask()
@@ -221,7 +221,7 @@
     proxy.apply(CancelAttempt(1, 0))
 
 
-def by_client(
+def by_client_disconnect(
     proxy: Proxy, connection: UpstreamConnection, backend_end: socket.socket, backends: SmallBufferBackends
 ) -> None:
     backends.to_proxy.transport.abort()
@@ -242,12 +242,12 @@
         (by_reset, Outcome.NOT_CONNECTED, Outcome.CONNECTION_LOST),
         (by_deadline, Outcome.NOT_CONNECTED, Outcome.TIMED_OUT),
         (by_cancel, Outcome.NOT_SENT, Outcome.CANCELLED),
-        (by_client, Outcome.NOT_SENT, Outcome.OK),  # sent whole, it goes on
+        (by_client_disconnect, Outcome.NOT_SENT, Outcome.OK),  # sent whole, it goes on
         (by_response, Outcome.NOT_CONNECTED, Outcome.OK),  # a new connection has had no other request
     ],
 )
 @pytest.mark.parametrize("is_partly_sent", [True, False])
-def test_a_request_whose_last_byte_was_not_sent_never_ran(
+def test_partly_sent_request_is_reported_as_never_run_and_is_not_completed(
     end: Ending, outcome_if_partly_sent: Outcome, outcome_if_sent: Outcome, is_partly_sent: bool
 ) -> None:
     """A backend reads slowly, so that a part of a request waits in the proxy as its attempt ends. It is
@@ -256,25 +256,27 @@
     no attempt that has sent a byte."""
 
     async def assert_outcome(script: Script) -> None:
-        assert await outcomes(script) == [outcome_if_partly_sent if is_partly_sent else outcome_if_sent]
+        assert await wait_for_outcomes(script) == [
+            outcome_if_partly_sent if is_partly_sent else outcome_if_sent
+        ]
 
     @socket_test
     async def run() -> None:
         script = Script(send_all)
         backends = SmallBufferBackends()
         async with running(script, known=backends.known) as server:
-            connection, backend_end = await backends.partly_sent(server)
+            connection, backend_end = await backends.send_large_request(server)
             server.pool.drain_endpoint(b"s-1")
-            received = b"" if is_partly_sent else await read_while_unsent(backend_end, connection)
+            received = b"" if is_partly_sent else await read_until_request_sent(backend_end, connection)
             unsent = unsent_bytes(connection)
             end(server.proxy, connection, backend_end, backends)
             if end is by_reset:
                 return await assert_outcome(script)
-            if end is by_client:
+            if end is by_client_disconnect:
                 await script.wait_for(RequestEnded)
                 if not is_partly_sent:
                     backend_end.send(answer())
-            received += read_in_this_turn(backend_end)  # the kernel has room before the loop runs again
+            received += read_available(backend_end)  # the kernel has room before the loop runs again
             await assert_outcome(script)
             while is_partly_sent and (part := await server.loop.sock_recv(backend_end, 65_536)):
                 received += part
@@ -286,7 +288,7 @@
 
 
 @pytest.mark.parametrize("is_partly_sent", [True, False])
-def test_a_request_that_must_not_run_twice_is_retried_only_if_its_last_byte_was_not_sent(
+def test_non_idempotent_request_is_retried_only_if_it_was_partly_sent(
     is_partly_sent: bool,
 ) -> None:
     """A backend resets the connection of a request that is not idempotent. Sent in part, the request has not
@@ -297,55 +299,55 @@
     async def run() -> None:
         backends = SmallBufferBackends(2)
         async with running(settings=settings(profiles=not_idempotent), known=backends.known) as server:
-            connection, backend_end = await backends.partly_sent(server)
+            connection, backend_end = await backends.send_large_request(server)
             if not is_partly_sent:
-                await read_while_unsent(backend_end, connection)
+                await read_until_request_sent(backend_end, connection)
             reset(backend_end)
             if is_partly_sent:
                 backend_end = await backends.accept()
-                connection = await backends.stuck_connection(server)
-                await read_while_unsent(backend_end, connection)
+                connection = await backends.connection_with_unsent_bytes(server)
+                await read_until_request_sent(backend_end, connection)
                 backend_end.send(answer())
             assert await read_status(backends.client) == ("200" if is_partly_sent else "502")
 
     run()
 
 
-def reset_behind_the_look(connection: UpstreamConnection, writer: asyncio.StreamWriter) -> None:
+def reset_after_check(connection: UpstreamConnection, writer: asyncio.StreamWriter) -> None:
     """The backend resets this connection between the look at its socket and the next request."""
-    is_clean = connection.is_clean
+    is_reusable = connection.is_reusable
 
-    def look_then_reset() -> bool:
-        seen = is_clean()
+    def check_then_reset() -> bool:
+        seen = is_reusable()
         descriptor = writer.get_extra_info("socket").fileno()
         with socket.socket(fileno=os.dup(descriptor)) as backend_end:
             backend_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             os.close(descriptor)
         return seen
 
-    connection.is_clean = look_then_reset  # type: ignore[method-assign]
+    connection.is_reusable = check_then_reset  # type: ignore[method-assign]
 
 
 @socket_test
-async def test_a_request_written_to_a_connection_just_reset_never_ran() -> None:
+async def test_request_written_to_a_reset_connection_is_reported_as_not_connected() -> None:
     """An idle connection is reset after the last look at it, and a request is written to it. Taken for one
     that may have run, a request that must not run twice would fail, though no backend ever had it."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         pool = server.pool
-        pool.reuse.quarantine_s = NO_QUARANTINE_S
+        pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
         (client, to_proxy), (_, writer) = await forward(server, backend)
         writer.write(answer())
         await read_message(client)
         [idle] = pool.idle[b"s-1"]
-        reset_behind_the_look(idle, writer)
+        reset_after_check(idle, writer)
         to_proxy.write(ask(trace="a2"))
-        assert await outcomes(script, 2) == [Outcome.OK, Outcome.NOT_CONNECTED]
+        assert await wait_for_outcomes(script, 2) == [Outcome.OK, Outcome.NOT_CONNECTED]
 
 
-async def served_on_small_buffers(server: RunningServer, backends: SmallBufferBackends) -> socket.socket:
+async def serve_first_request(server: RunningServer, backends: SmallBufferBackends) -> socket.socket:
     """A first request is served; the backend's end of its connection, which is idle now."""
-    backends.connect_for(server)
+    backends.use_small_buffers(server)
     client, to_proxy = await server.client()
     to_proxy.write(ask())
     backend_end = await backends.accept()
@@ -356,19 +358,19 @@
 
 
 @socket_test
-async def test_a_response_sent_before_the_request_had_arrived_is_not_its_response() -> None:
+async def test_bytes_sent_before_the_request_arrived_are_not_read_as_its_response() -> None:
     """A backend's late second response to an earlier request comes on a connection that is used again. The
     kernel has the new request whole, and the backend has not acknowledged it, so it has not read it."""
     script = Script(send_all)
     backends = SmallBufferBackends()
     async with running(script, known=backends.known) as server:
         pool = server.pool
-        pool.reuse.quarantine_s = NO_QUARANTINE_S
-        backend_end = await served_on_small_buffers(server, backends)
-        connection, _ = await backends.partly_sent(server, backend_end)
-        pool.reuse.quarantine_s = 1e6  # late bytes may show for as long
-        await read_while_unsent(backend_end, connection)
+        pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
+        backend_end = await serve_first_request(server, backends)
+        connection, _ = await backends.send_large_request(server, backend_end)
+        pool.reuse_policy.reuse_delay_s = 1e6  # late bytes may show for as long
+        await read_until_request_sent(backend_end, connection)
         backend_end.send(answer(200, b"late"))
         assert await read_status(backends.client) == "502"
         assert (await script.wait_for(AttemptEnded, 2))[1].outcome is Outcome.CONNECTION_LOST
-        assert pool.reuse.endpoint_quarantine_s
+        assert pool.reuse_policy.endpoint_reuse_delays_s
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -27,11 +27,11 @@
 from yardlane.decisions.events import AttemptEnded, Event, Outcome
 from yardlane.proxy.upstream_pool import UpstreamPool
 
-NO_QUARANTINE_S = 0.0
+NO_REUSE_DELAY_S = 0.0
 
 
 @socket_test
-async def test_an_idle_connection_that_the_backend_closed_is_not_used() -> None:
+async def test_idle_connection_closed_by_the_backend_is_not_reused() -> None:
     """A backend closes an idle connection. A request sent on it would be lost, and one that must not run
     twice would fail for its client."""
     async with running_with_backend(Script(send_all)) as (server, backend):
@@ -44,7 +44,7 @@
 
 
 @socket_test
-async def test_more_attempts_than_connections_are_not_sent_and_no_backends_fault() -> None:
+async def test_attempt_beyond_the_connection_limit_ends_as_not_sent() -> None:
     """All descriptors for upstreams are in use. That says nothing of the backend: an outcome against it would
     have it ejected as an outlier."""
     script = Script(attempt_each(b"s-1"))
@@ -59,14 +59,14 @@
 
 
 @socket_test
-async def test_the_connection_idle_for_longest_makes_room_for_another_backend() -> None:
+async def test_longest_idle_connection_is_closed_to_make_room_for_another_backend() -> None:
     """All descriptors for upstreams are taken by idle connections to other backends. If none made room, a
     request to a new backend would not be sent while nothing is in use."""
 
-    def spread(event: Event) -> list[Action]:
+    def first_then_second_endpoint(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
-    async with running_with_backend(Script(spread)) as (server, backend):
+    async with running_with_backend(Script(first_then_second_endpoint)) as (server, backend):
         server.pool.max_connections = 1
         update = server.discovery.decoder.decode(
             whole_list(member("s-1", backend.port), member("s-2", backend.port))
@@ -80,7 +80,7 @@
 
 
 @socket_test
-async def test_an_endpoint_without_an_address_gets_no_attempt() -> None:
+async def test_attempt_at_an_endpoint_without_an_address_ends_as_not_sent() -> None:
     """The decisions choose an endpoint whose address could not be read. The attempt ends at once as not sent;
     were it dropped without an end, its request would wait until the deadline."""
     script = Script(lambda event: send_all(event, b"s-2"))
@@ -92,15 +92,15 @@
 
 
 @socket_test
-async def test_a_new_endpoint_at_an_old_address_gets_no_connection_of_the_old_one() -> None:
+async def test_new_endpoint_at_an_old_address_does_not_reuse_the_old_connections() -> None:
     """An endpoint is replaced by another one at its address while it has a request. The old connection serves
     that one and is closed: what it is connected to may still be the old process."""
 
-    def old_then_new(event: Event) -> list[Action]:
+    def send_to_old_then_new(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
-    async with running_with_backend(Script(old_then_new)) as (server, backend):
-        server.pool.reuse.quarantine_s = NO_QUARANTINE_S
+    async with running_with_backend(Script(send_to_old_then_new)) as (server, backend):
+        server.pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
         (client, to_server), (reader, writer) = await forward(server, backend, ask(trace="a1"))
         decoded = server.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
         server.proxy.apply_update(decoded.update, decoded.addresses)
@@ -112,7 +112,7 @@
 
 
 @socket_test
-async def test_a_closed_connection_leaves_nothing_for_the_garbage_collector() -> None:
+async def test_closed_connection_leaves_no_reference_cycle() -> None:
     """Connection, reader and parser refer to each other. Left as a cycle they stay until the collector runs,
     whose pauses grow with all that waits for it."""
     async with running_with_backend(Script(send_all)) as (server, backend):
@@ -132,17 +132,17 @@
 
 
 @socket_test
-async def test_an_endpoint_that_is_removed_takes_its_quarantine_along() -> None:
+async def test_removing_an_endpoint_discards_its_reuse_delay() -> None:
     """What stands at an address next, or comes back under the same id, is another process."""
     pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
-    pool.reuse.on_stray_bytes(b"s-1", 5.0)
-    pool.reuse.on_stray_bytes(b"s-2", 5.0)
+    pool.reuse_policy.on_unsolicited_bytes(b"s-1", 5.0)
+    pool.reuse_policy.on_unsolicited_bytes(b"s-2", 5.0)
     pool.remove_endpoint(b"s-1")
-    assert list(pool.reuse.endpoint_quarantine_s) == [b"s-2"]
+    assert list(pool.reuse_policy.endpoint_reuse_delays_s) == [b"s-2"]
 
 
 @socket_test
-async def test_maintenance_closes_what_was_idle_for_too_long_and_lets_the_bounds_recover() -> None:
+async def test_maintenance_closes_expired_idle_connections_and_relaxes_the_bounds() -> None:
     """Once a second the pool closes what no request would use any more. Left out, idle connections would hold
     descriptors, and a bound that one bad moment cut would stay so."""
     async with running_with_backend(Script(send_all)) as (server, backend):
@@ -152,9 +152,9 @@
         pool.idle[b"s-1"][0].idle_since_s -= 5.0
         pool._maintain()
         assert len(pool.connections) == 1
-        pool.reuse.on_found_dead(3.0)
-        cut_s = pool.reuse.idle_limit_s
+        pool.reuse_policy.on_reuse_failed(3.0)
+        cut_s = pool.reuse_policy.idle_limit_s
         pool._maintain()
-        assert cut_s < pool.reuse.idle_limit_s < 5.0
+        assert cut_s < pool.reuse_policy.idle_limit_s < 5.0
         assert not pool.connections
         assert await reader.read() == b""
--- a/tests/proxy/test_upstream_state.py
+++ b/tests/proxy/test_upstream_state.py
@@ -23,7 +23,7 @@
     return None if cell == "." else UpstreamState[cell]
 
 
-def test_the_design_page_shows_all_states_and_events() -> None:
+def test_design_page_lists_all_states_and_events() -> None:
     """The design page shows the table to its readers. A state or event that it lacks would mislead whoever
     reads it at night."""
     assert STATES is not None and STATES[1].split(" | ") == [state.name for state in UpstreamState]
@@ -32,7 +32,7 @@
     assert set(TRANSITIONS) == set(UpstreamState)
 
 
-def test_a_transition_that_the_table_lacks_is_logged_and_changes_nothing(
+def test_undefined_transition_is_logged_and_leaves_the_state_unchanged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """A fault of this program brings an event that the state cannot have. If it moved the state all the same,
@@ -55,7 +55,7 @@
     run()
 
 
-def test_a_request_may_have_run_from_its_last_byte_until_its_connection_is_free() -> None:
+def test_request_may_have_run_from_its_last_byte_until_its_connection_is_idle_or_closed() -> None:
     # A request whose last byte the kernel never took has not run, and may be sent to another upstream.
     may_not = {UpstreamState.CONNECTING, UpstreamState.IDLE, UpstreamState.SENDING, UpstreamState.CLOSED}
     assert set(UpstreamState) - may_not == MAY_HAVE_RUN
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -73,7 +73,7 @@
     backend_end.close()
 
 
-async def read_while_unsent(backend_end: socket.socket, connection: UpstreamConnection) -> bytes:
+async def read_until_request_sent(backend_end: socket.socket, connection: UpstreamConnection) -> bytes:
     """What the backend reads until the kernel has taken the whole request."""
     received = b""
     while unsent_bytes(connection):
@@ -81,7 +81,7 @@
     return received
 
 
-def read_in_this_turn(backend_end: socket.socket) -> bytes:
+def read_available(backend_end: socket.socket) -> bytes:
     """What has come at the backend so far; the event loop does not run meanwhile."""
     received = b""
     try:
@@ -118,20 +118,20 @@
         await self.loop.sock_connect(made, (host, port))
         return await self.loop.create_connection(make_protocol, sock=made)
 
-    def connect_for(self, server: RunningServer) -> None:
+    def use_small_buffers(self, server: RunningServer) -> None:
         """Connections of this proxy's pool have small buffers from now on."""
         server.pool.loop = self.as_loop()
 
-    async def partly_sent(
+    async def send_large_request(
         self, server: RunningServer, backend_end: socket.socket | None = None
     ) -> tuple[UpstreamConnection, socket.socket]:
         """The connection on which a part of a large request is sent, and the backend's end of it."""
-        self.connect_for(server)
+        self.use_small_buffers(server)
         self.client, self.to_proxy = await server.client()
         request = ask("file", Content_Length=str(LARGE_REQUEST_BYTES)) + b"x" * LARGE_REQUEST_BYTES
         self.to_proxy.write(request)
         accepted = backend_end or await self.accept()
-        return await self.stuck_connection(server), accepted
+        return await self.connection_with_unsent_bytes(server), accepted
 
     async def accept(self) -> socket.socket:
         """The next new connection to any of the backends."""
@@ -141,7 +141,7 @@
             accept.cancel()
         return done.pop().result()[0]
 
-    async def stuck_connection(self, server: RunningServer) -> UpstreamConnection:
+    async def connection_with_unsent_bytes(self, server: RunningServer) -> UpstreamConnection:
         """The connection whose request is sent in part."""
         await until(lambda: any(unsent_bytes(connection) for connection in server.pool.connections))
         return next(connection for connection in server.pool.connections if unsent_bytes(connection))
--- a/yardlane/proxy/attempt.py
+++ b/yardlane/proxy/attempt.py
@@ -11,7 +11,7 @@
 from yardlane.proxy.response import UpstreamResponse
 
 
-class Carrier(Protocol):
+class AttemptConnection(Protocol):
     """What an attempt needs of the connection that carries it."""
 
     def may_have_run(self) -> bool:
@@ -44,7 +44,7 @@
         "on_finished",
         "request_bytes",
         "request_id",
-        "send_by_timer",
+        "send_deadline_timer",
         "started_at_us",
     )
 
@@ -65,9 +65,9 @@
         # Called when a new connection is up; may finish the attempt.
         self.on_connected: Callable[[], object] = do_nothing
         self.request_bytes = b""
-        self.connection: Carrier | None = None
+        self.connection: AttemptConnection | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
-        self.send_by_timer: asyncio.TimerHandle | None = None  # where the last byte must be sent by some time
+        self.send_deadline_timer: asyncio.TimerHandle | None = None
         self.is_finished = False
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
@@ -77,8 +77,8 @@
         self.is_finished = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
-        if self.send_by_timer is not None:
-            self.send_by_timer.cancel()
+        if self.send_deadline_timer is not None:
+            self.send_deadline_timer.cancel()
         connection = self.connection
         self.connection = None
         self.request_bytes = b""
@@ -90,7 +90,7 @@
         """Whether the upstream may have begun it: not before the kernel has taken its last byte."""
         return self.connection is not None and self.connection.may_have_run()
 
-    def on_send_by(self) -> None:
+    def on_send_deadline(self) -> None:
         """The time is over by which the last byte had to be sent."""
         if not self.may_have_run():
             self.finish(Outcome.NOT_CONNECTED)
--- a/yardlane/proxy/connection_reuse.py
+++ b/yardlane/proxy/connection_reuse.py
@@ -15,13 +15,15 @@
 
 from __future__ import annotations
 
-QUARANTINE_S = 0.01  # bytes that belong to no response show within that time, as a rule
-QUARANTINE_MARGIN = 2.0  # times the lateness that was seen
+DEFAULT_REUSE_DELAY_S = 0.01  # bytes that belong to no response show within that time, as a rule
+REUSE_DELAY_MARGIN = 2.0  # times the lateness that was seen
 # A second's decay is small: at a fleet's low traffic a proxy uses an upstream about once in ten seconds.
-QUARANTINE_DECAY = 0.99
-MAX_SHARED_QUARANTINE_S = 0.25
-MAX_IDLE_SHARE = 0.5  # of the idle time in the settings: the upstream counts from a later moment than we do
-SHARED_QUARANTINE_SHARE = 0.5  # of the idle limit: beyond it hardly any connection would be used again
+REUSE_DELAY_DECAY = 0.99
+MAX_SHARED_REUSE_DELAY_S = 0.25
+# Of the idle time in the settings: the upstream counts from a later moment than we do.
+MAX_IDLE_LIMIT_FRACTION = 0.5
+# Of the idle limit: beyond it hardly any connection would be used again.
+MAX_SHARED_REUSE_DELAY_FRACTION = 0.5
 MIN_IDLE_LIMIT_S = 0.05
 IDLE_LIMIT_CUT = 0.8  # of the idle time of a connection that was found dead
 IDLE_LIMIT_RAISE = 1.02  # after a request on a connection that stood idle for nearly the limit
@@ -32,19 +34,19 @@
     """The two bounds of the idle time, in seconds, learnt from what connections showed."""
 
     def __init__(self, keepalive_s: float) -> None:
-        self.max_idle_limit_s = keepalive_s * MAX_IDLE_SHARE
+        self.max_idle_limit_s = keepalive_s * MAX_IDLE_LIMIT_FRACTION
         self.idle_limit_s = self.max_idle_limit_s
-        self.quarantine_s = QUARANTINE_S
+        self.reuse_delay_s = DEFAULT_REUSE_DELAY_S
         # Longer quarantines of single upstreams that sent stray bytes.
-        self.endpoint_quarantine_s: dict[bytes, float] = {}
+        self.endpoint_reuse_delays_s: dict[bytes, float] = {}
 
-    def quarantine_of(self, endpoint_id: bytes) -> float:
+    def reuse_delay_of(self, endpoint_id: bytes) -> float:
         """Seconds for which a connection to this upstream must stand idle."""
-        if not self.endpoint_quarantine_s:
-            return self.quarantine_s
-        return max(self.quarantine_s, self.endpoint_quarantine_s.get(endpoint_id, 0.0))
+        if not self.endpoint_reuse_delays_s:
+            return self.reuse_delay_s
+        return max(self.reuse_delay_s, self.endpoint_reuse_delays_s.get(endpoint_id, 0.0))
 
-    def on_stray_bytes(self, endpoint_id: bytes, lateness_s: float) -> None:
+    def on_unsolicited_bytes(self, endpoint_id: bytes, lateness_s: float) -> None:
         """Bytes that belong to no response came so long after the last one.
 
         This upstream's own quarantine covers the lateness whole; where that exceeds the idle limit, none of
@@ -52,37 +54,37 @@
         neither quarantine covered, at most twofold at a time: a few faulty upstreams cost the others few
         connections, and a fault that many have is soon guarded against for those that are seldom used.
         """
-        own_s = self.endpoint_quarantine_s.get(endpoint_id, 0.0)
-        wanted_s = min(lateness_s * QUARANTINE_MARGIN, self.max_idle_limit_s)
-        self.endpoint_quarantine_s[endpoint_id] = max(wanted_s, own_s)
-        if lateness_s > max(own_s, self.quarantine_s):
-            bound_s = min(
-                MAX_SHARED_QUARANTINE_S,
-                self.idle_limit_s * SHARED_QUARANTINE_SHARE,
-                max(QUARANTINE_S, self.quarantine_s) * QUARANTINE_MARGIN,
+        own_delay_s = self.endpoint_reuse_delays_s.get(endpoint_id, 0.0)
+        target_delay_s = min(lateness_s * REUSE_DELAY_MARGIN, self.max_idle_limit_s)
+        self.endpoint_reuse_delays_s[endpoint_id] = max(target_delay_s, own_delay_s)
+        if lateness_s > max(own_delay_s, self.reuse_delay_s):
+            max_shared_delay_s = min(
+                MAX_SHARED_REUSE_DELAY_S,
+                self.idle_limit_s * MAX_SHARED_REUSE_DELAY_FRACTION,
+                max(DEFAULT_REUSE_DELAY_S, self.reuse_delay_s) * REUSE_DELAY_MARGIN,
             )
-            self.quarantine_s = max(self.quarantine_s, min(wanted_s, bound_s))
+            self.reuse_delay_s = max(self.reuse_delay_s, min(target_delay_s, max_shared_delay_s))
 
-    def on_reused(self, idle_s: float) -> None:
+    def on_reuse_succeeded(self, idle_s: float) -> None:
         """A connection that had stood idle so long brought a whole response."""
         if idle_s > self.idle_limit_s * IDLE_LIMIT_CUT:
             self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RAISE)
 
-    def on_found_dead(self, idle_s: float) -> None:
+    def on_reuse_failed(self, idle_s: float) -> None:
         """A connection that had stood idle so long was closed before a response began."""
         self.idle_limit_s = max(MIN_IDLE_LIMIT_S, min(self.idle_limit_s, idle_s) * IDLE_LIMIT_CUT)
 
-    def forget(self, endpoint_id: bytes) -> None:
+    def forget_endpoint(self, endpoint_id: bytes) -> None:
         """The upstream is gone; what stands at its address next is another one."""
-        self.endpoint_quarantine_s.pop(endpoint_id, None)
+        self.endpoint_reuse_delays_s.pop(endpoint_id, None)
 
-    def recover(self) -> None:
+    def relax_bounds(self) -> None:
         """Once a second: both bounds come nearer to their defaults."""
         self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RECOVERY)
-        if self.quarantine_s > QUARANTINE_S:
-            self.quarantine_s = max(QUARANTINE_S, self.quarantine_s * QUARANTINE_DECAY)
-        self.endpoint_quarantine_s = {
-            endpoint_id: quarantine_s * QUARANTINE_DECAY
-            for endpoint_id, quarantine_s in self.endpoint_quarantine_s.items()
-            if quarantine_s > QUARANTINE_S
+        if self.reuse_delay_s > DEFAULT_REUSE_DELAY_S:
+            self.reuse_delay_s = max(DEFAULT_REUSE_DELAY_S, self.reuse_delay_s * REUSE_DELAY_DECAY)
+        self.endpoint_reuse_delays_s = {
+            endpoint_id: reuse_delay_s * REUSE_DELAY_DECAY
+            for endpoint_id, reuse_delay_s in self.endpoint_reuse_delays_s.items()
+            if reuse_delay_s > DEFAULT_REUSE_DELAY_S
         }
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -272,12 +272,12 @@
         """The last byte must not be sent later: an upstream forgets an idempotency key after a time."""
         send_by_us = attempt.started_at_us + send_within_us
         attempt.on_connected = partial(self._on_connected, attempt, send_by_us, attempt.on_connected)
-        attempt.send_by_timer = call_after(self.loop, send_within_us, attempt.on_send_by)
+        attempt.send_deadline_timer = call_after(self.loop, send_within_us, attempt.on_send_deadline)
 
     def _on_connected(self, attempt: Attempt, send_by_us: int, then: Callable[[], object]) -> None:
         """The clock is asked too: where the process stood still, the timer is over and has not fired yet."""
         if self.clock.now_us() > send_by_us:
-            attempt.on_send_by()
+            attempt.on_send_deadline()
         else:
             then()
 
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -11,7 +11,7 @@
 MAX_BODY_BYTES = 65_536
 MAX_HEAD_BYTES = 16_384
 MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
-MAX_LENGTH_DIGITS = 9  # of Content-Length and Usage-Percent
+MAX_NUMBER_DIGITS = 9  # of Content-Length and Usage-Percent
 FIRST_FINAL_STATUS = 200
 STATUS_OK = 200
 STATUS_SERVICE_UNAVAILABLE = 503
@@ -21,13 +21,13 @@
 
 LOAD_REPORT_FORMAT = "TEXT"  # what the header's value begins with; figures follow as `name=value, ...`
 # The figures of a load report that the decisions use, by their names in the settings and as plain words.
-LOAD_FIGURES = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
+LOAD_METRIC_FIELDS = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
 MAX_REQUESTS = 10_000.0
 MAX_LOAD_SHARE = 1.5
 MAX_LATENCY_MS = 60_000.0
 MAX_RATE_PER_S = 1e6
 # The most that an upstream can mean by each figure; a greater one is noise.
-MAX_LOAD = {
+MAX_METRIC_VALUES = {
     "concurrent": MAX_REQUESTS,
     "inflight": MAX_REQUESTS,
     "depth": MAX_REQUESTS,
@@ -41,7 +41,7 @@
     "err_ps": MAX_RATE_PER_S,
     "eps": MAX_RATE_PER_S,
 }
-UNKNOWN_FIGURE = -1.0  # no number is as small: an unknown figure is passed over
+UNKNOWN_METRIC_MAX = -1.0  # no number is as small: an unknown figure is passed over
 
 
 class UpstreamResponse:
@@ -71,14 +71,14 @@
     return Outcome.ERROR  # the request may have run
 
 
-def read_load_report(text: bytes) -> LoadReport | None:
+def parse_load_report(text: bytes) -> LoadReport | None:
     """The figures of a load report; those that are unknown, no numbers or too great are passed over.
 
     None where no figure is left, which is no report at all. A figure that no rule reads (`qps=4`) still
     counts, as the upstream does report, and by a readable number: it yields a `LoadReport` without figures,
     which the decisions take for a load of 0.
     """
-    figures: dict[str, float] = {}
+    metrics: dict[str, float] = {}
     for part in text.decode("latin-1").removeprefix(LOAD_REPORT_FORMAT).split(","):
         name, _, value = part.partition("=")
         name = name.strip()
@@ -86,12 +86,12 @@
             number = float(value)
         except ValueError:
             continue
-        if 0 <= number <= MAX_LOAD.get(name, UNKNOWN_FIGURE):
-            figures[name] = number
-    if not figures:
+        if 0 <= number <= MAX_METRIC_VALUES.get(name, UNKNOWN_METRIC_MAX):
+            metrics[name] = number
+    if not metrics:
         return None
     return LoadReport(
-        **{LOAD_FIGURES[name]: number for name, number in figures.items() if name in LOAD_FIGURES}
+        **{LOAD_METRIC_FIELDS[name]: number for name, number in metrics.items() if name in LOAD_METRIC_FIELDS}
     )
 
 
@@ -142,12 +142,12 @@
         key = name.lower()
         if key == b"content-length":
             # A response of gigabytes is refused by its head rather than read up to the limit.
-            if len(value) > MAX_LENGTH_DIGITS or int(value) > MAX_BODY_BYTES:
+            if len(value) > MAX_NUMBER_DIGITS or int(value) > MAX_BODY_BYTES:
                 raise MalformedResponse(f"body over {MAX_BODY_BYTES} bytes")
         elif key == b"endpoint-load-metrics":
-            self.response.load_report = read_load_report(value)
+            self.response.load_report = parse_load_report(value)
         elif key == b"usage-percent":
-            is_number = value.isdigit() and len(value) <= MAX_LENGTH_DIGITS
+            is_number = value.isdigit() and len(value) <= MAX_NUMBER_DIGITS
             self.response.usage_percent = int(value) if is_number else None
         elif key == b"x-never-ran":
             self.response.never_ran = value.strip() == b"1"
--- a/yardlane/proxy/socket_probe.py
+++ b/yardlane/proxy/socket_probe.py
@@ -14,9 +14,9 @@
 
     __slots__ = ("_poll",)
 
-    def __init__(self, file_number: int, events: int) -> None:
+    def __init__(self, file_descriptor: int, events: int) -> None:
         self._poll = select.poll()
-        self._poll.register(file_number, events)
+        self._poll.register(file_descriptor, events)
 
     def pending_events(self) -> int:
         """The events that have occurred, as a mask; 0 for none. Errors and hang-ups are always included."""
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -40,7 +40,7 @@
     """What a connection needs of the pool that opened it."""
 
     loop: asyncio.AbstractEventLoop
-    reuse: ReusePolicy
+    reuse_policy: ReusePolicy
     stall_timeout_s: float
 
     def on_idle(self, connection: UpstreamConnection) -> None:
@@ -74,13 +74,13 @@
 
         One that it does not allow is a fault of this program: it is logged and changes nothing.
         """
-        after = TRANSITIONS[self.state].get(event)
-        if after is None:
+        next_state = TRANSITIONS[self.state].get(event)
+        if next_state is None:
             log.error(
                 "unexpected event %s in state %s of an upstream connection", event.name, self.state.name
             )
             return False
-        self.state = after
+        self.state = next_state
         return True
 
     # For the pool
@@ -92,7 +92,7 @@
             await self.pool.loop.create_connection(lambda: self, *self.address)
         except OSError as error:
             log.warning("no connection to %s:%d: %s", *self.address, error)
-            self._on_broken()
+            self._fail_connection()
         finally:
             timer.cancel()
             self.connect_task = None
@@ -100,16 +100,16 @@
     def _on_connect_timeout(self) -> None:
         if self.transport is None:  # once it is up, its request is sent, and the attempt's deadline counts
             log.warning("no connection to %s:%d: timed out", *self.address)
-            self._fail(Outcome.NOT_CONNECTED)
+            self._close_with_outcome(Outcome.NOT_CONNECTED)
 
-    def carry(self, attempt: Attempt) -> None:
+    def assign(self, attempt: Attempt) -> None:
         """Send the attempt's request, at once or as the connection comes up."""
         self.attempt = attempt
         attempt.connection = self
         if self.transport is not None:
             self._send(self.transport, attempt)
 
-    def is_clean(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether it is open and nothing has come since the last response, also in what is not read yet.
 
         Bytes in the socket's buffer would be taken for the response to the next request; an end of the
@@ -121,7 +121,7 @@
             self.probe = SocketProbe(self.file_descriptor, select.POLLIN | select.POLLRDHUP)
         events = self.probe.pending_events()
         if events == select.POLLIN:  # bytes, and no end of the stream
-            self._on_stray_bytes()
+            self._on_unsolicited_bytes()
         return not events
 
     def close(self) -> None:
@@ -143,14 +143,14 @@
 
         The upstream could get the last byte in that turn, and run a request that is reported as never run.
         """
-        sending = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, self.file_descriptor)
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, self.file_descriptor)
         try:
-            sending.shutdown(socket.SHUT_WR)
+            sock.shutdown(socket.SHUT_WR)
         except OSError as error:
             if error.errno != errno.ENOTCONN:  # reset by the upstream: nothing is sent any more
                 raise
         finally:
-            sending.detach()  # the descriptor is the transport's
+            sock.detach()  # the descriptor is the transport's
 
     # For the attempt
 
@@ -168,7 +168,7 @@
             self.close()
             return
         if self.idle_before_request_s is not None:
-            self.pool.reuse.on_reused(self.idle_before_request_s)
+            self.pool.reuse_policy.on_reuse_succeeded(self.idle_before_request_s)
         if self.closes_after_response:
             self.close()
             return
@@ -194,15 +194,15 @@
 
     # Ends
 
-    def _fail(self, outcome: Outcome) -> None:
+    def _close_with_outcome(self, outcome: Outcome) -> None:
         """End the attempt, if there is one, without a response, and close."""
         if self.attempt is not None:
             self.attempt.finish(outcome)
         self.close()
 
-    def _on_broken(self) -> None:
+    def _fail_connection(self) -> None:
         """The connection is of no more use. Its state says what was sent: an error empties the buffer."""
-        self._fail(Outcome.CONNECTION_LOST if self.may_have_run() else Outcome.NOT_CONNECTED)
+        self._close_with_outcome(Outcome.CONNECTION_LOST if self.may_have_run() else Outcome.NOT_CONNECTED)
 
     def _on_response_begun(self) -> None:
         """A part of a response has come: the rest is due soon."""
@@ -214,15 +214,17 @@
         """Upstreams write a response at once: a rest that is late is not waited for until the deadline."""
         if self.attempt is not None:
             log.warning("a response from %s:%d stalled midway", *self.address)
-            self._fail(Outcome.CONNECTION_LOST)
+            self._close_with_outcome(Outcome.CONNECTION_LOST)
 
     # Stray bytes
 
-    def _on_stray_bytes(self) -> None:
+    def _on_unsolicited_bytes(self) -> None:
         """Bytes have come while the connection was idle."""
-        self.pool.reuse.on_stray_bytes(self.endpoint_id, self.pool.loop.time() - self.idle_since_s)
+        self.pool.reuse_policy.on_unsolicited_bytes(
+            self.endpoint_id, self.pool.loop.time() - self.idle_since_s
+        )
 
-    def _is_premature(self) -> bool:
+    def _are_bytes_premature(self) -> bool:
         """Whether bytes were sent before the request had arrived whole: late ones, for an earlier request.
 
         An upstream begins a request once its last byte has arrived, and what it sends from then on
@@ -239,7 +241,7 @@
         if self.state is not AWAITING or self.idle_before_request_s is None:
             return False  # it answers this request already, or the connection has had no earlier one
         sent_for_s = self.pool.loop.time() - self.idle_since_s - self.idle_before_request_s
-        if sent_for_s >= self.pool.reuse.quarantine_s:
+        if sent_for_s >= self.pool.reuse_policy.reuse_delay_s:
             return False
         unacknowledged = fcntl.ioctl(self.file_descriptor, termios.TIOCOUTQ, NOTHING_UNACKNOWLEDGED)
         return unacknowledged != NOTHING_UNACKNOWLEDGED
@@ -250,8 +252,8 @@
             *self.address,
         )
         if self.idle_before_request_s is not None:
-            self.pool.reuse.on_stray_bytes(self.endpoint_id, self.idle_before_request_s)
-        self._on_broken()
+            self.pool.reuse_policy.on_unsolicited_bytes(self.endpoint_id, self.idle_before_request_s)
+        self._fail_connection()
 
     # Calls of the transport
 
@@ -278,18 +280,18 @@
         is_unanswered = self.attempt is not None and self.state is not RECEIVING
         if is_unanswered and self.idle_before_request_s is not None:
             # Taken for closed while it stood idle; an upstream that ended before it responded looks the same.
-            self.pool.reuse.on_found_dead(self.idle_before_request_s)
-        self._on_broken()
+            self.pool.reuse_policy.on_reuse_failed(self.idle_before_request_s)
+        self._fail_connection()
 
     def data_received(self, data: bytes) -> None:
         """Bytes have come: a part of a response, or bytes that belong to none."""
         attempt = self.attempt
         reader = self.reader
         if attempt is None or reader is None:
-            self._on_stray_bytes()
+            self._on_unsolicited_bytes()
             self.close()
             return
-        if self._is_premature():
+        if self._are_bytes_premature():
             self._on_premature_bytes()
             return
         try:
@@ -298,7 +300,7 @@
             log.warning("malformed response from %s:%d: %s", *self.address, error)
             self.closes_after_response = True
             if not reader.is_complete:  # bytes behind a whole response take nothing from it
-                self._fail(Outcome.CONNECTION_LOST)
+                self._close_with_outcome(Outcome.CONNECTION_LOST)
                 return
         if reader.is_complete:
             self._apply(UpstreamEvent.RESPONSE_ENDED)
--- a/yardlane/proxy/upstream_pool.py
+++ b/yardlane/proxy/upstream_pool.py
@@ -29,7 +29,7 @@
         self.max_connections = max_connections
         self.connect_timeout_s = config.connect_timeout_us / US_PER_S
         self.stall_timeout_s = RESPONSE_STALL_TIMEOUT_S
-        self.reuse = ReusePolicy(config.keepalive_us / US_PER_S)
+        self.reuse_policy = ReusePolicy(config.keepalive_us / US_PER_S)
         self.connections: set[UpstreamConnection] = set()
         # Those of an upstream by its id, not by its address, where another upstream may stand by now. The
         # newest is last.
@@ -39,7 +39,7 @@
     def send(self, attempt: Attempt) -> None:
         """On the newest idle connection that is out of quarantine, else on a new one."""
         if connection := self._take_idle(attempt.endpoint_id):
-            connection.carry(attempt)
+            connection.assign(attempt)
             return
         if len(self.connections) >= self.max_connections and not self._evict_idle():
             log.warning("all %d connections to upstreams are busy", self.max_connections)
@@ -47,7 +47,7 @@
             return
         connection = UpstreamConnection(self, attempt.endpoint_id, attempt.address)
         self.connections.add(connection)
-        connection.carry(attempt)
+        connection.assign(attempt)
         connection.connect_task = self.loop.create_task(connection.connect(self.connect_timeout_s))
 
     def drain_endpoint(self, endpoint_id: bytes) -> None:
@@ -69,7 +69,7 @@
         for connection in list(self.idle.get(endpoint_id, ())):
             connection.close()
         self.drain_endpoint(endpoint_id)
-        self.reuse.forget(endpoint_id)
+        self.reuse_policy.forget_endpoint(endpoint_id)
         for connection in self.connections:
             if connection.endpoint_id == endpoint_id:
                 connection.closes_after_response = True
@@ -96,13 +96,13 @@
         """The newest one that is out of quarantine; those out of quarantine that are of no use are closed."""
         idle = self.idle.get(endpoint_id, [])
         now_s = self.loop.time()
-        quarantine_s = self.reuse.quarantine_of(endpoint_id)
+        reuse_delay_s = self.reuse_policy.reuse_delay_of(endpoint_id)
         for index in range(len(idle) - 1, -1, -1):
-            if idle[index].idle_since_s <= now_s - quarantine_s:
+            if idle[index].idle_since_s <= now_s - reuse_delay_s:
                 connection = idle.pop(index)
                 idle_s = now_s - connection.idle_since_s
                 connection.idle_before_request_s = idle_s
-                if idle_s <= self.reuse.idle_limit_s and connection.is_clean():
+                if idle_s <= self.reuse_policy.idle_limit_s and connection.is_reusable():
                     return connection
                 connection.close()
         return None
@@ -116,8 +116,8 @@
 
     def _maintain(self) -> None:
         self.loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
-        self.reuse.recover()
-        idle_since_min_s = self.loop.time() - self.reuse.idle_limit_s
+        self.reuse_policy.relax_bounds()
+        idle_since_min_s = self.loop.time() - self.reuse_policy.idle_limit_s
         for connections in list(self.idle.values()):
             expired = [connection for connection in connections if connection.idle_since_s < idle_since_min_s]
             for connection in expired:
