--- a/tests/decisions/quota_scenarios.py
+++ b/tests/decisions/quota_scenarios.py
@@ -4,7 +4,7 @@
 from yardlane.decisions.tenant import Tenant
 
 
-def find_tenant(driver: GatewayDriver, number: int, plan: int) -> Tenant:
+def tenant_after_request(driver: GatewayDriver, number: int, plan: int) -> Tenant:
     """A tenant right after a request of it has arrived."""
     driver.ask(tenant=number, quota_plan=plan)
     return driver.gateway.tenants[number, plan]
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.decisions.quota_scenarios import exceed_rate, find_tenant
+from tests.decisions.quota_scenarios import exceed_rate, tenant_after_request
 from tests.gateway_driver import (
     CAPPED,
     CLASSES,
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class InFlight:
+class AttemptInFlight:
     """An attempt of one gateway of a fleet, and when its answer comes."""
 
     ends_at_us: int
@@ -43,10 +43,10 @@
         for driver in self.drivers:
             driver.counts = self.drivers[0].counts
         self.service_us = service_us
-        self.in_flight: deque[InFlight] = deque()
+        self.in_flight: deque[AttemptInFlight] = deque()
         self.forwarded = 0
 
-    def ask(self, now_us: int, rank: int, tenant: int) -> None:
+    def send_request(self, now_us: int, rank: int, tenant: int) -> None:
         """A request at one gateway, after the answers that are due by then."""
         while self.in_flight and self.in_flight[0].ends_at_us <= now_us:
             ended = self.in_flight.popleft()
@@ -56,11 +56,11 @@
         driver.now = now_us
         _, actions = driver.ask(tenant=tenant, quota_plan=0, gateway_count=len(self.drivers))
         for attempt in of_type(StartAttempt, actions):
-            self.in_flight.append(InFlight(now_us + self.service_us, driver, attempt))
+            self.in_flight.append(AttemptInFlight(now_us + self.service_us, driver, attempt))
             self.forwarded += 1
 
 
-def test_requests_past_the_bound_queue_and_leave_with_the_next_free_slot() -> None:
+def test_requests_over_the_concurrency_bound_queue_until_a_slot_is_free() -> None:
     driver = GatewayDriver()
     first, actions = driver.ask(tenant=4, quota_plan=CAPPED)
     endpoint_id = of_type(StartAttempt, actions)[0].endpoint_id
@@ -70,7 +70,7 @@
     assert [a.request_id for a in of_type(StartAttempt, driver.end(first, endpoint_id))] == [queued]
 
 
-def test_a_queued_request_is_rejected_while_the_client_can_still_use_the_answer() -> None:
+def test_queued_request_is_rejected_before_its_latency_objective() -> None:
     driver = GatewayDriver()
     for _ in range(2):
         driver.ask(tenant=4, quota_plan=CAPPED)
@@ -82,21 +82,23 @@
 
 
 @pytest.mark.parametrize(
-    ("service_us", "time_left_us", "longest_us"),
+    ("service_us", "time_left_us", "max_time_us"),
     [
         (100 * MS, 3 * SECOND, 480 * MS),  # 0.6 of what the objective of 900 ms leaves
         (100 * MS, SECOND, 400 * MS),  # 0.4 of the client's own time
         (950 * MS, 3 * SECOND, 0),  # late in any case
     ],
 )
-def test_a_request_queues_for_parts_of_its_times(service_us: int, time_left_us: int, longest_us: int) -> None:
-    assert admission.longest_queueing_us(CLASSES[0], service_us, time_left_us) == longest_us
+def test_max_queueing_time_is_limited_by_objective_and_deadline(
+    service_us: int, time_left_us: int, max_time_us: int
+) -> None:
+    assert admission.max_queueing_time_us(CLASSES[0], service_us, time_left_us) == max_time_us
 
 
-def test_what_is_asked_past_the_capacity_is_rejected_evenly() -> None:
+def test_demand_over_the_capacity_is_rejected_evenly() -> None:
     """Rate 10, burst 20: a decay time of two seconds, with capacity for twenty units of all gateways."""
     driver = GatewayDriver()
-    tenant = find_tenant(driver, 5, RATED)
+    tenant = tenant_after_request(driver, 5, RATED)
     assert tenant.demand.decay_us == 2 * SECOND
     tenant.demand.fleet_demand = 39.9
     tenant.demand.total_received_at_us = driver.now
@@ -107,13 +109,13 @@
     assert sum(bool(attempts) for attempts in forwarded) == 2
 
 
-def test_a_flood_is_held_to_the_rate() -> None:
+def test_sustained_overload_is_limited_to_the_rate() -> None:
     driver = GatewayDriver()
     assert exceed_rate(driver, 8) <= 12
     assert any(isinstance(action, AddToCounter) for _, action in driver.log)
 
 
-def test_the_capacity_holds_what_is_left_of_the_burst_and_no_more() -> None:
+def test_capacity_includes_only_the_rest_of_the_burst() -> None:
     plans = (make_quota_plan(rate_per_s=10.0, burst=40.0),)
     driver = GatewayDriver(gateway_count=1, quota_plans=plans)
     forwarded = sum(driver.serve(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
@@ -128,25 +130,25 @@
     assert 80 <= forwarded <= 120  # of five times the rate, about the rate passes
 
 
-def test_250_gateways_keep_a_limit_of_three() -> None:
+def test_250_gateways_keep_a_concurrency_limit_of_three() -> None:
     """One slot at each gateway, the least bound, added up to more than every limit below their number."""
     fleet = LimitedFleet(gateway_count=250, concurrency_limit=3, service_us=100 * MS)
     in_flight: list[int] = []
     for number in range(3000):  # fifty requests a second of 100 ms: a demand of five
-        fleet.ask(START_US + number * 20 * MS, rank=number * 97 % 250, tenant=4)
+        fleet.send_request(START_US + number * 20 * MS, rank=number * 97 % 250, tenant=4)
         in_flight.append(len(fleet.in_flight))
     steady = in_flight[1000:]
     assert 0.8 <= sum(steady) / len(steady) <= 3.0
 
 
-def test_a_small_limit_is_kept_by_what_is_in_flight_now_not_by_the_last_seconds() -> None:
+def test_small_concurrency_limit_follows_current_load() -> None:
     """With forty gateways a limit of two was kept by a mean over 1.5 s: it was exceeded, or left idle."""
 
-    def forwarded(pause_us: int) -> int:
+    def count_forwarded(interval_us: int) -> int:
         fleet = LimitedFleet(gateway_count=40, concurrency_limit=2, service_us=150 * MS)
         for number in range(120):
-            fleet.ask(START_US + number * pause_us, rank=number * 7 % 40, tenant=3)
+            fleet.send_request(START_US + number * interval_us, rank=number * 7 % 40, tenant=3)
         return fleet.forwarded
 
-    assert forwarded(SECOND) >= 118  # one at a time, each long over when the next one comes
-    assert forwarded(20 * MS) <= 30  # fifty a second that take 0.15 s each would keep seven in flight
+    assert count_forwarded(SECOND) >= 118  # one at a time, each long over when the next one comes
+    assert count_forwarded(20 * MS) <= 30  # fifty a second that take 0.15 s each would keep seven in flight
--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -5,7 +5,7 @@
 from yardlane.decisions.concurrency import MAX_CLASS_LIMIT_RATIO, ConcurrencyLimit
 
 
-def test_late_answers_narrow_the_limit_down_to_pacing() -> None:
+def test_late_responses_lower_the_limit_until_attempts_are_paced() -> None:
     """With 168 gateways the endpoints were driven to answers that took four seconds.
 
     Each gateway had a limit of at least one attempt, too much in all. Below one, attempts are paced.
@@ -21,7 +21,7 @@
     assert not of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])
 
 
-def test_answers_in_time_widen_the_limit_again() -> None:
+def test_prompt_responses_raise_the_limit() -> None:
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     driver.gateway.concurrency.limit = 0.1
     for _ in range(200):
@@ -30,7 +30,7 @@
     assert driver.gateway.concurrency.limit >= driver.gateway.concurrency.base_limit
 
 
-def test_the_limit_follows_the_number_of_endpoints() -> None:
+def test_limit_scales_with_the_number_of_endpoints() -> None:
     concurrency = ConcurrencyLimit(make_settings(gateway_count=3))
     concurrency.set_endpoint_count(6)
     assert concurrency.base_limit == 4.0
@@ -39,7 +39,7 @@
     assert concurrency.base_limit == 8.0 and concurrency.limit == 2 * before
 
 
-def test_a_class_of_more_value_gets_a_wider_limit_within_bounds() -> None:
+def test_class_with_more_weight_per_time_gets_a_higher_limit_up_to_a_maximum() -> None:
     concurrency = ConcurrencyLimit(make_settings())
     concurrency.limit = 4.0
     for _ in range(5):
@@ -51,7 +51,7 @@
     assert not concurrency.admits(100.0, 100 * MS, 0)
 
 
-def test_below_one_attempts_are_paced() -> None:
+def test_attempts_are_paced_when_the_limit_is_below_one() -> None:
     concurrency = ConcurrencyLimit(make_settings())
     concurrency.limit = 0.5
     concurrency.record_sent(10 * SECOND)
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.decisions.quota_scenarios import exceed_rate, find_tenant
+from tests.decisions.quota_scenarios import exceed_rate, tenant_after_request
 from tests.gateway_driver import MS, RATED, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.counter_polling import CountingPeriods
@@ -17,7 +17,7 @@
     return len(of_type(AddToCounter, [action for _, action in driver.log[log_start:]]))
 
 
-def test_the_periods_of_a_count_follow_each_other_and_have_keys_of_their_own() -> None:
+def test_periods_are_consecutive_and_have_different_keys() -> None:
     periods = CountingPeriods(tenant=9, tenant_key=37, decay_us=2.0 * SECOND)
     assert periods.period_us == 16 * SECOND
     index = periods.index_at(77 * SECOND)
@@ -27,12 +27,12 @@
     assert periods.counter_key(index) != periods.counter_key(index + 1)
 
 
-def test_the_periods_of_different_tenants_start_at_different_times() -> None:
+def test_periods_of_different_tenants_start_at_different_times() -> None:
     starts = {CountingPeriods(tenant, tenant, 2.0 * SECOND).start_us(0) for tenant in range(100)}
     assert len(starts) == 100
 
 
-def test_a_tenant_with_a_valid_total_needs_few_polls() -> None:
+def test_tenant_with_a_valid_total_is_polled_rarely() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 10)
     log_start = len(driver.log)
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("failure", [Outcome.REJECTED, Outcome.TIMED_OUT])
-def test_failing_polls_are_made_less_often(failure: Outcome) -> None:
+def test_failing_counter_is_polled_less_often(failure: Outcome) -> None:
     """174 gateways polled for each request, four times what the counter could take, so that it stayed late
     and no gateway got a total any more.
     """
@@ -54,7 +54,7 @@
     assert count_polls(driver) <= 100
 
 
-def test_a_poll_under_backoff_stands_for_those_that_were_not_made() -> None:
+def test_poll_under_backoff_is_scaled_up_for_skipped_polls() -> None:
     driver = GatewayDriver(gateway_count=250)
     driver.gateway.polling.backoff_factor = 4.0
     for number in range(1000):
@@ -68,17 +68,17 @@
     assert 0.7 * 1000 < reported / mean_weight < 1.4 * 1000
 
 
-def test_demand_that_was_surely_not_added_is_reported_later() -> None:
+def test_demand_is_reported_again_after_a_rejected_poll_but_not_after_a_timeout() -> None:
     """After a time-out the counter may have added it; reported again, it would count twice."""
     driver = GatewayDriver()
     driver.counter_answers = False
     driver.counter_failure = Outcome.REJECTED
-    assert find_tenant(driver, 5, RATED).demand.unreported_demand == 1.0
+    assert tenant_after_request(driver, 5, RATED).demand.unreported_demand == 1.0
     driver.counter_failure = Outcome.TIMED_OUT
-    assert find_tenant(driver, 6, RATED).demand.unreported_demand == 0.0
+    assert tenant_after_request(driver, 6, RATED).demand.unreported_demand == 0.0
 
 
-def test_a_counter_that_fails_some_polls_is_polled_on_and_one_that_fails_all_is_spared() -> None:
+def test_backoff_stays_low_with_some_failed_polls_and_grows_when_all_fail() -> None:
     def backoff_factor(is_answered: Callable[[int], bool]) -> float:
         driver = GatewayDriver(gateway_count=2)
         for number in range(200):
@@ -91,26 +91,26 @@
     assert backoff_factor(lambda number: False) > 10.0
 
 
-def test_a_counter_that_answers_late_is_polled_less_until_it_answers_in_time() -> None:
+def test_late_counter_is_polled_less_often_until_it_recovers() -> None:
     """Forty gateways kept a counter just over what it can serve, and over half of all polls timed out."""
     driver = GatewayDriver(gateway_count=2)
 
-    def polls(answer_us: int) -> int:
-        driver.counter_answer_us = answer_us
+    def count_polls_with_reply_time(reply_us: int) -> int:
+        driver.counter_answer_us = reply_us
         log_start = len(driver.log)
         for number in range(200):
             driver.serve(tenant=number % 5, quota_plan=RATED, gateway_count=40)
             driver.run(100 * MS)
         return count_polls(driver, log_start)
 
-    prompt_polls = polls(MS)
-    assert polls(make_settings().counter_timeout_us * 3 // 4) < prompt_polls / 2
-    polls(MS)
-    assert polls(MS) >= prompt_polls * 0.8
+    prompt_polls = count_polls_with_reply_time(MS)
+    assert count_polls_with_reply_time(make_settings().counter_timeout_us * 3 // 4) < prompt_polls / 2
+    count_polls_with_reply_time(MS)
+    assert count_polls_with_reply_time(MS) >= prompt_polls * 0.8
     assert driver.gateway.polling.backoff_factor < 1.01
 
 
-def test_unreported_demand_is_not_multiplied_by_polls_that_added_nothing() -> None:
+def test_failed_polls_do_not_multiply_unreported_demand() -> None:
     driver = GatewayDriver(gateway_count=2)
     driver.counter_answers = False
     driver.counter_failure = Outcome.NOT_CONNECTED
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class CounterStep:
+class CounterEvent:
     """A poll under way: at `due_us` the counter adds it or, if `elapsed_us` is set, its answer arrives."""
 
     due_us: int
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Answer:
+class PendingResponse:
     """An answer of an endpoint under way to a gateway."""
 
     due_us: int
@@ -45,7 +45,7 @@
 
     def __init__(self, counts: dict[int, float], random: Random, **changes: Any) -> None:
         self.random = random
-        self.counter_steps: list[CounterStep] = []
+        self.counter_events: list[CounterEvent] = []
         super().__init__(endpoints=10, counter_timeout_us=COUNTER_TIMEOUT_US, **changes)
         self.counts = counts
 
@@ -54,25 +54,25 @@
         added_at_us = self.now + elapsed_us // 2
         if self.random.random() < 0.02:
             elapsed_us = COUNTER_TIMEOUT_US
-        self.counter_steps.append(CounterStep(added_at_us, 0, call))
-        self.counter_steps.append(CounterStep(self.now + elapsed_us, elapsed_us, call))
+        self.counter_events.append(CounterEvent(added_at_us, 0, call))
+        self.counter_events.append(CounterEvent(self.now + elapsed_us, elapsed_us, call))
         return []
 
     def run_counter(self) -> None:
         """Half way the counter adds, then its answer arrives."""
-        due = [step for step in self.counter_steps if step.due_us <= self.now]
-        for step in sorted(due, key=lambda step: (step.due_us, step.elapsed_us)):
-            self.counter_steps.remove(step)
-            key = step.poll.counter_key
-            if not step.elapsed_us:
-                self.counts[key] = self.counts.get(key, 0.0) + step.poll.amount
+        due = [event for event in self.counter_events if event.due_us <= self.now]
+        for event in sorted(due, key=lambda event: (event.due_us, event.elapsed_us)):
+            self.counter_events.remove(event)
+            key = event.poll.counter_key
+            if not event.elapsed_us:
+                self.counts[key] = self.counts.get(key, 0.0) + event.poll.amount
                 continue
-            is_lost = step.elapsed_us == COUNTER_TIMEOUT_US
+            is_lost = event.elapsed_us == COUNTER_TIMEOUT_US
             outcome = Outcome.TIMED_OUT if is_lost else Outcome.OK
-            self.give(CounterResult(key, outcome, self.counts[key], step.elapsed_us))
+            self.give(CounterResult(key, outcome, self.counts[key], event.elapsed_us))
 
 
-class HardRateDay:
+class HardRateSimulation:
     """One tenant's requests to all gateways, and beside them the bucket as one who saw all would know it."""
 
     def __init__(self, seed: int, gateway_count: int) -> None:
@@ -81,11 +81,11 @@
         self.now = START_US
         self.counts: dict[int, float] = {}
         self.drivers = [self.start_gateway(rank) for rank in range(gateway_count)]
-        self.restarts_at_us: dict[int, int] = {}
-        self.units_asked: dict[tuple[SlowCounterDriver, int], float] = {}
-        self.answers: list[Answer] = []
+        self.restart_times_us: dict[int, int] = {}
+        self.units_by_request: dict[tuple[SlowCounterDriver, int], float] = {}
+        self.pending_responses: list[PendingResponse] = []
         self.units_left = PLAN.hard_rate_depth
-        self.least_units_left = PLAN.hard_rate_depth
+        self.min_units_left = PLAN.hard_rate_depth
         self.units_forwarded = 0.0
 
     def start_gateway(self, rank: int) -> SlowCounterDriver:
@@ -100,63 +100,67 @@
             quota_plans=(PLAN,),
         )
 
-    def stop_gateway(self, rank: int, away_us: int = 150 * MS) -> None:
+    def stop_gateway(self, rank: int, downtime_us: int = 150 * MS) -> None:
         """End a gateway's process, to be restarted after this time."""
-        self.answers = [answer for answer in self.answers if answer.driver is not self.drivers[rank]]
-        self.restarts_at_us[rank] = self.now + away_us
+        self.pending_responses = [
+            response for response in self.pending_responses if response.driver is not self.drivers[rank]
+        ]
+        self.restart_times_us[rank] = self.now + downtime_us
 
     def step(self, units_per_s: float) -> None:
         """Let one step of time pass, with requests of about so many units."""
         self.now += STEP_US
         filled = self.units_left + PLAN.hard_rate_per_s * STEP_US / SECOND
         self.units_left = min(PLAN.hard_rate_depth, filled)
-        for rank in [rank for rank, at_us in self.restarts_at_us.items() if at_us <= self.now]:
-            del self.restarts_at_us[rank]
+        for rank in [rank for rank, at_us in self.restart_times_us.items() if at_us <= self.now]:
+            del self.restart_times_us[rank]
             self.drivers[rank] = self.start_gateway(rank)
-        running = [d for rank, d in enumerate(self.drivers) if rank not in self.restarts_at_us]
+        running = [d for rank, d in enumerate(self.drivers) if rank not in self.restart_times_us]
         for driver in running:
             driver.run(self.now - driver.now)
         while self.random.random() < units_per_s * STEP_US / SECOND / 1.5:
-            self.ask(self.random.choices(running)[0], self.random.choice((1.0, 2.0)))
+            self.send_request(self.random.choices(running)[0], self.random.choice((1.0, 2.0)))
         for driver in running:
             driver.run_counter()
-            for answer in [a for a in self.answers if a.driver is driver and a.due_us <= self.now]:
-                self.answers.remove(answer)
-                driver.end(answer.attempt.request_id, answer.attempt.endpoint_id, attempt_index=0)
+            for response in [
+                r for r in self.pending_responses if r.driver is driver and r.due_us <= self.now
+            ]:
+                self.pending_responses.remove(response)
+                driver.end(response.attempt.request_id, response.attempt.endpoint_id, attempt_index=0)
             self.record_forwarded(driver)
 
-    def ask(self, driver: SlowCounterDriver, units: float) -> None:
+    def send_request(self, driver: SlowCounterDriver, units: float) -> None:
         """A request at this gateway."""
-        self.units_asked[driver, driver.next_request] = units
+        self.units_by_request[driver, driver.next_request] = units
         driver.ask(tenant=4, quota_plan=0, units=units, gateway_count=self.gateway_count, time_left_us=SECOND)
 
     def record_forwarded(self, driver: SlowCounterDriver) -> None:
         """Take what a gateway forwarded off the true bucket; only a first attempt takes units."""
         for attempt in of_type(StartAttempt, [action for _, action in driver.log]):
-            units = self.units_asked.pop((driver, attempt.request_id), 0.0)
+            units = self.units_by_request.pop((driver, attempt.request_id), 0.0)
             self.units_left -= units
             self.units_forwarded += units
-            self.least_units_left = min(self.least_units_left, self.units_left)
-            answered_at_us = self.now + self.random.choice((40, 80, 150)) * MS
-            self.answers.append(Answer(answered_at_us, driver, attempt))
+            self.min_units_left = min(self.min_units_left, self.units_left)
+            response_at_us = self.now + self.random.choice((40, 80, 150)) * MS
+            self.pending_responses.append(PendingResponse(response_at_us, driver, attempt))
         driver.log.clear()
 
 
-def play_bursts(day: HardRateDay, stop_every_us: int) -> float:
+def simulate_bursts(simulation: HardRateSimulation, stop_every_us: int) -> float:
     """Three seconds of rest and three of a burst, in turn; the share used of what the hard rate allows.
 
     During bursts one gateway after another stops and is back soon, one in `stop_every_us` (0: none).
     """
-    while (age_us := day.now - START_US) < 20 * SECOND:
+    while (age_us := simulation.now - START_US) < 20 * SECOND:
         is_burst = age_us // (3 * SECOND) % 2 == 1
         if is_burst and stop_every_us and age_us % stop_every_us == 0:
-            day.stop_gateway(age_us // stop_every_us % day.gateway_count)
-        day.step(32.0 if is_burst else 5.0)
-    return day.units_forwarded / (PLAN.hard_rate_depth + 20 * PLAN.hard_rate_per_s)
+            simulation.stop_gateway(age_us // stop_every_us % simulation.gateway_count)
+        simulation.step(32.0 if is_burst else 5.0)
+    return simulation.units_forwarded / (PLAN.hard_rate_depth + 20 * PLAN.hard_rate_per_s)
 
 
 @pytest.mark.parametrize(
-    ("gateway_count", "stop_every_us", "first_seed", "least_used"),
+    ("gateway_count", "stop_every_us", "first_seed", "min_used_share"),
     [
         (3, 0, 10, 0.48),
         (4, 0, 5, 0.48),
@@ -165,19 +169,19 @@
         (6, 1500 * MS, 20, 0.43),
     ],
 )
-def test_a_hard_rate_holds_while_bursts_begin_and_gateways_restart(
-    gateway_count: int, stop_every_us: int, first_seed: int, least_used: float
+def test_hard_rate_holds_during_bursts_and_gateway_restarts(
+    gateway_count: int, stop_every_us: int, first_seed: int, min_used_share: float
 ) -> None:
     """Gateways set their shares by totals of different times, and each moved depth as well as rate. All
     shares together were more than one, and the bucket was overdrawn.
     """
-    days = [HardRateDay(seed, gateway_count) for seed in range(first_seed, first_seed + 5)]
-    used = sum(play_bursts(day, stop_every_us) for day in days) / len(days)
-    assert min(day.least_units_left for day in days) >= -PLAN.hard_rate_slack
-    assert used >= least_used  # not kept by rejecting all
+    simulations = [HardRateSimulation(seed, gateway_count) for seed in range(first_seed, first_seed + 5)]
+    used = sum(simulate_bursts(simulation, stop_every_us) for simulation in simulations) / len(simulations)
+    assert min(simulation.min_units_left for simulation in simulations) >= -PLAN.hard_rate_slack
+    assert used >= min_used_share  # not kept by rejecting all
 
 
-def forwarded_at_start(remote_demand: float, counter_answers: bool = True) -> int:
+def count_forwarded_at_start(remote_demand: float, counter_answers: bool = True) -> int:
     """How many of ten requests are forwarded at once right after a start, with a share of ten units."""
     plan = make_quota_plan(
         rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
@@ -189,10 +193,10 @@
     return sum(bool(attempts) for attempts in forwarded)
 
 
-def test_a_first_total_releases_half_of_the_bucket_unless_the_tenant_floods() -> None:
+def test_first_total_fills_half_of_the_bucket_unless_demand_is_high() -> None:
     """Many gateways started with an empty bucket, and a hard rate rejected most of the first seconds."""
-    assert forwarded_at_start(0.0) in (2, 3, 4, 5)
-    assert forwarded_at_start(1e4) == forwarded_at_start(0.0, counter_answers=False) == 0
+    assert count_forwarded_at_start(0.0) in (2, 3, 4, 5)
+    assert count_forwarded_at_start(1e4) == count_forwarded_at_start(0.0, counter_answers=False) == 0
 
 
 TEN_GATEWAYS_PLAN = make_quota_plan(
@@ -200,7 +204,7 @@
 )
 
 
-def ask_steadily(driver: GatewayDriver, seconds: int, every_us: int) -> int:
+def send_steadily(driver: GatewayDriver, seconds: int, every_us: int) -> int:
     """One request of one unit every so often, answered by the next one; the number forwarded."""
     forwarded = 0
     for _ in range(seconds * SECOND // every_us):
@@ -213,11 +217,11 @@
     return forwarded
 
 
-def test_the_rate_follows_the_demand_and_returns_to_even_shares_in_silence() -> None:
+def test_rate_share_follows_demand_and_returns_to_even_without_totals() -> None:
     """Of ten gateways a busy one had a tenth of the hard rate, far less than its part of the quota."""
     driver = GatewayDriver(gateway_count=10, quota_plans=(TEN_GATEWAYS_PLAN,))
-    ask_steadily(driver, 4, 200 * MS)
-    assert ask_steadily(driver, 10, 200 * MS) > 40  # alone it gets 5 units a second of a quota of 6
+    send_steadily(driver, 4, 200 * MS)
+    assert send_steadily(driver, 10, 200 * MS) > 40  # alone it gets 5 units a second of a quota of 6
     bucket = driver.gateway.tenants[4, 0].hard_rate
     assert bucket.rate_share(driver.now) > 0.3  # three even shares
     driver.counter_answers = False
@@ -225,7 +229,7 @@
     assert bucket.rate_share(driver.now) < 0.11
 
 
-def test_a_hard_rate_holds_over_ten_gateways_whose_demand_moves() -> None:
+def test_hard_rate_holds_when_demand_moves_between_gateways() -> None:
     """All poll one counter; the demand jumps from one gateway to another, as the busy ones of a fleet do."""
     plan = TEN_GATEWAYS_PLAN
     drivers = [
@@ -254,12 +258,14 @@
         assert units_left >= -plan.hard_rate_slack
 
 
-def test_a_gateway_that_does_not_serve_a_tenant_has_no_share_of_its_hard_rate() -> None:
-    shares = [compute_even_share(rank, first_gateway=4, gateway_count=3, all_gateways=6) for rank in range(6)]
+def test_even_share_is_zero_for_gateways_that_do_not_serve_the_tenant() -> None:
+    shares = [
+        compute_even_share(rank, first_gateway=4, gateway_count=3, total_gateway_count=6) for rank in range(6)
+    ]
     assert shares == [1 / 3, 0.0, 0.0, 0.0, 1 / 3, 1 / 3]
 
 
-def test_the_bucket_fills_by_its_share_and_never_beyond_its_depth() -> None:
+def test_bucket_fills_at_its_share_of_the_rate_up_to_its_depth() -> None:
     demand = TenantDemand(PLAN, gateway_count=2, counter_timeout_us=COUNTER_TIMEOUT_US, now_us=0)
     bucket = HardRateBucket(PLAN, demand, even_share=0.5, uptime_us=0, now_us=0)
     assert bucket.units == 0.5 * PLAN.hard_rate_slack / 2
@@ -271,7 +277,7 @@
     assert bucket.units == 0.5 * PLAN.hard_rate_depth and bucket.is_full()
 
 
-def test_a_hard_rate_holds_over_restarts_without_a_counter() -> None:
+def test_hard_rate_holds_over_restarts_without_a_counter() -> None:
     forwarded = 0
     for _ in range(3):
         driver = GatewayDriver(has_shared_counter=False)
@@ -281,7 +287,7 @@
     assert forwarded <= 3
 
 
-def test_a_bucket_fills_at_this_gateways_share_of_the_hard_rate() -> None:
+def test_gateway_forwards_at_its_share_of_the_hard_rate() -> None:
     driver = GatewayDriver()
     for _ in range(40):
         driver.ask(quota_plan=HARD_RATED)
@@ -290,7 +296,7 @@
     assert 1 <= len(forwarded) <= 3
 
 
-def test_a_gateway_that_does_not_serve_a_tenant_forwards_nothing_of_a_hard_rate() -> None:
+def test_gateway_that_does_not_serve_a_tenant_forwards_nothing_under_a_hard_rate() -> None:
     driver = GatewayDriver(rank=2)
     actions = driver.give(RequestArrived(1, 4, HARD_RATED, IDEMPOTENT, SECOND, 1.0, 0, 2))
     assert not of_type(StartAttempt, actions)
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -27,7 +27,7 @@
 SERVICE_US = 50 * MS
 
 
-class RateDay:
+class SharedRateSimulation:
     """One tenant's day over all gateways, and its burst as one who saw all would know it."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
@@ -48,8 +48,8 @@
         self.counts: dict[int, float] = {}
         self.order = count()
         self.events: list[tuple[int, int, int, Event]] = []  # time, order of equal times, rank, event
-        self.within = 0
-        self.beyond = 0
+        self.within_quota = 0
+        self.beyond_quota = 0
         endpoints = tuple(make_endpoint(number) for number in range(10))
         for rank in range(GATEWAYS):
             self.schedule(0, rank, EndpointListUpdate(UpdateKind.CACHED, 1, endpoints))
@@ -58,14 +58,14 @@
         """Let an event happen to a gateway."""
         heapq.heappush(self.events, (at_us, next(self.order), rank, event))
 
-    def play(self) -> None:
+    def run(self) -> None:
         """All events, and those that follow from them."""
         while self.events:
             now, _, rank, event = heapq.heappop(self.events)
             for action in self.gateways[rank].handle(now + START_US, [event]):
-                self.do(now, rank, action)
+                self.carry_out(now, rank, action)
 
-    def do(self, now: int, rank: int, action: Action) -> None:
+    def carry_out(self, now: int, rank: int, action: Action) -> None:
         """What an action brings about."""
         if isinstance(action, AddToCounter):
             key = action.counter_key
@@ -76,52 +76,52 @@
         elif isinstance(action, SetTimer):
             self.schedule(now + max(1, action.delay_us), rank, TimerFired(action.token))
         elif isinstance(action, StartAttempt):
-            self.take_unit(now)
+            self.record_forwarded(now)
             ended = AttemptEnded(action.request_id, 0, action.endpoint_id, Outcome.OK, SERVICE_US, True)
             self.schedule(now + SERVICE_US, rank, ended)
 
-    def take_unit(self, now: int) -> None:
+    def record_forwarded(self, now: int) -> None:
         """Count a forwarded request as within or beyond the quota."""
         inflow = self.rate_per_s * (now - self.refilled_at_us) / SECOND
         self.refilled_at_us = now
         self.units_left = min(self.burst, self.units_left + inflow)
         if self.units_left >= 1.0:
             self.units_left -= 1.0
-            self.within += 1
+            self.within_quota += 1
         else:
-            self.beyond += 1
+            self.beyond_quota += 1
 
 
 @pytest.mark.parametrize(
-    ("rate_per_s", "burst", "usual_load", "spike_load", "most_beyond"),
+    ("rate_per_s", "burst", "normal_load", "spike_load", "max_excess_share"),
     [  # loads as multiples of the rate; beyond as a share of within
         (22.0, 44.0, 3.0, 3.0, 0.25),  # several times the rate, all day
         (22.0, 44.0, 0.5, 5.0, 0.15),  # and for 2.5 s in 20 s
         (1.3, 5.2, 3.0, 3.0, 0.35),  # so seldom that a gateway has forgotten it by the next request
     ],
 )
-def test_a_large_fleet_forwards_little_beyond_a_rate(
-    rate_per_s: float, burst: float, usual_load: float, spike_load: float, most_beyond: float
+def test_large_fleet_forwards_little_beyond_the_rate(
+    rate_per_s: float, burst: float, normal_load: float, spike_load: float, max_excess_share: float
 ) -> None:
     """Each gateway's own estimate of the burst filled up again between two of its requests, so that all
     together forwarded 0.44 to 0.57 of the quota beyond it.
     """
-    within = 0
-    beyond = 0
+    within_quota = 0
+    beyond_quota = 0
     for seed in range(3):
         random = Random(seed)
-        day = RateDay(rate_per_s, burst)
+        simulation = SharedRateSimulation(rate_per_s, burst)
         at_s = 0.0
         for number in count(1):
-            load = spike_load if at_s % 20 < 2.5 else usual_load
+            load = spike_load if at_s % 20 < 2.5 else normal_load
             at_s += random.expovariate(rate_per_s * load)
             if at_s > DURATION_S:
                 break
             arrived = RequestArrived(number, 9, 0, 0, SECOND, 1.0, 0, GATEWAYS)
-            day.schedule(int(at_s * SECOND), random.randrange(GATEWAYS), arrived)
-        day.play()
-        within += day.within
-        beyond += day.beyond
-    assert beyond <= most_beyond * within, (within, beyond)
-    quota = 3 * (burst + rate_per_s * min(1.0, usual_load) * DURATION_S)  # of the three days, about
-    assert within >= 0.85 * quota, (within, quota)
+            simulation.schedule(int(at_s * SECOND), random.randrange(GATEWAYS), arrived)
+        simulation.run()
+        within_quota += simulation.within_quota
+        beyond_quota += simulation.beyond_quota
+    assert beyond_quota <= max_excess_share * within_quota, (within_quota, beyond_quota)
+    quota = 3 * (burst + rate_per_s * min(1.0, normal_load) * DURATION_S)  # of the three days, about
+    assert within_quota >= 0.85 * quota, (within_quota, quota)
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.decisions.quota_scenarios import exceed_rate, find_tenant
+from tests.decisions.quota_scenarios import exceed_rate, tenant_after_request
 from tests.gateway_driver import (
     CAPPED,
     MS,
@@ -18,7 +18,7 @@
 from yardlane.decisions.quota import TenantDemand, split_concurrency_limit
 
 
-def bound_after(remote_demand: float) -> int:
+def bound_with_remote_demand(remote_demand: float) -> int:
     """The bound after requests here, while the other gateways have added so much to the same count."""
     driver = GatewayDriver()
     driver.remote_demand = remote_demand
@@ -28,7 +28,7 @@
     return driver.gateway.tenants[4, CAPPED].concurrency_bound
 
 
-def test_the_bound_starts_at_an_even_share_of_the_limit() -> None:
+def test_concurrency_bound_starts_at_an_even_share_of_the_limit() -> None:
     driver = GatewayDriver()
     driver.counter_answers = False
     forwarded = [of_type(StartAttempt, driver.ask(tenant=4, quota_plan=CAPPED)[1]) for _ in range(5)]
@@ -47,14 +47,12 @@
         (0.2, 12.0, 1),
     ],
 )
-def test_a_limit_of_six_is_split_over_three_gateways_by_demand(
-    local_demand: float, fleet_demand: float, bound: int
-) -> None:
+def test_concurrency_limit_is_split_by_demand(local_demand: float, fleet_demand: float, bound: int) -> None:
     assert split_concurrency_limit(6, 3, local_demand, fleet_demand) == bound
 
 
-def test_the_bound_follows_the_fleets_total() -> None:
-    assert bound_after(0.0) > bound_after(1e4) == 1
+def test_concurrency_bound_shrinks_when_remote_demand_grows() -> None:
+    assert bound_with_remote_demand(0.0) > bound_with_remote_demand(1e4) == 1
 
 
 def test_local_demand_decays_and_is_unreported_until_a_poll() -> None:
@@ -67,7 +65,7 @@
     assert demand.unreported_demand == 5.0
 
 
-def test_the_estimate_follows_the_local_demand_between_two_totals() -> None:
+def test_fleet_estimate_scales_with_local_demand_between_totals() -> None:
     plan = make_quota_plan(rate_per_s=10.0, burst=20.0)
     demand = TenantDemand(plan, gateway_count=3, counter_timeout_us=40 * MS, now_us=0)
     demand.add(10.0, 0)
@@ -78,9 +76,9 @@
     assert demand.estimate_fleet_demand(1.0) == pytest.approx(2 * (12.0 + 0.5 * 20.0))
 
 
-def test_a_total_decays_and_a_new_period_starts_from_the_last_one() -> None:
+def test_fleet_demand_carries_over_into_a_new_period_and_decays() -> None:
     driver = GatewayDriver()
-    tenant = find_tenant(driver, 5, RATED)
+    tenant = tenant_after_request(driver, 5, RATED)
     index = tenant.periods.index_at(driver.now)
     start_us = tenant.periods.start_us(index)
     demand = tenant.demand
@@ -92,7 +90,7 @@
     assert demand.fleet_demand == pytest.approx(1.0 + 12.0 * math.exp(-4.0))
 
 
-def test_a_silent_counter_does_not_open_the_quota() -> None:
+def test_quota_holds_when_the_counter_stops_answering() -> None:
     """The chance of rejection was kept for seconds only after the last total; then a burst passed whole."""
     driver = GatewayDriver()
     exceed_rate(driver, 6)
@@ -100,13 +98,13 @@
     assert exceed_rate(driver, 15) <= 12
 
 
-def test_without_any_counter_a_quota_still_holds() -> None:
+def test_quota_holds_without_a_counter() -> None:
     driver = GatewayDriver(has_shared_counter=False)
     assert exceed_rate(driver, 10) <= 6  # its even share: the others are taken to get as many requests
     assert not any(isinstance(action, AddToCounter) for _, action in driver.log)
 
 
-def test_a_counter_that_loses_its_counts_does_not_open_the_quota() -> None:
+def test_quota_holds_when_the_counter_loses_its_counts() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 6)
     for _ in range(3):
@@ -114,7 +112,7 @@
         assert exceed_rate(driver, 1) <= 14
 
 
-def test_before_the_first_total_demand_is_estimated_from_what_came_here() -> None:
+def test_quota_holds_in_a_large_fleet_before_the_first_total() -> None:
     """With the counter overloaded, each of 200 gateways admitted a heavy tenant, again and again."""
     driver = GatewayDriver(endpoints=100, gateway_count=200)
     driver.counter_answers = False
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -6,7 +6,7 @@
 SMALL_PLAN = make_quota_plan(rate_per_s=1.0, burst=2.0)
 
 
-def test_a_rejection_goes_out_at_once_and_says_when_to_return() -> None:
+def test_rejection_is_immediate_and_carries_retry_after() -> None:
     """No rejection said when to come back, so clients came again at once, to be rejected again."""
     driver = GatewayDriver(quota_plans=(SMALL_PLAN,))
     for _ in range(40):
@@ -19,7 +19,7 @@
     assert retry_after_us < driver.gateway.service_times.mean_us[0]  # later, the retry could not be in time
 
 
-def test_no_retry_after_where_the_settings_allow_none() -> None:
+def test_no_retry_after_when_the_settings_disable_it() -> None:
     driver = GatewayDriver(quota_plans=(SMALL_PLAN,), may_send_retry_after=False)
     rejections = [r for _ in range(40) for r in of_type(Reject, driver.ask(quota_plan=0)[1])]
     assert rejections and all(rejection.retry_after_us == 0 for rejection in rejections)
--- a/tests/decisions/test_tenant.py
+++ b/tests/decisions/test_tenant.py
@@ -3,7 +3,7 @@
 from tests.gateway_driver import HARD_RATED, MS, RATED, SECOND, GatewayDriver
 
 
-def test_an_idle_tenant_is_forgotten_only_once_its_part_of_the_hard_rate_is_full() -> None:
+def test_idle_tenant_is_evicted_only_once_its_hard_rate_bucket_is_full() -> None:
     driver = GatewayDriver()
     driver.run(5 * SECOND)
     assert driver.serve(tenant=6, quota_plan=HARD_RATED)
@@ -19,7 +19,7 @@
     assert set(driver.gateway.tenants) == {(7, RATED)}
 
 
-def test_tenants_that_come_once_do_not_fill_the_memory() -> None:
+def test_tenants_with_a_single_request_do_not_accumulate() -> None:
     """A tenant that comes again and again must not keep the idle ones behind it from being forgotten."""
     driver = GatewayDriver(gateway_count=2)
     driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
@@ -32,7 +32,7 @@
     assert not driver.gateway.requests and not len(driver.gateway.polling) and len(driver.gateway.timers) < 10
 
 
-def test_a_request_that_names_another_plan_leaves_the_tenants_plan_alone() -> None:
+def test_tenant_under_another_plan_is_kept_as_a_separate_tenant() -> None:
     driver = GatewayDriver()
     driver.serve(tenant=9, quota_plan=HARD_RATED, units=1.0)
     driver.serve(tenant=9, quota_plan=RATED)
--- a/yardlane/decisions/burst.py
+++ b/yardlane/decisions/burst.py
@@ -17,7 +17,7 @@
 from yardlane.decisions.units import SECOND_US
 
 MAX_FLEET_RATIO = 2.0  # gateway counts by which what is forwarded here is multiplied, at most
-OVERDRAFT_SHARE = 0.5  # of the burst by which the bucket may be overdrawn: bounds how long it recovers
+MAX_OVERDRAFT_SHARE = 0.5  # of the burst by which the bucket may be overdrawn: bounds how long it recovers
 MIN_DEMAND = 1e-9  # keeps a ratio finite where the local demand has decayed to nothing
 
 
@@ -42,13 +42,13 @@
         """Units of the burst that are left while the fleet has this demand."""
         if not self._demand.is_in_large_fleet:
             return self._units
-        beyond_rate = max(0.0, fleet_demand - self._plan.rate_per_s * self._demand.decay_us / SECOND_US)
-        return min(self._units, max(0.0, self._plan.burst - beyond_rate))
+        demand_over_rate = max(0.0, fleet_demand - self._plan.rate_per_s * self._demand.decay_us / SECOND_US)
+        return min(self._units, max(0.0, self._plan.burst - demand_over_rate))
 
-    def take(self, units: float, demand_amount: float) -> None:
+    def take(self, units: float, request_demand: float) -> None:
         """Take a request's units, and with them what the other gateways forward meanwhile."""
         demand = self._demand
-        fleet_ratio = demand.estimate_fleet_demand(demand_amount) * demand.local_decay_us
+        fleet_ratio = demand.estimate_fleet_demand(request_demand) * demand.local_decay_us
         fleet_ratio /= max(MIN_DEMAND, demand.local_demand * demand.decay_us)
         fleet_units = units * min(MAX_FLEET_RATIO * demand.gateway_count, max(1.0, fleet_ratio))
-        self._units = max(-OVERDRAFT_SHARE * self._plan.burst, self._units - fleet_units)
+        self._units = max(-MAX_OVERDRAFT_SHARE * self._plan.burst, self._units - fleet_units)
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -2,7 +2,7 @@
 
 Queues in front of the endpoints cost the latency objective of every request behind them; requests wait in the
 gateway instead, where they can still be rejected. The endpoints do not say how many attempts they can serve
-at once, so the limit is adaptive. A response within `GOOD_LATENCY_SHARE` of its class's latency objective
+at once, so the limit is adaptive. A response within `LATE_RESPONSE_SHARE` of its class's latency objective
 widens it, a later one narrows it. The steps get smaller away from `base_limit` and larger towards it, so the
 limit settles where both directions balance: with p the share of late responses, at limit / `base_limit` =
 sqrt((1 - p) / p). That is 1 while half of the responses are late, and 2 while a fifth is.
@@ -20,7 +20,7 @@
 from yardlane.decisions.settings import Settings
 from yardlane.decisions.units import SECOND_US
 
-GOOD_LATENCY_SHARE = 0.35
+LATE_RESPONSE_SHARE = 0.35
 ATTEMPTS_PER_ENDPOINT = 2.0
 MAX_LIMIT_RATIO = 4.0  # of the base limit
 SMALLEST_MAX_LIMIT = 2.0  # attempts
@@ -67,7 +67,7 @@
     def record_response(self, elapsed_us: int, latency_objective_us: int) -> None:
         """Adapt the limit to the time of a response."""
         relative_limit = self.limit / self.base_limit
-        if elapsed_us > GOOD_LATENCY_SHARE * latency_objective_us:
+        if elapsed_us > LATE_RESPONSE_SHARE * latency_objective_us:
             step = -min(self.limit, relative_limit)
         else:
             step = min(self.limit, 1.0 / relative_limit)
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -5,10 +5,10 @@
 (`admission.py`).
 
 **When.** With a valid total, a tenant's count is polled once the total is older than one decay time. In a
-fleet of n gateways, fewer than `LARGE_FLEET_GATEWAYS`, that time is multiplied by n / `LARGE_FLEET_GATEWAYS`.
-Where the estimate comes near the capacity it is divided by `NEAR_CAPACITY_SPEEDUP`, as a late total would
-then reject too few. Without a valid total each request polls with the probability 1 / backoff factor. Polls
-are made only for a plan that has a quota, and if there is a counter.
+fleet of n gateways, fewer than `LARGE_FLEET_THRESHOLD`, that time is multiplied by n /
+`LARGE_FLEET_THRESHOLD`. Where the estimate comes near the capacity it is divided by `NEAR_CAPACITY_SPEEDUP`,
+as a late total would then reject too few. Without a valid total each request polls with the probability 1 /
+backoff factor. Polls are made only for a plan that has a quota, and if there is a counter.
 
 **Backoff.** A counter serves its calls in turn, also those that nobody waits for any longer. Gateways that
 poll a little more often than it can serve would therefore keep it late for good, and all its replies would
@@ -38,7 +38,7 @@
 
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import CounterResult, Outcome
-from yardlane.decisions.quota import LARGE_FLEET_GATEWAYS, TenantDemand
+from yardlane.decisions.quota import LARGE_FLEET_THRESHOLD, TenantDemand
 from yardlane.decisions.request import Request
 from yardlane.decisions.units import SECOND_US
 
@@ -46,18 +46,18 @@
 NEAR_CAPACITY_SPEEDUP = 4
 
 MAX_BACKOFF_FACTOR = 20.0
-LATE_FACTOR = 1.3
-LOST_FACTOR = 1.15  # less than for a late one: a lost poll need not show load
-PROMPT_FACTOR = 0.9
+LATE_BACKOFF_MULTIPLIER = 1.3
+LOST_BACKOFF_MULTIPLIER = 1.15  # less than for a late one: a lost poll need not show load
+PROMPT_BACKOFF_MULTIPLIER = 0.9
 BACKOFF_DECAY_US = 10 * SECOND_US
-LATE_SHARE = 0.5  # of the counter's time-out: a reply that takes longer is late
+LATE_REPLY_SHARE = 0.5  # of the counter's time-out: a reply that takes longer is late
 
 PERIOD_DECAY_TIMES = 8
 LONGEST_PERIOD_US = 50 * SECOND_US
 COUNT_LIFETIME_MARGIN_US = 5 * SECOND_US
 PERIOD_INDEX_BITS = 24
 PERIOD_INDEX_RANGE = 1 << PERIOD_INDEX_BITS
-PHASE_HASH = 2654435761  # Knuth's multiplicative hash, of 32 bits
+PHASE_HASH_MULTIPLIER = 2654435761  # Knuth's multiplicative hash, of 32 bits
 PHASE_HASH_RANGE = 2**32
 
 
@@ -68,7 +68,9 @@
 
     def __init__(self, tenant: int, tenant_key: int, decay_us: float) -> None:
         self.period_us = int(min(LONGEST_PERIOD_US, PERIOD_DECAY_TIMES * decay_us))
-        self._phase_us = tenant * PHASE_HASH % PHASE_HASH_RANGE * self.period_us // PHASE_HASH_RANGE
+        self._phase_us = (
+            tenant * PHASE_HASH_MULTIPLIER % PHASE_HASH_RANGE * self.period_us // PHASE_HASH_RANGE
+        )
         self._tenant_key = tenant_key
 
     def index_at(self, now_us: int) -> int:
@@ -89,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class PendingCall:
+class PendingPoll:
     """A poll without a reply yet, the request that waits for it, and the demand that it reports."""
 
     request: Request
@@ -104,9 +106,9 @@
 
     def __init__(self, has_counter: bool, counter_timeout_us: int, random: Random) -> None:
         self._has_counter = has_counter
-        self._late_after_us = LATE_SHARE * counter_timeout_us
+        self._late_after_us = LATE_REPLY_SHARE * counter_timeout_us
         self._random = random
-        self._pending: dict[int, deque[PendingCall]] = {}  # by counter key, in the order of the calls
+        self._pending: dict[int, deque[PendingPoll]] = {}  # by counter key, in the order of the calls
         self.backoff_factor = 1.0
 
     def __len__(self) -> int:
@@ -119,7 +121,7 @@
             decayed = (self.backoff_factor - 1.0) * math.exp(-elapsed_us / BACKOFF_DECAY_US)
             self.backoff_factor = 1.0 + decayed
 
-    def is_due(self, demand: TenantDemand, amount: float, capacity: float, now_us: int) -> bool:
+    def is_due(self, demand: TenantDemand, request_demand: float, capacity: float, now_us: int) -> bool:
         """Whether a request that adds this amount to the demand polls first.
 
         `capacity` is what may be admitted in one decay time; 0 for a plan without quota. The random number is
@@ -128,16 +130,16 @@
         """
         if demand.has_valid_total(now_us):
             age_us = now_us - demand.total_received_at_us
-            is_due = age_us > self._interval_us(demand, amount, capacity)
+            is_due = age_us > self._interval_us(demand, request_demand, capacity)
         else:
             is_due = self._random.random() * self.backoff_factor < 1.0
         return is_due and self._has_counter and capacity > 0.0
 
-    def _interval_us(self, demand: TenantDemand, amount: float, capacity: float) -> float:
+    def _interval_us(self, demand: TenantDemand, request_demand: float, capacity: float) -> float:
         interval_us = (
-            demand.decay_us * min(1.0, demand.gateway_count / LARGE_FLEET_GATEWAYS) * self.backoff_factor
+            demand.decay_us * min(1.0, demand.gateway_count / LARGE_FLEET_THRESHOLD) * self.backoff_factor
         )
-        fleet_demand = demand.estimate_fleet_demand(amount)
+        fleet_demand = demand.estimate_fleet_demand(request_demand)
         # With backoff the next poll comes later, and demand may grow more until then: so it counts as near
         # the capacity from a smaller share on.
         if NEAR_CAPACITY_SHARE * capacity < fleet_demand * self.backoff_factor and fleet_demand < capacity:
@@ -153,32 +155,36 @@
         amount = demand.unreported_demand * math.exp((now_us - periods.start_us(index)) / demand.decay_us)
         if not demand.has_valid_total(now_us):
             amount *= self.backoff_factor
-        self._pending.setdefault(key, deque()).append(PendingCall(request, demand.unreported_demand, index))
+        self._pending.setdefault(key, deque()).append(PendingPoll(request, demand.unreported_demand, index))
         demand.unreported_demand = 0.0
         return AddToCounter(key, amount, periods.period_us + COUNT_LIFETIME_MARGIN_US)
 
-    def finish(self, result: CounterResult) -> PendingCall | None:
+    def finish(self, result: CounterResult) -> PendingPoll | None:
         """Remove and return the oldest pending call of this key; None where there is none.
 
         What was surely not added is reported by a later poll. A poll that timed out may have been added: it
         is not reported again, as demand that counts twice would reject requests within the quota.
         """
-        calls = self._pending.get(result.counter_key)
-        if calls is None:
+        polls = self._pending.get(result.counter_key)
+        if polls is None:
             return None
-        call = calls.popleft()
-        if not calls:
+        poll = polls.popleft()
+        if not polls:
             del self._pending[result.counter_key]
         self._update_backoff(result)
         if result.outcome is not Outcome.OK and result.outcome is not Outcome.TIMED_OUT:
-            call.request.tenant.demand.unreported_demand += call.reported_demand
-        return call
+            poll.request.tenant.demand.unreported_demand += poll.reported_demand
+        return poll
 
     def _update_backoff(self, result: CounterResult) -> None:
         if result.outcome is Outcome.OK:
-            factor = PROMPT_FACTOR if result.elapsed_us <= self._late_after_us else LATE_FACTOR
+            multiplier = (
+                PROMPT_BACKOFF_MULTIPLIER
+                if result.elapsed_us <= self._late_after_us
+                else LATE_BACKOFF_MULTIPLIER
+            )
         elif result.outcome is Outcome.REJECTED:
-            factor = LATE_FACTOR
+            multiplier = LATE_BACKOFF_MULTIPLIER
         else:
-            factor = LOST_FACTOR
-        self.backoff_factor = min(MAX_BACKOFF_FACTOR, max(1.0, self.backoff_factor * factor))
+            multiplier = LOST_BACKOFF_MULTIPLIER
+        self.backoff_factor = min(MAX_BACKOFF_FACTOR, max(1.0, self.backoff_factor * multiplier))
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -47,7 +47,7 @@
 from yardlane.decisions.service_time import ServiceTimes
 from yardlane.decisions.settings import Settings
 from yardlane.decisions.slow_start import SlowStart
-from yardlane.decisions.tenant import Tenant, TenantId, forget_idle
+from yardlane.decisions.tenant import Tenant, TenantId, evict_idle_tenants
 from yardlane.decisions.timers import Timers
 from yardlane.decisions.units import NEVER_US, SECOND_US
 
@@ -135,10 +135,10 @@
         tenant = request.tenant
         service_time_us = self._mean_service_time_us(request)
         self.service_times.record_arrival(request.class_index)
-        amount = admission.demand_amount(tenant.plan, request.units, service_time_us)
+        amount = admission.request_demand(tenant.plan, request.units, service_time_us)
         capacity = admission.sustained_capacity(tenant, request.units, service_time_us)
         tenant.demand.add(amount, self.now_us)
-        forget_idle(self.tenants, self.now_us)
+        evict_idle_tenants(self.tenants, self.now_us)
         if self.polling.is_due(tenant.demand, amount, capacity, self.now_us):
             self.actions.append(self.polling.start(request, self.now_us))
         else:
@@ -150,7 +150,7 @@
         self.requests[event.request_id] = request
         request_class = self.settings.request_classes[event.request_class]
         service_time_us = self.service_times.mean_us[event.request_class]
-        queueing_us = admission.longest_queueing_us(request_class, service_time_us, event.time_left_us)
+        queueing_us = admission.max_queueing_time_us(request_class, service_time_us, event.time_left_us)
         final_answer_at_us = min(request.final_answer_by_us, self.now_us + queueing_us)
         self.timers.schedule(final_answer_at_us, self._on_final_answer_due, request)
         return request
@@ -201,7 +201,7 @@
             del tenant.queue[0]
             request.is_queued = False
             service_time_us = self._mean_service_time_us(request)
-            amount = admission.demand_amount(tenant.plan, request.units, service_time_us)
+            amount = admission.request_demand(tenant.plan, request.units, service_time_us)
             tenant.record_first_attempt(request.units, amount)
             self.retries.record_first_attempt()
             self._start_attempt(request, endpoint)
@@ -263,7 +263,7 @@
             self._end(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
             self._reject_or_fail(request)
-        # Only this tenant's queue: others that wait for an endpoint look within NO_ENDPOINT_RETRY_US.
+        # Only this tenant's queue: others that wait for an endpoint look within ENDPOINT_RECHECK_DELAY_US.
         self._release(request.tenant)
 
     def _record_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -8,12 +8,12 @@
 **Depth.** The share of the depth is always even. A gateway may spend its share as soon as the tenant's
 requests reach it, so a share that another gateway used meanwhile would be spent twice.
 
-**Rate.** While the last total is fresh, up to `FOLLOWING_SHARE` of the rate follows the demand; otherwise a
-gateway that gets most of a tenant's requests would pass far less than the quota. All shares together must not
-become more than one, while each gateway gets its total at another time. So a share is taken as of the last
-total, never from demand that came since: at the start of a burst each gateway sees its own demand first. It
-returns to the even share as the total ages. And while the fleet's demand is below the quota, less of the rate
-follows it, as demand that the others have not reported yet then weighs more.
+**Rate.** While the last total is fresh, up to `DEMAND_BASED_SHARE` of the rate follows the demand; otherwise
+a gateway that gets most of a tenant's requests would pass far less than the quota. All shares together must
+not become more than one, while each gateway gets its total at another time. So a share is taken as of the
+last total, never from demand that came since: at the start of a burst each gateway sees its own demand first.
+It returns to the even share as the total ages. And while the fleet's demand is below the quota, less of the
+rate follows it, as demand that the others have not reported yet then weighs more.
 
 **Start.** A gateway that starts may be one that restarts, and its predecessor may have emptied the bucket.
 So it starts with half of the slack and what has flowed in since the process started. The first total shows
@@ -28,23 +28,23 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
-FOLLOWING_SHARE = 0.7  # of the rate that follows the demand while the total is fresh
+DEMAND_BASED_SHARE = 0.7  # of the rate that follows the demand while the total is fresh
 # A hard rate is taken to be at least twice the quota: in a fleet of so few gateways an even share of it lets
 # a whole quota pass, so that none has to follow the demand.
-QUOTA_GATEWAYS = 2.0
-STARTING_SLACK_SHARE = 0.5
+ASSUMED_HARD_RATE_TO_QUOTA_RATIO = 2.0
+INITIAL_SLACK_SHARE = 0.5
 # A first total fills the bucket to this, less the fleet's demand / the hard rate, of its depth.
-FIRST_TOTAL_SHARE = 0.5
+FIRST_TOTAL_FILL_SHARE = 0.5
 MAX_WAIT_US = 1e9
-MIN_RATE = 1e-9  # units per microsecond; keeps a wait finite
+MIN_UNITS_PER_US = 1e-9  # keeps a wait finite
 
 
-def compute_even_share(rank: int, first_gateway: int, gateway_count: int, all_gateways: int) -> float:
+def compute_even_share(rank: int, first_gateway: int, gateway_count: int, total_gateway_count: int) -> float:
     """The share of one of the `gateway_count` gateways that serve a tenant, from `first_gateway` on.
 
     0 for a gateway that is none of these: a request that came to it in error must not exceed the hard rate.
     """
-    serves_tenant = (rank - first_gateway) % all_gateways < gateway_count
+    serves_tenant = (rank - first_gateway) % total_gateway_count < gateway_count
     return 1.0 / gateway_count if serves_tenant else 0.0
 
 
@@ -53,8 +53,8 @@
 
     __slots__ = (
         "_demand",
+        "_demand_based_share",
         "_even_share",
-        "_following_share",
         "_plan",
         "_refilled_at_us",
         "units",
@@ -66,10 +66,12 @@
         self._plan = plan
         self._demand = demand
         self._even_share = even_share
-        self._following_share = FOLLOWING_SHARE * max(0.0, 1.0 - QUOTA_GATEWAYS / demand.gateway_count)
+        self._demand_based_share = DEMAND_BASED_SHARE * max(
+            0.0, 1.0 - ASSUMED_HARD_RATE_TO_QUOTA_RATIO / demand.gateway_count
+        )
         inflow = plan.hard_rate_per_s * uptime_us / SECOND_US
-        starting_units = STARTING_SLACK_SHARE * plan.hard_rate_slack + inflow
-        self.units = even_share * min(plan.hard_rate_depth, starting_units)
+        initial_units = INITIAL_SLACK_SHARE * plan.hard_rate_slack + inflow
+        self.units = even_share * min(plan.hard_rate_depth, initial_units)
         self._refilled_at_us = now_us
 
     def rate_share(self, now_us: int) -> float:
@@ -79,12 +81,12 @@
             return self._even_share
         fleet_per_us = demand.fleet_demand / demand.decay_us
         local_demand = min(demand.local_demand_at(now_us), demand.local_demand_at_total)
-        following = self._following_share
-        following *= math.exp((demand.total_received_at_us - now_us) / demand.decay_us)
+        demand_based_share = self._demand_based_share
+        demand_based_share *= math.exp((demand.total_received_at_us - now_us) / demand.decay_us)
         if self._plan.rate_per_s:
-            following *= min(1.0, fleet_per_us * SECOND_US / self._plan.rate_per_s)
+            demand_based_share *= min(1.0, fleet_per_us * SECOND_US / self._plan.rate_per_s)
         demand_share = min(1.0, local_demand / demand.local_decay_us / fleet_per_us)
-        return self._even_share + following * (demand_share - self._even_share)
+        return self._even_share + demand_based_share * (demand_share - self._even_share)
 
     def refill(self, now_us: int) -> None:
         """Add what this gateway's share of the rate has let flow in since the last call."""
@@ -106,7 +108,7 @@
     def time_to_fill_us(self, units: float, now_us: int) -> int:
         """The time until the bucket has filled by so many units."""
         units_per_us = self._plan.hard_rate_per_s * self.rate_share(now_us) / SECOND_US
-        return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_RATE, units_per_us)))
+        return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_UNITS_PER_US, units_per_us)))
 
     def grant_on_first_total(self) -> None:
         """Fill up to half of the bucket, less the share of the hard rate that the fleet's demand takes.
@@ -118,4 +120,4 @@
             self._demand.fleet_demand * SECOND_US / self._demand.decay_us / self._plan.hard_rate_per_s
         )
         depth = self._plan.hard_rate_depth * self._even_share
-        self.units = max(self.units, depth * (FIRST_TOTAL_SHARE - demand_share))
+        self.units = max(self.units, depth * (FIRST_TOTAL_FILL_SHARE - demand_share))
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -2,7 +2,7 @@
 
 **Demand.** A request of t microseconds ago counts by e^(-t / decay): no interval ends at which all
 gateways would begin again together. The amounts are units where the plan has a rate; else they are
-slot-seconds, a concurrency slot for the mean service time (`admission.demand_amount`). Each gateway knows
+slot-seconds, a concurrency slot for the mean service time (`admission.request_demand`). Each gateway knows
 
 - its local demand, which it adds up itself,
 - its unreported demand, the part of it that was not reported to the shared counter yet, and
@@ -28,31 +28,32 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import NEVER_US, SECOND_US
 
-TOTAL_VALID_US = 20 * SECOND_US
+MAX_TOTAL_AGE_US = 20 * SECOND_US
 """A total of this age says little of the fleet's demand by now."""
 
-LARGE_FLEET_GATEWAYS = 25
+LARGE_FLEET_THRESHOLD = 25
 """Up to so many gateways report to the counter in one decay time; in a larger fleet each sees little."""
 
 NO_PERIOD = -1
-BURST_DECAY_SHARE = 0.4  # of the time in which the rate refills the burst
-DECAY_TIMEOUTS = 50  # the least decay time, in time-outs of the counter
-SHORT_DECAY_TIMEOUTS = 10  # where a long one would mislead, see `decay_time_us`
+BURST_REFILL_TIME_SHARE = 0.4  # of the time in which the rate refills the burst
+MIN_DECAY_TIMEOUTS = 50  # the least decay time, in time-outs of the counter
+MIN_SHORT_DECAY_TIMEOUTS = 10  # where a long one would mislead, see `decay_time_us`
 # What a gateway admits of a quota before the first total, in even shares: more than one, as a gateway that
 # gets somewhat more requests than the others would otherwise reject some within the quota.
 EVEN_SHARES_BEFORE_TOTAL = 1.4
-FEW_REQUESTS = 3.0  # a change of local demand by less than these is chance, and scales the total little
+SMOOTHING_REQUESTS = 3.0  # a change of local demand by less than these is chance, and scales the total little
 # The share of its capacity that a tenant is taken to have used when the period of its first total began, as
 # that total covers nothing before. With 0, a burst that began before would count too little and pass; with 1,
 # requests within the quota would be rejected.
-ASSUMED_CAPACITY_SHARE = 0.5
-LOST_COUNT_SHARE = 0.999  # a count never falls: below this share of its last total, the counter has lost it
+ASSUMED_PRIOR_DEMAND_SHARE = 0.5
+# a count never falls: below this share of its last total, the counter has lost it
+COUNT_LOSS_THRESHOLD = 0.999
 BOUND_TOLERANCE = 1e-4  # slots that rounding may cost before the bound is rounded down
 
 
 def is_large_fleet(gateway_count: int) -> bool:
     """Whether each gateway sees so few of a tenant's requests that its own demand says little."""
-    return gateway_count > LARGE_FLEET_GATEWAYS
+    return gateway_count > LARGE_FLEET_THRESHOLD
 
 
 def is_limit_below_gateway_count(plan: QuotaPlan, gateway_count: int) -> bool:
@@ -70,9 +71,9 @@
     burst_us = 0.0
     is_short = is_limit_below_gateway_count(plan, gateway_count)
     if plan.rate_per_s:
-        burst_us = BURST_DECAY_SHARE * plan.burst / plan.rate_per_s * SECOND_US
+        burst_us = BURST_REFILL_TIME_SHARE * plan.burst / plan.rate_per_s * SECOND_US
         is_short = is_large_fleet(gateway_count)
-    timeouts = SHORT_DECAY_TIMEOUTS if is_short else DECAY_TIMEOUTS
+    timeouts = MIN_SHORT_DECAY_TIMEOUTS if is_short else MIN_DECAY_TIMEOUTS
     return max(burst_us, timeouts * max(1, counter_timeout_us))
 
 
@@ -100,8 +101,8 @@
     """
 
     __slots__ = (
-        "_carried_since_us",
-        "_carried_total",
+        "_carried_over_at_us",
+        "_carried_over_demand",
         "_last_count",
         "_last_period_index",
         "decay_us",
@@ -130,8 +131,8 @@
         self.total_received_at_us = NEVER_US
         self._last_count = 0.0
         self._last_period_index = NO_PERIOD
-        self._carried_total = 0.0
-        self._carried_since_us = 0
+        self._carried_over_demand = 0.0
+        self._carried_over_at_us = 0
 
     def has_total(self) -> bool:
         """Whether there ever was a total of the counter."""
@@ -139,7 +140,7 @@
 
     def has_valid_total(self, now_us: int) -> bool:
         """Whether the last total is fresh enough to say something of the demand by now."""
-        return 0 <= self.total_received_at_us > now_us - TOTAL_VALID_US
+        return 0 <= self.total_received_at_us > now_us - MAX_TOTAL_AGE_US
 
     def add(self, amount: float, now_us: int) -> None:
         """Count a request of this amount."""
@@ -151,17 +152,17 @@
         """The local demand, decayed until now."""
         return self.local_demand * math.exp((self.last_request_at_us - now_us) / self.local_decay_us)
 
-    def estimate_fleet_demand(self, amount: float) -> float:
+    def estimate_fleet_demand(self, request_demand: float) -> float:
         """The last total, scaled as the local demand has changed since; before a total, by even shares.
 
         Neither is decayed until now: the local demand is as of the last arrival, the total as of its receipt.
-        `amount` is the demand of the present request.
+        `request_demand` is the demand of the present request.
         """
         if self.total_received_at_us < 0:
             even_demand = self.local_demand * self.gateway_count * self.decay_us / self.local_decay_us
             return even_demand / EVEN_SHARES_BEFORE_TOTAL
-        few = FEW_REQUESTS * amount
-        return self.fleet_demand * (self.local_demand + few) / (self.local_demand_at_total + few)
+        smoothing = SMOOTHING_REQUESTS * request_demand
+        return self.fleet_demand * (self.local_demand + smoothing) / (self.local_demand_at_total + smoothing)
 
     def apply_total(
         self, total: float, period_index: int, period_start_us: int, capacity: float, now_us: int
@@ -172,15 +173,17 @@
         as if there had been no demand, and admit far more than the quota. So what was known before is
         carried along, decaying, and the count is added to it.
         """
-        if period_index != self._last_period_index or total < self._last_count * LOST_COUNT_SHARE:
+        if period_index != self._last_period_index or total < self._last_count * COUNT_LOSS_THRESHOLD:
             if self.has_total():
-                self._carried_total = self.fleet_demand
-                self._carried_since_us = self.total_received_at_us
+                self._carried_over_demand = self.fleet_demand
+                self._carried_over_at_us = self.total_received_at_us
             else:
-                self._carried_total = ASSUMED_CAPACITY_SHARE * capacity
-                self._carried_since_us = period_start_us
+                self._carried_over_demand = ASSUMED_PRIOR_DEMAND_SHARE * capacity
+                self._carried_over_at_us = period_start_us
         self.fleet_demand = total * math.exp((period_start_us - now_us) / self.decay_us)
-        self.fleet_demand += self._carried_total * math.exp((self._carried_since_us - now_us) / self.decay_us)
+        self.fleet_demand += self._carried_over_demand * math.exp(
+            (self._carried_over_at_us - now_us) / self.decay_us
+        )
         self.local_demand_at_total = self.local_demand
         self.total_received_at_us = now_us
         self._last_count = total
--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -17,15 +17,15 @@
     """A request, kept until it has its final answer and no attempt of it is in flight.
 
     `class_index` is an index into the settings' classes; `units` is its cost against a rate. The client
-    gives up at `gives_up_at_us`; as timers may fire late, its final answer is due by `final_answer_by_us`.
+    gives up at `deadline_at_us`; as timers may fire late, its final answer is due by `final_answer_by_us`.
     """
 
     __slots__ = (
         "arrived_at_us",
         "attempts",
         "class_index",
+        "deadline_at_us",
         "final_answer_by_us",
-        "gives_up_at_us",
         "has_ended",
         "id",
         "is_queued",
@@ -39,8 +39,8 @@
         self.units = event.units
         self.tenant = tenant
         self.arrived_at_us = now_us
-        self.gives_up_at_us = now_us + event.time_left_us
-        self.final_answer_by_us = max(now_us, self.gives_up_at_us - FINAL_ANSWER_MARGIN_TICKS * tick_us)
+        self.deadline_at_us = now_us + event.time_left_us
+        self.final_answer_by_us = max(now_us, self.deadline_at_us - FINAL_ANSWER_MARGIN_TICKS * tick_us)
         self.attempts: list[AttemptRecord] = []
         self.has_ended = False
         self.is_queued = False
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -61,7 +61,7 @@
             return False
         request_class = self._class_of(request)
         objective_ends_at_us = request.arrived_at_us + request_class.latency_objective_us
-        if now_us + mean_service_time_us > min(request.gives_up_at_us, objective_ends_at_us):
+        if now_us + mean_service_time_us > min(request.deadline_at_us, objective_ends_at_us):
             return False
         first = request.first_attempt_that_may_have_run()
         return first is None or _may_repeat(request_class, first, now_us)
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -1,8 +1,8 @@
 """A tenant of one plan at this gateway: its queue, what it has in flight, and its shares of the quota.
 
 A tenant is kept from its first request until nothing known of it matters any more: it has nothing queued or
-in flight, its last request is older than a total may be (`TOTAL_VALID_US`), and its share of the hard rate is
-full. Forgotten earlier, it would come back with a new bucket, and the hard rate would be exceeded.
+in flight, its last request is older than a total may be (`MAX_TOTAL_AGE_US`), and its share of the hard rate
+is full. Forgotten earlier, it would come back with a new bucket, and the hard rate would be exceeded.
 
 Which gateways serve the tenant is taken from its first request, and not updated while the tenant is kept. If
 its later requests name others, its quota is divided by the old number until it is forgotten.
@@ -15,7 +15,7 @@
 from yardlane.decisions.events import RequestArrived
 from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
 from yardlane.decisions.quota import (
-    TOTAL_VALID_US,
+    MAX_TOTAL_AGE_US,
     TenantDemand,
     even_concurrency_bound,
     is_limit_below_gateway_count,
@@ -24,7 +24,7 @@
 from yardlane.decisions.request import Request
 from yardlane.decisions.settings import Settings
 
-MAX_FORGOTTEN_AT_ONCE = 4  # an arrival adds one tenant at most, so idle ones go faster than new ones come
+MAX_EVICTIONS_PER_ARRIVAL = 4  # an arrival adds one tenant at most, so idle ones go faster than new ones come
 
 TenantId = tuple[int, int]
 """The tenant's number and its plan's: a request may name another plan, and must not change this one's."""
@@ -95,12 +95,12 @@
         self.refill(now_us)
         return units - self.hard_rate.units
 
-    def record_first_attempt(self, units: float, demand_amount: float) -> None:
+    def record_first_attempt(self, units: float, request_demand: float) -> None:
         """Take a forwarded request's units from the token buckets."""
         if self.plan.hard_rate_per_s:
             self.hard_rate.take(units)
         if self.plan.rate_per_s:
-            self.burst.take(units, demand_amount)
+            self.burst.take(units, request_demand)
 
     def update_concurrency_bound(self, fleet_demand: float, slot_us_per_demand: float) -> None:
         """Split the concurrency limit by demand, as mean requests in flight by Little's law.
@@ -123,18 +123,18 @@
         if is_first and self.plan.hard_rate_per_s:
             self.hard_rate.grant_on_first_total()
 
-    def is_forgettable(self, now_us: int) -> bool:
+    def is_evictable(self, now_us: int) -> bool:
         """Refill, and return whether nothing that is known of this tenant matters any more."""
-        if now_us - self.demand.last_request_at_us <= TOTAL_VALID_US or self.in_flight or self.queue:
+        if now_us - self.demand.last_request_at_us <= MAX_TOTAL_AGE_US or self.in_flight or self.queue:
             return False
         self.refill(now_us)
         return self.hard_rate.is_full()
 
 
-def forget_idle(tenants: dict[TenantId, Tenant], now_us: int) -> None:
+def evict_idle_tenants(tenants: dict[TenantId, Tenant], now_us: int) -> None:
     """Forget tenants from the idle end; `tenants` is in the order of last requests, the newest not idle."""
-    for _ in range(MAX_FORGOTTEN_AT_ONCE):
+    for _ in range(MAX_EVICTIONS_PER_ARRIVAL):
         tenant_id, oldest = next(iter(tenants.items()))
-        if not oldest.is_forgettable(now_us):
+        if not oldest.is_evictable(now_us):
             return
         del tenants[tenant_id]
