--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -95,7 +95,7 @@
     return max(0, int(min(within_objective_us, time_left_us * QUEUEING_DEADLINE_SHARE)))
 
 
-def release_delay_us(tenant: Tenant, missing_units: float, now_us: int) -> int:
+def forwarding_delay_us(tenant: Tenant, missing_units: float, now_us: int) -> int:
     """When to look again at a queue whose first request lacks units of the hard rate, or an endpoint.
 
     When an endpoint will be free is not known: the queue is looked at again after
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -208,11 +208,11 @@
 
     def _schedule_forwarding(self, tenant: Tenant, missing_units: float) -> None:
         """Look again once the hard rate may have filled by these units, or an endpoint may be free."""
-        if tenant.next_release_at_us > self.now_us:
+        if tenant.next_forwarding_at_us > self.now_us:
             return
-        delay_us = admission.release_delay_us(tenant, missing_units, self.now_us)
-        tenant.next_release_at_us = self.now_us + delay_us
-        self.timers.schedule(tenant.next_release_at_us, self._forward_queued, tenant)
+        delay_us = admission.forwarding_delay_us(tenant, missing_units, self.now_us)
+        tenant.next_forwarding_at_us = self.now_us + delay_us
+        self.timers.schedule(tenant.next_forwarding_at_us, self._forward_queued, tenant)
 
     # Attempts
 
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -46,7 +46,7 @@
         "hard_rate",
         "has_limit_below_gateway_count",
         "in_flight",
-        "next_release_at_us",
+        "next_forwarding_at_us",
         "periods",
         "plan",
         "queue",
@@ -68,7 +68,7 @@
         self.gateway_count = gateway_count
         self.queue: list[Request] = []
         self.in_flight = 0
-        self.next_release_at_us = 0
+        self.next_forwarding_at_us = 0
         self.admission_credit = admission_credit
         self.demand = TenantDemand(plan, gateway_count, settings.counter_timeout_us, now_us)
         self.periods = CountingPeriods(event.tenant, tenant_key, self.demand.decay_us)
