--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -8,6 +8,7 @@
 
 
 def run_mixed_requests() -> list[tuple[int, Action]]:
+    """Send requests of several tenants and of all classes and plans; return the log of the actions."""
     driver = GatewayDriver(seed=11)
     for number in range(200):
         driver.ask(tenant=number % 7, quota_plan=number % 4, request_class=number % 3)
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -39,6 +39,7 @@
 ZONE_COUNT = 3
 ENDPOINT_COUNT = 6
 STEPS = 150
+# READY is repeated so that it is drawn more often.
 STATES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -64,10 +64,10 @@
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
     for outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
-        request_id, first_id = send_request(driver, KEYED)
-        retries = of_type(StartAttempt, driver.end(request_id, first_id, outcome))
+        number, first_id = send_request(driver, KEYED)
+        retries = of_type(StartAttempt, driver.end(number, first_id, outcome))
         assert len(retries) == 1 and zones[retries[0].endpoint_id] == zones[first_id]
-        driver.end(request_id, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
+        driver.end(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
         driver.now += driver.settings.request_classes[KEYED].deadline_us
         driver.run(0)
         assert not any(isinstance(action, Reject) for _, action in driver.log)
--- a/tests/decisions/test_timers.py
+++ b/tests/decisions/test_timers.py
@@ -35,7 +35,7 @@
     assert timers.next_delay_us(50) == 50
 
 
-def test_turn_later_than_stall_threshold_is_a_stall() -> None:
+def test_stall_is_detected_if_turn_is_later_than_threshold() -> None:
     timers = Timers()
     timers.schedule(100, lambda: None)
     timers.next_delay_us(0)
@@ -45,7 +45,7 @@
     assert timers.stall_ended_at_us == 101 + STALL_THRESHOLD_US
 
 
-def test_late_turn_without_scheduled_callbacks_is_not_a_stall() -> None:
+def test_no_stall_is_detected_without_scheduled_callbacks() -> None:
     timers = Timers()
     timers.detect_stall(10 * STALL_THRESHOLD_US)
     assert timers.stall_ended_at_us == NEVER_US
--- a/yardlane/decisions/events.py
+++ b/yardlane/decisions/events.py
@@ -1,7 +1,7 @@
 """The events that are passed to the decisions of a gateway.
 
 Times are whole microseconds of the gateway's own clock. Endpoint ids and counter keys only identify an
-endpoint or a count: actions return the same values as events have them, and they carry no other meaning.
+endpoint or a count; events and actions refer to it by the same value.
 
 The dataclasses of events are not frozen, although events are never modified. The constructor of a frozen
 dataclass makes one extra call for each field, and several events are constructed for each request.
@@ -36,7 +36,7 @@
 
 
 class UpdateKind(Enum):
-    """The kind of content of an endpoint list update."""
+    """The kind of an endpoint list update."""
 
     DELTA = "delta"
     SNAPSHOT = "snapshot"
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -101,6 +101,7 @@
         return self.actions
 
     def _start(self) -> None:
+        """Called in the first turn: record its time, and watch the endpoint list unless it is pushed."""
         self.slow_start.gateway_started_at_us = self.now_us
         if not self.settings.endpoint_list_is_pushed:
             self._watch_endpoints()
@@ -253,9 +254,10 @@
         self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Called when an attempt is overdue unless it has ended: try to send a hedged request.
+        """Called at the time when an attempt becomes overdue.
 
-        If the settings allow cancelling but not hedging, cancel the overdue attempt instead, provided that a
+        If the attempt is still in flight, count it as overdue and send a hedged request if one is allowed. If
+        the settings allow cancelling but not hedging, cancel the overdue attempt instead, provided that a
         retry could be sent now. The `AttemptEnded` of the cancelled attempt then triggers that retry
         (`_on_attempt_ended`).
         """
@@ -284,7 +286,7 @@
         self._forward_queued(request.tenant)
 
     def _record_attempt_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
-        """Record the end of an attempt in its own state, its endpoint's and tenant's, and in the rules."""
+        """Update the attempt, its endpoint and tenant, and the rules when an attempt has ended."""
         endpoint = attempt.endpoint
         attempt.record_end(event.outcome)
         request.tenant.in_flight -= 1
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -17,10 +17,10 @@
   As a connection may be established late, the window also limits when the last byte of the further attempt
   may be written (`StartAttempt.send_within_us`).
 
-A request without a good response gets `Reject` or `Fail` as its final answer. `Reject` promises that the
-client may safely send the request again; `Fail` does not. The promise holds if no attempt may have run, or if
-a duplicate is harmless wherever it arrives. The latter is the case for an idempotent class, and for a class
-whose idempotency keys all backends share; `idempotency_window_us` is not considered here.
+The final answer to a request without a good response is `Reject` or `Fail`. `Reject` promises that the client
+may safely send the request again; `Fail` does not. The promise holds if no attempt may have run, or if a
+duplicate is harmless wherever it arrives. A duplicate is harmless for an idempotent class, and for a class
+whose record of idempotency keys is shared by all backends (`idempotency_window_us` is not considered here).
 
 `Retry-After` is `RETRY_AFTER_SHARE` of the mean service time. By then some of the attempts in flight have
 ended, and a client that waited longer could no longer be served within the latency objective.
@@ -40,7 +40,7 @@
 MAX_BUDGET = 10.0
 RETRY_AFTER_SHARE = 0.25
 NO_SEND_LIMIT_US = 0
-MIN_SEND_LIMIT_US = 1  # as 0 would mean no limit
+MIN_SEND_LIMIT_US = 1  # not 0, which would mean no limit
 
 
 class RetryPolicy:
@@ -53,11 +53,11 @@
         self.budget = MAX_BUDGET
 
     def record_first_attempt(self) -> None:
-        """Add the share of a request that is sent for the first time to the retry budget."""
+        """Add `BUDGET_PER_REQUEST` to the retry budget for the first attempt of a request."""
         self.budget = min(MAX_BUDGET, self.budget + BUDGET_PER_REQUEST)
 
     def record_retry(self) -> None:
-        """Take a retry or a hedged request from the retry budget."""
+        """Take 1 from the retry budget for a retry or a hedged request."""
         self.budget -= 1.0
 
     def may_retry(self, request: Request, mean_service_time_us: float, now_us: int) -> bool:
@@ -75,7 +75,7 @@
         """Return the endpoints that may get the next attempt of a request.
 
         These are the endpoints of this gateway's subset, unless the request has an idempotency key and may
-        already have run. Then they are the endpoints of its deduplication scope.
+        already have run. Then they are the endpoints of its deduplication scope (`_endpoints_in_scope`).
         """
         request_class = self._class_of(request)
         if request_class.idempotency is not Idempotency.KEYED:
--- a/yardlane/decisions/settings.py
+++ b/yardlane/decisions/settings.py
@@ -17,7 +17,7 @@
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"
-    """It carries an idempotency key; backends of one `DeduplicationScope` drop a duplicate of the key."""
+    """Requests have an idempotency key. Backends of one `DeduplicationScope` drop a duplicate of the key."""
     NON_IDEMPOTENT = "non-idempotent"
 
 
@@ -73,7 +73,7 @@
     request_classes: tuple[RequestClass, ...]
     quota_plans: tuple[QuotaPlan, ...]
     tick_us: int
-    """The longest delay with which a timer of the gateway may fire."""
+    """The longest time by which a timer of the gateway may fire late."""
     answer_grace_us: int
     """How long after its deadline a request may still get its final answer; the decisions do not use it."""
     drain_grace_us: int
@@ -82,10 +82,9 @@
     """The share of its capacity that an endpoint has when it starts."""
     warm_up_us: int
     overload_multiple: float
-    """The multiple of its capacity at which an endpoint fails while it is warming up.
+    """The multiple of its capacity above which an endpoint fails while it is warming up.
 
-    It fails if it is sent more work within `overload_window_us` than this multiple of what it can do in that
-    time.
+    The work that it is sent within `overload_window_us` is compared with what it can do in that time.
     """
     overload_window_us: int
     max_attempts: int
@@ -137,13 +136,13 @@
             0 <= request_class < len(self.request_classes),
             "request_class",
             request_class,
-            "the index of a request class in the settings",
+            "the index of a known request class",
         )
         _require(
             0 <= quota_plan < len(self.quota_plans),
             "quota_plan",
             quota_plan,
-            "the index of a quota plan in the settings",
+            "the index of a known quota plan",
         )
 
 
