--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -8,8 +8,8 @@
 from tests.loopback import (
     RunningServer,
     Streams,
-    ask,
-    settings,
+    make_request,
+    settings_dict,
 )
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_server import ClientServer
@@ -17,7 +17,7 @@
 SMALL_BUFFER_BYTES = 4096  # of the kernel's: far less than one large answer
 LARGE_BODY = b"y" * 60_000
 # Deadlines that no test meets.
-PATIENT_CLASSES = [{**rule, "deadline_us": 60_000_000} for rule in settings()["profiles"]]
+PATIENT_CLASSES = [{**rule, "deadline_us": 60_000_000} for rule in settings_dict()["profiles"]]
 
 
 class ManualClock:
@@ -36,7 +36,7 @@
 
 async def connect(server: RunningServer, count: int) -> list[Streams]:
     """So many new clients, each with its connection up at the proxy."""
-    streams = [await server.client() for _ in range(count)]
+    streams = [await server.connect_client() for _ in range(count)]
     connections = server.clients.connections
     while len(connections) < count or not all(connection.transport for connection in connections):
         await asyncio.sleep(0)
@@ -45,7 +45,7 @@
 
 def pipeline(count: int, **changes: str | None) -> bytes:
     """So many requests in one write, with trace ids of their own."""
-    return b"".join(ask("look", f"t{n}", **changes) for n in range(count))
+    return b"".join(make_request("look", f"t{n}", **changes) for n in range(count))
 
 
 def only_connection(server: RunningServer) -> ClientConnection:
@@ -65,4 +65,4 @@
     """All that the requests held is given back: their entries, their attempts, their descriptors."""
     while server.proxy.requests or server.pool.connections:
         await asyncio.sleep(0)
-    assert server.unanswered == 0 and not server.clients.open_trace_ids
+    assert server.open_request_count == 0 and not server.clients.open_trace_ids
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-FORM = "TEST | COMMAND AND SEED | SEEN | ISSUE"
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+ENTRY_FORMAT = "TEST | COMMAND AND SEED | SEEN | ISSUE"
 MAX_ENTRIES = 3
 
 
@@ -41,27 +41,29 @@
 def parse_entry(line: str) -> KnownFailure:
     """The entry that a line holds; UsageError, which ends pytest with one line, where it is malformed."""
     fields = [field.strip() for field in line.split("|")]
-    if len(fields) != len(FORM.split("|")) or not all(fields):
-        raise pytest.UsageError(f"{KNOWN_RED.name}: wanted {FORM}: {line}")
+    if len(fields) != len(ENTRY_FORMAT.split("|")) or not all(fields):
+        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: wanted {ENTRY_FORMAT}: {line}")
     return KnownFailure(*fields)
 
 
 def parse_known_red(text: str) -> dict[str, KnownFailure]:
     """Each listed test's id and its entry; UsageError where the list is malformed."""
-    known: dict[str, KnownFailure] = {}
+    entries: dict[str, KnownFailure] = {}
     for line in filter(None, map(str.strip, text.splitlines())):
         entry = parse_entry(line)
-        if entry.test_id in known:
-            raise pytest.UsageError(f"{KNOWN_RED.name}: listed twice: {entry.test_id}")
-        known[entry.test_id] = entry
-    if len(known) > MAX_ENTRIES:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: {len(known)} tests, at most {MAX_ENTRIES} may be listed")
-    return known
+        if entry.test_id in entries:
+            raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: listed twice: {entry.test_id}")
+        entries[entry.test_id] = entry
+    if len(entries) > MAX_ENTRIES:
+        raise pytest.UsageError(
+            f"{KNOWN_RED_FILE.name}: {len(entries)} tests, at most {MAX_ENTRIES} may be listed"
+        )
+    return entries
 
 
 def pytest_configure(config: pytest.Config) -> None:
     """Read the list before anything runs."""
-    text = KNOWN_RED.read_text(errors="replace") if KNOWN_RED.exists() else ""
+    text = KNOWN_RED_FILE.read_text(errors="replace") if KNOWN_RED_FILE.exists() else ""
     config.stash[KNOWN_FAILURES] = parse_known_red(text)
 
 
@@ -69,7 +71,9 @@
     """What is listed must be among what will run; where collecting failed, pytest ends by that."""
     missing = session.config.stash[KNOWN_FAILURES].keys() - {item.nodeid for item in session.items}
     if missing and not session.testsfailed:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: no such test in this run: {', '.join(sorted(missing))}")
+        raise pytest.UsageError(
+            f"{KNOWN_RED_FILE.name}: no such test in this run: {', '.join(sorted(missing))}"
+        )
 
 
 @pytest.hookimpl(wrapper=True, tryfirst=True)  # outermost: after marks have had their say
@@ -83,7 +87,7 @@
         report.outcome = "skipped"  # which pytest counts as xfailed
         report.wasxfail = str(entry)
     elif report.when == "call" or report.skipped:
-        report.longrepr = f"{KNOWN_RED.name} lists it, but it did not fail: {report.outcome}"
+        report.longrepr = f"{KNOWN_RED_FILE.name} lists it, but it did not fail: {report.outcome}"
         report.outcome = "failed"
         if hasattr(report, "wasxfail"):
             del report.wasxfail
@@ -92,7 +96,7 @@
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Name each listed test that failed."""
-    known = terminalreporter.config.stash[KNOWN_FAILURES]
+    known_failures = terminalreporter.config.stash[KNOWN_FAILURES]
     for report in terminalreporter.getreports("xfailed"):
-        if report.nodeid in known:
+        if report.nodeid in known_failures:
             terminalreporter.write_line(f"known red: {report.wasxfail}")
--- a/tests/decisions/quota_scenarios.py
+++ b/tests/decisions/quota_scenarios.py
@@ -1,12 +1,12 @@
 """What the tests of a tenant's quota share."""
 
-from tests.gateway_driver import RATED, SECOND, GatewayDriver
+from tests.gateway_driver import RATE_LIMITED, SECOND, GatewayDriver
 from yardlane.decisions.tenant import Tenant
 
 
 def find_tenant(driver: GatewayDriver, number: int, plan: int) -> Tenant:
     """A tenant right after a request of it has arrived."""
-    driver.ask(tenant=number, quota_plan=plan)
+    driver.send_request(tenant=number, quota_plan=plan)
     return driver.gateway.tenants[number, plan]
 
 
@@ -16,6 +16,6 @@
     for _ in range(seconds):
         forwarded = 0
         for _ in range(requests_per_s):
-            forwarded += driver.serve(tenant=5, quota_plan=RATED)
-            driver.run(SECOND // requests_per_s)
+            forwarded += driver.serve_request(tenant=5, quota_plan=RATE_LIMITED)
+            driver.advance(SECOND // requests_per_s)
     return forwarded
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -7,10 +7,10 @@
 
 from tests.decisions.quota_scenarios import exceed_rate, find_tenant
 from tests.gateway_driver import (
-    CAPPED,
     CLASSES,
+    CONCURRENCY_LIMITED,
     MS,
-    RATED,
+    RATE_LIMITED,
     SECOND,
     GatewayDriver,
     make_quota_plan,
@@ -41,7 +41,7 @@
             for rank in range(gateway_count)
         ]
         for driver in self.drivers:
-            driver.counts = self.drivers[0].counts
+            driver.counter_totals = self.drivers[0].counter_totals
         self.service_us = service_us
         self.in_flight: deque[InFlight] = deque()
         self.forwarded = 0
@@ -50,11 +50,13 @@
         """A request at one gateway, after the answers that are due by then."""
         while self.in_flight and self.in_flight[0].ends_at_us <= now_us:
             ended = self.in_flight.popleft()
-            ended.driver.now = ended.ends_at_us
-            ended.driver.end(ended.attempt.request_id, ended.attempt.endpoint_id, elapsed_us=self.service_us)
+            ended.driver.now_us = ended.ends_at_us
+            ended.driver.end_attempt(
+                ended.attempt.request_id, ended.attempt.endpoint_id, elapsed_us=self.service_us
+            )
         driver = self.drivers[rank]
-        driver.now = now_us
-        _, actions = driver.ask(tenant=tenant, quota_plan=0, gateway_count=len(self.drivers))
+        driver.now_us = now_us
+        _, actions = driver.send_request(tenant=tenant, quota_plan=0, gateway_count=len(self.drivers))
         for attempt in of_type(StartAttempt, actions):
             self.in_flight.append(InFlight(now_us + self.service_us, driver, attempt))
             self.forwarded += 1
@@ -62,22 +64,22 @@
 
 def test_requests_past_the_bound_queue_and_leave_with_the_next_free_slot() -> None:
     driver = GatewayDriver()
-    first, actions = driver.ask(tenant=4, quota_plan=CAPPED)
+    first, actions = driver.send_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)
     endpoint_id = of_type(StartAttempt, actions)[0].endpoint_id
-    driver.ask(tenant=4, quota_plan=CAPPED)
-    queued, actions = driver.ask(tenant=4, quota_plan=CAPPED)
+    driver.send_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)
+    queued, actions = driver.send_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)
     assert not actions or not of_type(StartAttempt, actions) + of_type(Reject, actions)
-    assert [a.request_id for a in of_type(StartAttempt, driver.end(first, endpoint_id))] == [queued]
+    assert [a.request_id for a in of_type(StartAttempt, driver.end_attempt(first, endpoint_id))] == [queued]
 
 
 def test_a_queued_request_is_rejected_while_the_client_can_still_use_the_answer() -> None:
     driver = GatewayDriver()
     for _ in range(2):
-        driver.ask(tenant=4, quota_plan=CAPPED)
-    start_us = driver.now
-    queued, _ = driver.ask(tenant=4, quota_plan=CAPPED)
-    driver.run(900 * MS)
-    rejected_at = [at for at, a in driver.log if isinstance(a, Reject) and a.request_id == queued]
+        driver.send_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)
+    start_us = driver.now_us
+    queued, _ = driver.send_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)
+    driver.advance(900 * MS)
+    rejected_at = [at for at, a in driver.action_log if isinstance(a, Reject) and a.request_id == queued]
     assert len(rejected_at) == 1 and rejected_at[0] < start_us + 900 * MS
 
 
@@ -96,35 +98,37 @@
 def test_what_is_asked_past_the_capacity_is_rejected_evenly() -> None:
     """Rate 10, burst 20: a decay time of two seconds, with capacity for twenty units of all gateways."""
     driver = GatewayDriver()
-    tenant = find_tenant(driver, 5, RATED)
+    tenant = find_tenant(driver, 5, RATE_LIMITED)
     assert tenant.demand.decay_us == 2 * SECOND
     tenant.demand.fleet_demand = 39.9
-    tenant.demand.total_received_at_us = driver.now
+    tenant.demand.total_received_at_us = driver.now_us
     tenant.demand.local_demand = 1e9
     tenant.demand.local_demand_at_total = 1e9
     tenant.admission_credit = 0.0
-    forwarded = [of_type(StartAttempt, driver.ask(tenant=5, quota_plan=RATED)[1]) for _ in range(4)]
+    forwarded = [
+        of_type(StartAttempt, driver.send_request(tenant=5, quota_plan=RATE_LIMITED)[1]) for _ in range(4)
+    ]
     assert sum(bool(attempts) for attempts in forwarded) == 2
 
 
 def test_a_flood_is_held_to_the_rate() -> None:
     driver = GatewayDriver()
     assert exceed_rate(driver, 8) <= 12
-    assert any(isinstance(action, AddToCounter) for _, action in driver.log)
+    assert any(isinstance(action, AddToCounter) for _, action in driver.action_log)
 
 
 def test_the_capacity_holds_what_is_left_of_the_burst_and_no_more() -> None:
     plans = (make_quota_plan(rate_per_s=10.0, burst=40.0),)
     driver = GatewayDriver(gateway_count=1, quota_plans=plans)
-    forwarded = sum(driver.serve(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
+    forwarded = sum(driver.serve_request(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
     assert forwarded >= 15  # a burst after a rest passes: the rate alone has capacity for 15
     for _ in range(200):
-        driver.run(20 * MS)
-        driver.serve(tenant=3, quota_plan=0, gateway_count=1)
+        driver.advance(20 * MS)
+        driver.serve_request(tenant=3, quota_plan=0, gateway_count=1)
     forwarded = 0
     for _ in range(500):
-        driver.run(20 * MS)
-        forwarded += driver.serve(tenant=3, quota_plan=0, gateway_count=1)
+        driver.advance(20 * MS)
+        forwarded += driver.serve_request(tenant=3, quota_plan=0, gateway_count=1)
     assert 80 <= forwarded <= 120  # of five times the rate, about the rate passes
 
 
--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -1,6 +1,6 @@
 """The adaptive limit on all attempts in flight of one gateway."""
 
-from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_settings, of_type
+from tests.gateway_driver import MS, SECOND, UNLIMITED, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
 from yardlane.decisions.concurrency import MAX_CLASS_LIMIT_RATIO, ConcurrencyLimit
 
@@ -12,21 +12,21 @@
     """
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     for _ in range(60):
-        number, actions = driver.ask(quota_plan=FREE)
-        actions += driver.run(2 * SECOND)
+        number, actions = driver.send_request(quota_plan=UNLIMITED)
+        actions += driver.advance(2 * SECOND)
         for attempt in of_type(StartAttempt, actions):
-            driver.end(number, attempt.endpoint_id, elapsed_us=700 * MS)
+            driver.end_attempt(number, attempt.endpoint_id, elapsed_us=700 * MS)
     assert driver.gateway.concurrency.limit < 1.0
-    driver.now = driver.gateway.concurrency.last_sent_at_us + MS
-    assert not of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])
+    driver.now_us = driver.gateway.concurrency.last_sent_at_us + MS
+    assert not of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
 
 
 def test_answers_in_time_widen_the_limit_again() -> None:
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     driver.gateway.concurrency.limit = 0.1
     for _ in range(200):
-        driver.serve(quota_plan=FREE)
-        driver.run(2 * SECOND)
+        driver.serve_request(quota_plan=UNLIMITED)
+        driver.advance(2 * SECOND)
     assert driver.gateway.concurrency.limit >= driver.gateway.concurrency.base_limit
 
 
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.decisions.quota_scenarios import exceed_rate, find_tenant
-from tests.gateway_driver import MS, RATED, SECOND, GatewayDriver, make_settings, of_type
+from tests.gateway_driver import MS, RATE_LIMITED, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.counter_polling import CountingPeriods
 from yardlane.decisions.events import Outcome
@@ -14,7 +14,7 @@
 
 def count_polls(driver: GatewayDriver, log_start: int = 0) -> int:
     """The polls of the driver's log from this entry on."""
-    return len(of_type(AddToCounter, [action for _, action in driver.log[log_start:]]))
+    return len(of_type(AddToCounter, [action for _, action in driver.action_log[log_start:]]))
 
 
 def test_the_periods_of_a_count_follow_each_other_and_have_keys_of_their_own() -> None:
@@ -35,7 +35,7 @@
 def test_a_tenant_with_a_valid_total_needs_few_polls() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 10)
-    log_start = len(driver.log)
+    log_start = len(driver.action_log)
     exceed_rate(driver, 10)
     assert count_polls(driver, log_start) <= 50  # of 400 requests
 
@@ -46,11 +46,11 @@
     and no gateway got a total any more.
     """
     driver = GatewayDriver(gateway_count=250)
-    driver.counter_answers = False
+    driver.counter_responds = False
     driver.counter_failure = failure
     for number in range(400):
-        driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
-        driver.run(50 * MS)
+        driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=250)
+        driver.advance(50 * MS)
     assert count_polls(driver) <= 100
 
 
@@ -58,12 +58,12 @@
     driver = GatewayDriver(gateway_count=250)
     driver.gateway.polling.backoff_factor = 4.0
     for number in range(1000):
-        driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
+        driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=250)
         driver.gateway.polling.backoff_factor = 4.0
-    reported = sum(driver.counts.values())
+    reported = sum(driver.counter_totals.values())
     tenants = driver.gateway.tenants.values()
-    starts = [t.periods.start_us(t.periods.index_at(driver.now)) for t in tenants]
-    ages = [(driver.now - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
+    starts = [t.periods.start_us(t.periods.index_at(driver.now_us)) for t in tenants]
+    ages = [(driver.now_us - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
     mean_weight = sum(math.exp(age) for age in ages) / len(ages)
     assert 0.7 * 1000 < reported / mean_weight < 1.4 * 1000
 
@@ -71,20 +71,20 @@
 def test_demand_that_was_surely_not_added_is_reported_later() -> None:
     """After a time-out the counter may have added it; reported again, it would count twice."""
     driver = GatewayDriver()
-    driver.counter_answers = False
+    driver.counter_responds = False
     driver.counter_failure = Outcome.REJECTED
-    assert find_tenant(driver, 5, RATED).demand.unreported_demand == 1.0
+    assert find_tenant(driver, 5, RATE_LIMITED).demand.unreported_demand == 1.0
     driver.counter_failure = Outcome.TIMED_OUT
-    assert find_tenant(driver, 6, RATED).demand.unreported_demand == 0.0
+    assert find_tenant(driver, 6, RATE_LIMITED).demand.unreported_demand == 0.0
 
 
 def test_a_counter_that_fails_some_polls_is_polled_on_and_one_that_fails_all_is_spared() -> None:
     def backoff_factor(is_answered: Callable[[int], bool]) -> float:
         driver = GatewayDriver(gateway_count=2)
         for number in range(200):
-            driver.counter_answers = is_answered(number)
-            driver.serve(tenant=number, quota_plan=RATED, gateway_count=2)
-            driver.run(20 * MS)
+            driver.counter_responds = is_answered(number)
+            driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=2)
+            driver.advance(20 * MS)
         return driver.gateway.polling.backoff_factor
 
     assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not grow old
@@ -96,11 +96,11 @@
     driver = GatewayDriver(gateway_count=2)
 
     def polls(answer_us: int) -> int:
-        driver.counter_answer_us = answer_us
-        log_start = len(driver.log)
+        driver.counter_latency_us = answer_us
+        log_start = len(driver.action_log)
         for number in range(200):
-            driver.serve(tenant=number % 5, quota_plan=RATED, gateway_count=40)
-            driver.run(100 * MS)
+            driver.serve_request(tenant=number % 5, quota_plan=RATE_LIMITED, gateway_count=40)
+            driver.advance(100 * MS)
         return count_polls(driver, log_start)
 
     prompt_polls = polls(MS)
@@ -112,15 +112,15 @@
 
 def test_unreported_demand_is_not_multiplied_by_polls_that_added_nothing() -> None:
     driver = GatewayDriver(gateway_count=2)
-    driver.counter_answers = False
+    driver.counter_responds = False
     driver.counter_failure = Outcome.NOT_CONNECTED
     for _ in range(400):
-        driver.serve(tenant=9, quota_plan=RATED, gateway_count=2)
-        driver.run(10 * MS)
+        driver.serve_request(tenant=9, quota_plan=RATE_LIMITED, gateway_count=2)
+        driver.advance(10 * MS)
     driver.gateway.polling.backoff_factor = 1.0
-    driver.counter_answers = True
-    driver.ask(tenant=9, quota_plan=RATED, gateway_count=2)
+    driver.counter_responds = True
+    driver.send_request(tenant=9, quota_plan=RATE_LIMITED, gateway_count=2)
     # 401 units and the weight of the period's end, not those times the backoff of each failed poll.
-    last_poll = of_type(AddToCounter, [action for _, action in driver.log])[-1]
+    last_poll = of_type(AddToCounter, [action for _, action in driver.action_log])[-1]
     assert last_poll.amount < 401 * math.exp(8) * 1.01
-    assert driver.gateway.tenants[9, RATED].demand.unreported_demand == 0.0
+    assert driver.gateway.tenants[9, RATE_LIMITED].demand.unreported_demand == 0.0
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -5,9 +5,9 @@
 from collections import Counter
 
 from tests.gateway_driver import (
-    FREE,
     MS,
     SECOND,
+    UNLIMITED,
     GatewayDriver,
     make_endpoint,
     make_endpoint_id,
@@ -116,29 +116,29 @@
 
 def attempted_endpoints(driver: GatewayDriver) -> set[bytes]:
     """Where all attempts of the log went."""
-    return {action.endpoint_id for _, action in driver.log if isinstance(action, StartAttempt)}
+    return {action.endpoint_id for _, action in driver.action_log if isinstance(action, StartAttempt)}
 
 
 def reached_endpoints(driver: GatewayDriver) -> set[bytes]:
     """Where the next sixty requests go, each answered at once."""
     reached = set()
     for _ in range(60):
-        number, actions = driver.ask(quota_plan=FREE)
+        number, actions = driver.send_request(quota_plan=UNLIMITED)
         for attempt in of_type(StartAttempt, actions):
             reached.add(attempt.endpoint_id)
-            driver.end(number, attempt.endpoint_id)
-        driver.run(200 * MS)
+            driver.end_attempt(number, attempt.endpoint_id)
+        driver.advance(200 * MS)
     return reached
 
 
 def test_requests_go_to_the_subset_and_to_the_next_when_one_of_it_drains() -> None:
     driver = GatewayDriver(endpoints=0, gateway_count=GATEWAY_COUNT)
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
     before = subset_ids(driver.gateway.endpoints)
     assert reached_endpoints(driver) <= before
     first_id = driver.gateway.endpoints.subset[0].entry.endpoint_id
     draining = make_endpoint(0, endpoint_id=first_id, state=EndpointState.DRAINING)
-    driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
+    driver.deliver(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
     assert len(driver.gateway.endpoints.subset) == SUBSET_SIZE
     assert first_id not in reached_endpoints(driver)
 
@@ -147,13 +147,13 @@
     driver = GatewayDriver(endpoints=4)
     draining = make_endpoint(0, EndpointState.DRAINING)
     removed = make_endpoint(1, EndpointState.REMOVED)
-    driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
+    driver.deliver(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
     for _ in range(6):
-        driver.ask()
+        driver.send_request()
     assert attempted_endpoints(driver) == {make_endpoint_id(2), make_endpoint_id(3)}
-    driver.run(4 * SECOND)
-    driver.log.clear()
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, (make_endpoint(3),)))
+    driver.advance(4 * SECOND)
+    driver.action_log.clear()
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, (make_endpoint(3),)))
     for _ in range(30):
-        driver.serve()
+        driver.serve_request()
     assert attempted_endpoints(driver) <= {make_endpoint_id(3)}
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.gateway_driver import FREE, MS, GatewayDriver, make_endpoint_id
+from tests.gateway_driver import MS, UNLIMITED, GatewayDriver, make_endpoint_id
 from yardlane.decisions.actions import Action
 from yardlane.decisions.events import Outcome
 
@@ -10,9 +10,9 @@
 def log_of_mixed_requests() -> list[tuple[int, Action]]:
     driver = GatewayDriver(seed=11)
     for number in range(200):
-        driver.ask(tenant=number % 7, quota_plan=number % 4, request_class=number % 3)
-        driver.run(13 * MS)
-    return driver.log
+        driver.send_request(tenant=number % 7, quota_plan=number % 4, request_class=number % 3)
+        driver.advance(13 * MS)
+    return driver.action_log
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
@@ -21,9 +21,9 @@
 
 def test_a_repeated_end_of_an_attempt_changes_nothing() -> None:
     driver = GatewayDriver(endpoints=1)
-    number, _ = driver.ask(quota_plan=FREE)
-    driver.ask(quota_plan=FREE)
+    number, _ = driver.send_request(quota_plan=UNLIMITED)
+    driver.send_request(quota_plan=UNLIMITED)
     for _ in range(3):
-        driver.end(number, make_endpoint_id(0), Outcome.OK)
+        driver.end_attempt(number, make_endpoint_id(0), Outcome.OK)
     endpoint = driver.gateway.endpoints.by_id[make_endpoint_id(0)]
     assert driver.gateway.concurrency.in_flight == 1 == endpoint.in_flight
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -8,7 +8,15 @@
 
 import pytest
 
-from tests.gateway_driver import HARD_RATED, IDEMPOTENT, MS, SECOND, GatewayDriver, make_quota_plan, of_type
+from tests.gateway_driver import (
+    HARD_RATE_LIMITED,
+    IDEMPOTENT,
+    MS,
+    SECOND,
+    GatewayDriver,
+    make_quota_plan,
+    of_type,
+)
 from yardlane.decisions.actions import Action, AddToCounter, StartAttempt
 from yardlane.decisions.events import CounterResult, Outcome, RequestArrived
 from yardlane.decisions.hard_rate import HardRateBucket, compute_even_share
@@ -43,33 +51,33 @@
 class SlowCounterDriver(GatewayDriver):
     """A gateway whose counter is shared and far away; some answers are lost."""
 
-    def __init__(self, counts: dict[int, float], random: Random, **changes: Any) -> None:
+    def __init__(self, counter_totals: dict[int, float], random: Random, **changes: Any) -> None:
         self.random = random
         self.counter_steps: list[CounterStep] = []
         super().__init__(endpoints=10, counter_timeout_us=COUNTER_TIMEOUT_US, **changes)
-        self.counts = counts
+        self.counter_totals = counter_totals
 
-    def _count(self, call: AddToCounter) -> list[Action]:
+    def _respond_for_counter(self, call: AddToCounter) -> list[Action]:
         elapsed_us = self.random.choice((1, 2, 3, 3, 20, 60)) * MS
-        added_at_us = self.now + elapsed_us // 2
+        added_at_us = self.now_us + elapsed_us // 2
         if self.random.random() < 0.02:
             elapsed_us = COUNTER_TIMEOUT_US
         self.counter_steps.append(CounterStep(added_at_us, 0, call))
-        self.counter_steps.append(CounterStep(self.now + elapsed_us, elapsed_us, call))
+        self.counter_steps.append(CounterStep(self.now_us + elapsed_us, elapsed_us, call))
         return []
 
     def run_counter(self) -> None:
         """Half way the counter adds, then its answer arrives."""
-        due = [step for step in self.counter_steps if step.due_us <= self.now]
+        due = [step for step in self.counter_steps if step.due_us <= self.now_us]
         for step in sorted(due, key=lambda step: (step.due_us, step.elapsed_us)):
             self.counter_steps.remove(step)
             key = step.poll.counter_key
             if not step.elapsed_us:
-                self.counts[key] = self.counts.get(key, 0.0) + step.poll.amount
+                self.counter_totals[key] = self.counter_totals.get(key, 0.0) + step.poll.amount
                 continue
             is_lost = step.elapsed_us == COUNTER_TIMEOUT_US
             outcome = Outcome.TIMED_OUT if is_lost else Outcome.OK
-            self.give(CounterResult(key, outcome, self.counts[key], step.elapsed_us))
+            self.deliver(CounterResult(key, outcome, self.counter_totals[key], step.elapsed_us))
 
 
 class HardRateDay:
@@ -115,31 +123,33 @@
             self.drivers[rank] = self.start_gateway(rank)
         running = [d for rank, d in enumerate(self.drivers) if rank not in self.restarts_at_us]
         for driver in running:
-            driver.run(self.now - driver.now)
+            driver.advance(self.now - driver.now_us)
         while self.random.random() < units_per_s * STEP_US / SECOND / 1.5:
             self.ask(self.random.choices(running)[0], self.random.choice((1.0, 2.0)))
         for driver in running:
             driver.run_counter()
             for answer in [a for a in self.answers if a.driver is driver and a.due_us <= self.now]:
                 self.answers.remove(answer)
-                driver.end(answer.attempt.request_id, answer.attempt.endpoint_id, attempt_index=0)
+                driver.end_attempt(answer.attempt.request_id, answer.attempt.endpoint_id, attempt_index=0)
             self.record_forwarded(driver)
 
     def ask(self, driver: SlowCounterDriver, units: float) -> None:
         """A request at this gateway."""
-        self.units_asked[driver, driver.next_request] = units
-        driver.ask(tenant=4, quota_plan=0, units=units, gateway_count=self.gateway_count, time_left_us=SECOND)
+        self.units_asked[driver, driver.next_request_id] = units
+        driver.send_request(
+            tenant=4, quota_plan=0, units=units, gateway_count=self.gateway_count, time_left_us=SECOND
+        )
 
     def record_forwarded(self, driver: SlowCounterDriver) -> None:
         """Take what a gateway forwarded off the true bucket; only a first attempt takes units."""
-        for attempt in of_type(StartAttempt, [action for _, action in driver.log]):
+        for attempt in of_type(StartAttempt, [action for _, action in driver.action_log]):
             units = self.units_asked.pop((driver, attempt.request_id), 0.0)
             self.units_left -= units
             self.units_forwarded += units
             self.least_units_left = min(self.least_units_left, self.units_left)
             answered_at_us = self.now + self.random.choice((40, 80, 150)) * MS
             self.answers.append(Answer(answered_at_us, driver, attempt))
-        driver.log.clear()
+        driver.action_log.clear()
 
 
 def play_bursts(day: HardRateDay, stop_every_us: int) -> float:
@@ -183,9 +193,9 @@
         rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
     )
     driver = GatewayDriver(quota_plans=(plan,))
-    driver.counter_answers = counter_answers
+    driver.counter_responds = counter_answers
     driver.remote_demand = remote_demand
-    forwarded = [of_type(StartAttempt, driver.ask(tenant=4, quota_plan=0)[1]) for _ in range(10)]
+    forwarded = [of_type(StartAttempt, driver.send_request(tenant=4, quota_plan=0)[1]) for _ in range(10)]
     return sum(bool(attempts) for attempts in forwarded)
 
 
@@ -204,12 +214,12 @@
     """One request of one unit every so often, answered by the next one; the number forwarded."""
     forwarded = 0
     for _ in range(seconds * SECOND // every_us):
-        actions = driver.run(every_us)
-        actions += driver.ask(tenant=4, quota_plan=0, gateway_count=10)[1]
+        actions = driver.advance(every_us)
+        actions += driver.send_request(tenant=4, quota_plan=0, gateway_count=10)[1]
         attempts = of_type(StartAttempt, actions)
         forwarded += len(attempts)
         for attempt in attempts:
-            driver.end(attempt.request_id, attempt.endpoint_id)
+            driver.end_attempt(attempt.request_id, attempt.endpoint_id)
     return forwarded
 
 
@@ -219,10 +229,10 @@
     ask_steadily(driver, 4, 200 * MS)
     assert ask_steadily(driver, 10, 200 * MS) > 40  # alone it gets 5 units a second of a quota of 6
     bucket = driver.gateway.tenants[4, 0].hard_rate
-    assert bucket.rate_share(driver.now) > 0.3  # three even shares
-    driver.counter_answers = False
-    driver.run(20 * SECOND)
-    assert bucket.rate_share(driver.now) < 0.11
+    assert bucket.rate_share(driver.now_us) > 0.3  # three even shares
+    driver.counter_responds = False
+    driver.advance(20 * SECOND)
+    assert bucket.rate_share(driver.now_us) < 0.11
 
 
 def test_a_hard_rate_holds_over_ten_gateways_whose_demand_moves() -> None:
@@ -232,18 +242,18 @@
         GatewayDriver(gateway_count=10, quota_plans=(plan,), rank=rank, seed=rank) for rank in range(10)
     ]
     for driver in drivers:
-        driver.counts = drivers[0].counts
+        driver.counter_totals = drivers[0].counter_totals
     forwarded_at_us: list[int] = []
     for step in range(400):  # 20 units a second, over three times the quota
         busy = drivers[step // 60 % 10]
         asked = busy if step % 4 else drivers[step % 10]
         for driver in drivers:
-            actions = driver.run(50 * MS)
+            actions = driver.advance(50 * MS)
             if driver is asked:
-                actions += driver.ask(tenant=4, quota_plan=0, gateway_count=10)[1]
+                actions += driver.send_request(tenant=4, quota_plan=0, gateway_count=10)[1]
             for attempt in of_type(StartAttempt, actions):
-                forwarded_at_us.append(driver.now)
-                driver.end(attempt.request_id, attempt.endpoint_id)
+                forwarded_at_us.append(driver.now_us)
+                driver.end_attempt(attempt.request_id, attempt.endpoint_id)
     assert len(forwarded_at_us) >= 60
     units_left = plan.hard_rate_depth
     last_us = 0
@@ -276,7 +286,7 @@
     for _ in range(3):
         driver = GatewayDriver(has_shared_counter=False)
         for _ in range(40):
-            _, actions = driver.ask(quota_plan=HARD_RATED)
+            _, actions = driver.send_request(quota_plan=HARD_RATE_LIMITED)
             forwarded += bool(of_type(StartAttempt, actions))
     assert forwarded <= 3
 
@@ -284,13 +294,13 @@
 def test_a_bucket_fills_at_this_gateways_share_of_the_hard_rate() -> None:
     driver = GatewayDriver()
     for _ in range(40):
-        driver.ask(quota_plan=HARD_RATED)
-    driver.run(SECOND)
-    forwarded = {action.request_id for _, action in driver.log if isinstance(action, StartAttempt)}
+        driver.send_request(quota_plan=HARD_RATE_LIMITED)
+    driver.advance(SECOND)
+    forwarded = {action.request_id for _, action in driver.action_log if isinstance(action, StartAttempt)}
     assert 1 <= len(forwarded) <= 3
 
 
 def test_a_gateway_that_does_not_serve_a_tenant_forwards_nothing_of_a_hard_rate() -> None:
     driver = GatewayDriver(rank=2)
-    actions = driver.give(RequestArrived(1, 4, HARD_RATED, IDEMPOTENT, SECOND, 1.0, 0, 2))
+    actions = driver.deliver(RequestArrived(1, 4, HARD_RATE_LIMITED, IDEMPOTENT, SECOND, 1.0, 0, 2))
     assert not of_type(StartAttempt, actions)
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -4,7 +4,15 @@
 
 from collections import Counter
 
-from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_endpoint, make_endpoint_id, of_type
+from tests.gateway_driver import (
+    MS,
+    SECOND,
+    UNLIMITED,
+    GatewayDriver,
+    make_endpoint,
+    make_endpoint_id,
+    of_type,
+)
 from yardlane.decisions.actions import StartAttempt
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import EndpointListUpdate, LoadReport, UpdateKind
@@ -16,11 +24,11 @@
     """The endpoints of so many requests, each answered as fast as is expected at first."""
     counts: Counter[bytes] = Counter()
     for _ in range(requests):
-        number, actions = driver.ask(quota_plan=FREE)
+        number, actions = driver.send_request(quota_plan=UNLIMITED)
         for attempt in of_type(StartAttempt, actions):
             counts[attempt.endpoint_id] += 1
-            driver.end(number, attempt.endpoint_id, elapsed_us=EXPECTED_US)
-        driver.run(50 * MS)
+            driver.end_attempt(number, attempt.endpoint_id, elapsed_us=EXPECTED_US)
+        driver.advance(50 * MS)
     return counts
 
 
@@ -28,7 +36,7 @@
     looked = []
     for endpoint_count in (40, 200):
         driver = GatewayDriver(endpoints=endpoint_count)
-        driver.serve(quota_plan=FREE)
+        driver.serve_request(quota_plan=UNLIMITED)
         calls = 0
 
         def count(endpoint: EndpointRecord, now_us: int) -> float:
@@ -37,28 +45,28 @@
             return 1.0
 
         driver.gateway.slow_start.warm_up_factor = count  # type: ignore[method-assign]
-        driver.serve(quota_plan=FREE)
+        driver.serve_request(quota_plan=UNLIMITED)
         looked.append(calls)
     assert 0 < looked[0] == looked[1] <= 20
 
 
 def test_an_endpoint_with_attempts_in_flight_is_passed_over_for_an_idle_one() -> None:
     driver = GatewayDriver(endpoints=4)
-    started = [of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])[0] for _ in range(4)]
+    started = [of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])[0] for _ in range(4)]
     assert len({attempt.endpoint_id for attempt in started}) == 4
 
 
 def test_a_load_report_counts_for_a_second() -> None:
     driver = GatewayDriver(endpoints=2)
-    number, actions = driver.ask(quota_plan=FREE)
+    number, actions = driver.send_request(quota_plan=UNLIMITED)
     [attempt] = of_type(StartAttempt, actions)
-    driver.end(number, attempt.endpoint_id, elapsed_us=EXPECTED_US, load=LoadReport(in_flight=30.0))
+    driver.end_attempt(number, attempt.endpoint_id, elapsed_us=EXPECTED_US, load=LoadReport(in_flight=30.0))
     [other] = {make_endpoint_id(0), make_endpoint_id(1)} - {attempt.endpoint_id}
-    driver.now += 100 * MS
-    number, actions = driver.ask(quota_plan=FREE)
+    driver.now_us += 100 * MS
+    number, actions = driver.send_request(quota_plan=UNLIMITED)
     assert [one.endpoint_id for one in of_type(StartAttempt, actions)] == [other]
-    driver.end(number, other, elapsed_us=EXPECTED_US)
-    driver.run(2 * SECOND)
+    driver.end_attempt(number, other, elapsed_us=EXPECTED_US)
+    driver.advance(2 * SECOND)
     assert set(served_by(driver, 40)) == {attempt.endpoint_id, other}
 
 
@@ -67,7 +75,7 @@
     counts = []
     for cross_zone_cost in (0.0, 1.0):
         driver = GatewayDriver(endpoints=0, zone=0, cross_zone_cost=cross_zone_cost)
-        driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
+        driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
         counts.append(served_by(driver, 40))
     assert counts[0][make_endpoint_id(1)] > 5
     assert counts[1] == {make_endpoint_id(0): 40}
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -5,10 +5,10 @@
 import pytest
 
 from tests.gateway_driver import (
-    CAPPED,
-    FREE,
+    CONCURRENCY_LIMITED,
     MS,
     SECOND,
+    UNLIMITED,
     GatewayDriver,
     make_endpoint_id,
     of_type,
@@ -27,7 +27,8 @@
 def count_attempts(driver: GatewayDriver, endpoint_id: bytes) -> int:
     """The attempts of the log at this endpoint."""
     return sum(
-        isinstance(action, StartAttempt) and action.endpoint_id == endpoint_id for _, action in driver.log
+        isinstance(action, StartAttempt) and action.endpoint_id == endpoint_id
+        for _, action in driver.action_log
     )
 
 
@@ -40,13 +41,13 @@
     driver = GatewayDriver(endpoints=4)
     hanging_id = make_endpoint_id(1)
     for _ in range(2):
-        driver.log.clear()
+        driver.action_log.clear()
         for _ in range(200):
-            number, actions = driver.ask(quota_plan=FREE)
+            number, actions = driver.send_request(quota_plan=UNLIMITED)
             for attempt in of_type(StartAttempt, actions):
                 if attempt.endpoint_id != hanging_id:
-                    driver.end(number, attempt.endpoint_id, elapsed_us=60 * MS)
-            driver.run(20 * MS)
+                    driver.end_attempt(number, attempt.endpoint_id, elapsed_us=60 * MS)
+            driver.advance(20 * MS)
     assert count_attempts(driver, hanging_id) <= 0.1 * 200
 
 
@@ -59,43 +60,45 @@
     driver = GatewayDriver(endpoints=4)
     failing_id = make_endpoint_id(2)
     for _ in range(600):
-        _, actions = driver.ask(quota_plan=FREE)
+        _, actions = driver.send_request(quota_plan=UNLIMITED)
         started = of_type(StartAttempt, actions)
         while started:
             attempt = started.pop()
             if attempt.endpoint_id == failing_id:
-                actions = driver.end(attempt.request_id, failing_id, Outcome.NOT_CONNECTED, elapsed_us=MS)
+                actions = driver.end_attempt(
+                    attempt.request_id, failing_id, Outcome.NOT_CONNECTED, elapsed_us=MS
+                )
                 started += of_type(StartAttempt, actions)
-        driver.run(5 * MS)
+        driver.advance(5 * MS)
     assert count_attempts(driver, failing_id) <= 20
 
 
 def test_a_client_with_little_time_does_not_count_against_an_endpoint() -> None:
     driver = GatewayDriver(endpoints=1)
     for _ in range(6):
-        number, actions = driver.ask(quota_plan=FREE, time_left_us=60 * MS)
+        number, actions = driver.send_request(quota_plan=UNLIMITED, time_left_us=60 * MS)
         [attempt] = of_type(StartAttempt, actions)
-        driver.end(number, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=60 * MS)
+        driver.end_attempt(number, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=60 * MS)
     assert not any(record_of(driver, 0).failure_rates.values())
 
 
 @pytest.mark.parametrize("outcome", (Outcome.CANCELLED, Outcome.NOT_SENT))
 def test_an_attempt_that_this_gateway_ended_does_not_count_against_an_endpoint(outcome: Outcome) -> None:
     driver = GatewayDriver(endpoints=1)
-    number, actions = driver.ask(quota_plan=FREE)
+    number, actions = driver.send_request(quota_plan=UNLIMITED)
     [attempt] = of_type(StartAttempt, actions)
-    driver.end(number, attempt.endpoint_id, outcome)
+    driver.end_attempt(number, attempt.endpoint_id, outcome)
     assert not any(record_of(driver, 0).failure_rates.values())
 
 
 def test_an_overdue_attempt_is_a_failure_only_at_an_endpoint_that_answers_nothing() -> None:
     silent, slow = GatewayDriver(endpoints=1), GatewayDriver(endpoints=1)
     for driver in (silent, slow):
-        driver.ask(quota_plan=FREE)
-        driver.run(100 * MS)
-    slow.serve(quota_plan=FREE)
+        driver.send_request(quota_plan=UNLIMITED)
+        driver.advance(100 * MS)
+    slow.serve_request(quota_plan=UNLIMITED)
     for driver in (silent, slow):
-        driver.run(SECOND)
+        driver.advance(SECOND)
     assert record_of(silent, 0).failure_rates[None] > 0.2
     assert record_of(slow, 0).failure_rates[None] == 0.0
     assert 1.0 < record_of(slow, 0).latency_ratio < OVERDUE_MULTIPLE
@@ -108,16 +111,18 @@
     that against the endpoints, and avoided healthy ones.
     """
     driver = GatewayDriver(endpoints=3, gateway_count=100)
-    started = [one for _ in range(2) for one in of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])]
+    started = [
+        one for _ in range(2) for one in of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
+    ]
 
     def figures() -> dict[bytes, tuple[float, dict[QuotaPlan | None, float]]]:
         by_id = driver.gateway.endpoints.by_id
         return {key: (record.latency_ratio, record.failure_rates.copy()) for key, record in by_id.items()}
 
     before = figures()
-    driver.now += 2 * SECOND  # without any turn in between
+    driver.now_us += 2 * SECOND  # without any turn in between
     for attempt in started:
-        driver.end(attempt.request_id, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=2 * SECOND)
+        driver.end_attempt(attempt.request_id, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=2 * SECOND)
     assert len(started) > 0
     assert before == figures()
 
@@ -129,13 +134,13 @@
     """
     driver = GatewayDriver(endpoints=1)
     for _ in range(5):
-        for plan, outcome in ((FREE, Outcome.REJECTED), (CAPPED, Outcome.OK)):
-            for attempt in of_type(StartAttempt, driver.ask(tenant=plan, quota_plan=plan)[1]):
-                driver.end(attempt.request_id, attempt.endpoint_id, outcome)
+        for plan, outcome in ((UNLIMITED, Outcome.REJECTED), (CONCURRENCY_LIMITED, Outcome.OK)):
+            for attempt in of_type(StartAttempt, driver.send_request(tenant=plan, quota_plan=plan)[1]):
+                driver.end_attempt(attempt.request_id, attempt.endpoint_id, outcome)
     rates = record_of(driver, 0).failure_rates
     plans = driver.settings.quota_plans
-    assert rates[plans[FREE]] > 0.2
-    assert rates[None] == rates[plans[CAPPED]] == 0.0
+    assert rates[plans[UNLIMITED]] > 0.2
+    assert rates[None] == rates[plans[CONCURRENCY_LIMITED]] == 0.0
 
 
 def test_a_record_fades_while_an_endpoint_is_not_used() -> None:
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -18,7 +18,7 @@
 
 from tests.gateway_driver import (
     CLASSES,
-    HARD_RATED,
+    HARD_RATE_LIMITED,
     IDEMPOTENT,
     MS,
     PLANS,
@@ -72,12 +72,12 @@
         self.endpoint_states: dict[bytes, EndpointState] = {}
         self.endpoint_zones: dict[bytes, int] = {}
         # This gateway's part of the hard rate's token bucket: a third, as there are three gateways.
-        self.hard_rate_units = PLANS[HARD_RATED].hard_rate_slack / 3
-        self.hard_rate_at_us = driver.now
+        self.hard_rate_units = PLANS[HARD_RATE_LIMITED].hard_rate_slack / 3
+        self.hard_rate_at_us = driver.now_us
 
     def check_new_actions(self) -> None:
-        new_actions = self.driver.log[self.checked_count :]
-        self.checked_count = len(self.driver.log)
+        new_actions = self.driver.action_log[self.checked_count :]
+        self.checked_count = len(self.driver.action_log)
         for at_us, action in new_actions:
             if isinstance(action, StartAttempt):
                 self._check_attempt(at_us, action)
@@ -102,7 +102,7 @@
         if not self.driver.settings.may_hedge:
             assert not any(attempt.in_flight for attempt in request.attempts)
         assert self.endpoint_states[action.endpoint_id] is EndpointState.READY
-        if request.plan == HARD_RATED and not request.attempts:
+        if request.plan == HARD_RATE_LIMITED and not request.attempts:
             self._check_hard_rate(at_us)
         request.attempts.append(SentAttempt(at_us, action.endpoint_id))
 
@@ -116,8 +116,8 @@
             assert at_us - first.sent_at_us < request_class.idempotency_window_us
 
     def _check_hard_rate(self, at_us: int) -> None:
-        depth = PLANS[HARD_RATED].hard_rate_depth / 3
-        units_per_s = PLANS[HARD_RATED].hard_rate_per_s / 3
+        depth = PLANS[HARD_RATE_LIMITED].hard_rate_depth / 3
+        units_per_s = PLANS[HARD_RATE_LIMITED].hard_rate_per_s / 3
         filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_at_us) / SECOND
         self.hard_rate_units = min(depth, filled) - 1.0
         self.hard_rate_at_us = at_us
@@ -152,7 +152,7 @@
             kind = self.random.choice((UpdateKind.DELTA, UpdateKind.SNAPSHOT))
             self.update_endpoints(kind, range(self.random.randrange(ENDPOINTS + 1)))
         elif choice < 0.88:
-            self.driver.counter_answers = not self.driver.counter_answers
+            self.driver.counter_responds = not self.driver.counter_responds
         else:
             self.let_time_pass()
         self.checker.check_new_actions()
@@ -161,13 +161,15 @@
         request_class = self.random.randrange(len(CLASSES))
         plan = self.random.randrange(len(PLANS))
         time_left_us = self.random.choice((5 * MS, 400 * MS, 2 * SECOND))
-        history = RequestHistory(request_class, plan, self.driver.now + time_left_us)
-        self.checker.requests[self.driver.next_request] = history
-        self.driver.ask(tenant=plan, quota_plan=plan, request_class=request_class, time_left_us=time_left_us)
+        history = RequestHistory(request_class, plan, self.driver.now_us + time_left_us)
+        self.checker.requests[self.driver.next_request_id] = history
+        self.driver.send_request(
+            tenant=plan, quota_plan=plan, request_class=request_class, time_left_us=time_left_us
+        )
 
     def end_attempt(self, number: int, index: int) -> None:
         outcome = Outcome.OK if self.random.random() < 0.5 else self.random.choice(FAILURES)
-        if any(action == CancelAttempt(number, index) for _, action in self.driver.log):
+        if any(action == CancelAttempt(number, index) for _, action in self.driver.action_log):
             outcome = Outcome.CANCELLED
         request = self.checker.requests[number]
         attempt = request.attempts[index]
@@ -175,12 +177,12 @@
         attempt.may_have_run = outcome not in NEVER_RAN
         if outcome is Outcome.OK:
             request.is_over = True
-        elapsed_us = max(1, self.driver.now - attempt.sent_at_us)
-        self.driver.end(number, attempt.endpoint_id, outcome, elapsed_us, index, request.is_over)
+        elapsed_us = max(1, self.driver.now_us - attempt.sent_at_us)
+        self.driver.end_attempt(number, attempt.endpoint_id, outcome, elapsed_us, index, request.is_over)
 
     def disconnect(self, number: int) -> None:
         self.checker.requests[number].is_over = True
-        self.driver.give(RequestEnded(number))
+        self.driver.deliver(RequestEnded(number))
 
     def update_endpoints(self, kind: UpdateKind, numbers: range) -> None:
         entries = [
@@ -188,7 +190,7 @@
                 number,
                 self.random.choice(STATES),
                 zone=number % ZONES,
-                started_at_us=self.random.choice((0, self.driver.now - 2 * SECOND)),
+                started_at_us=self.random.choice((0, self.driver.now_us - 2 * SECOND)),
             )
             for number in numbers
         ]
@@ -199,11 +201,11 @@
         for entry in entries:
             states[entry.endpoint_id] = entry.state
             self.checker.endpoint_zones[entry.endpoint_id] = entry.zone
-        self.driver.give(EndpointListUpdate(kind, 1, tuple(entries)))
+        self.driver.deliver(EndpointListUpdate(kind, 1, tuple(entries)))
 
     def let_time_pass(self) -> None:
         for _ in range(self.random.randrange(1, 40)):
-            self.driver.run(self.random.choice((1, 20, 50)) * MS)
+            self.driver.advance(self.random.choice((1, 20, 50)) * MS)
             self.checker.check_new_actions()
 
 
@@ -213,7 +215,7 @@
     run = RandomRun(seed, may_hedge, has_shared_counter)
     for _ in range(MOVES):
         run.move()
-    run.driver.run(5 * SECOND)
+    run.driver.advance(5 * SECOND)
     run.checker.check_new_actions()
     assert all(request.is_over for request in run.checker.requests.values())
 
@@ -221,6 +223,6 @@
 def test_every_delay_of_a_timer_is_positive() -> None:
     driver = GatewayDriver()
     for _ in range(100):
-        driver.ask(request_class=IDEMPOTENT)
-        driver.run(7 * MS)
-    assert all(action.delay_us > 0 for _, action in driver.log if isinstance(action, SetTimer))
+        driver.send_request(request_class=IDEMPOTENT)
+        driver.advance(7 * MS)
+    assert all(action.delay_us > 0 for _, action in driver.action_log if isinstance(action, SetTimer))
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -6,9 +6,9 @@
 
 from tests.decisions.quota_scenarios import exceed_rate, find_tenant
 from tests.gateway_driver import (
-    CAPPED,
+    CONCURRENCY_LIMITED,
     MS,
-    RATED,
+    RATE_LIMITED,
     SECOND,
     GatewayDriver,
     make_quota_plan,
@@ -23,16 +23,19 @@
     driver = GatewayDriver()
     driver.remote_demand = remote_demand
     for _ in range(20):
-        driver.serve(tenant=4, quota_plan=CAPPED)
-        driver.run(200 * MS)
-    return driver.gateway.tenants[4, CAPPED].concurrency_bound
+        driver.serve_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)
+        driver.advance(200 * MS)
+    return driver.gateway.tenants[4, CONCURRENCY_LIMITED].concurrency_bound
 
 
 def test_the_bound_starts_at_an_even_share_of_the_limit() -> None:
     driver = GatewayDriver()
-    driver.counter_answers = False
-    forwarded = [of_type(StartAttempt, driver.ask(tenant=4, quota_plan=CAPPED)[1]) for _ in range(5)]
-    bound = driver.gateway.tenants[4, CAPPED].concurrency_bound
+    driver.counter_responds = False
+    forwarded = [
+        of_type(StartAttempt, driver.send_request(tenant=4, quota_plan=CONCURRENCY_LIMITED)[1])
+        for _ in range(5)
+    ]
+    bound = driver.gateway.tenants[4, CONCURRENCY_LIMITED].concurrency_bound
     assert sum(bool(attempts) for attempts in forwarded) == 2 == bound
 
 
@@ -80,8 +83,8 @@
 
 def test_a_total_decays_and_a_new_period_starts_from_the_last_one() -> None:
     driver = GatewayDriver()
-    tenant = find_tenant(driver, 5, RATED)
-    index = tenant.periods.index_at(driver.now)
+    tenant = find_tenant(driver, 5, RATE_LIMITED)
+    index = tenant.periods.index_at(driver.now_us)
     start_us = tenant.periods.start_us(index)
     demand = tenant.demand
     demand.total_received_at_us = start_us
@@ -96,30 +99,30 @@
     """The chance of rejection was kept for seconds only after the last total; then a burst passed whole."""
     driver = GatewayDriver()
     exceed_rate(driver, 6)
-    driver.counter_answers = False
+    driver.counter_responds = False
     assert exceed_rate(driver, 15) <= 12
 
 
 def test_without_any_counter_a_quota_still_holds() -> None:
     driver = GatewayDriver(has_shared_counter=False)
     assert exceed_rate(driver, 10) <= 6  # its even share: the others are taken to get as many requests
-    assert not any(isinstance(action, AddToCounter) for _, action in driver.log)
+    assert not any(isinstance(action, AddToCounter) for _, action in driver.action_log)
 
 
 def test_a_counter_that_loses_its_counts_does_not_open_the_quota() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 6)
     for _ in range(3):
-        driver.counts = dict.fromkeys(driver.counts, 0.0)
+        driver.counter_totals = dict.fromkeys(driver.counter_totals, 0.0)
         assert exceed_rate(driver, 1) <= 14
 
 
 def test_before_the_first_total_demand_is_estimated_from_what_came_here() -> None:
     """With the counter overloaded, each of 200 gateways admitted a heavy tenant, again and again."""
     driver = GatewayDriver(endpoints=100, gateway_count=200)
-    driver.counter_answers = False
+    driver.counter_responds = False
     forwarded = 0
     for _ in range(40):
-        forwarded += driver.serve(tenant=5, quota_plan=RATED, gateway_count=200)
-        driver.run(SECOND)
+        forwarded += driver.serve_request(tenant=5, quota_plan=RATE_LIMITED, gateway_count=200)
+        driver.advance(SECOND)
     assert 2 <= forwarded <= 8  # an even share of the rate is two
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -24,17 +24,17 @@
 
 def ask_and_attempt(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
     """A new request that is sent at once: its number, and the endpoint of its attempt."""
-    number, actions = driver.ask(request_class=request_class)
+    number, actions = driver.send_request(request_class=request_class)
     [attempt] = of_type(StartAttempt, actions)
     return number, attempt.endpoint_id
 
 
 def test_a_request_without_an_answer_gets_one_in_time() -> None:
     driver = GatewayDriver()
-    number, _ = driver.ask(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
-    deadline_us = driver.now + 700 * MS
-    driver.run(2 * SECOND)
-    answers = [(at_us, action) for at_us, action in driver.log if isinstance(action, Reject | Fail)]
+    number, _ = driver.send_request(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
+    deadline_us = driver.now_us + 700 * MS
+    driver.advance(2 * SECOND)
+    answers = [(at_us, action) for at_us, action in driver.action_log if isinstance(action, Reject | Fail)]
     assert [action for _, action in answers] == [Fail(number)]
     assert answers[0][0] <= deadline_us + driver.settings.answer_grace_us
 
@@ -42,34 +42,34 @@
 def test_nothing_is_sent_after_the_client_disconnected() -> None:
     driver = GatewayDriver()
     number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
-    driver.give(RequestEnded(number))
-    later = driver.end(number, endpoint_id, Outcome.ERROR)
+    driver.deliver(RequestEnded(number))
+    later = driver.end_attempt(number, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, later) and not final_answers(later)
-    assert not of_type(StartAttempt, driver.run(3 * SECOND))
+    assert not of_type(StartAttempt, driver.advance(3 * SECOND))
 
 
 def test_a_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     driver = GatewayDriver()
     number, first_id = ask_and_attempt(driver, NON_IDEMPOTENT)
-    retries = of_type(StartAttempt, driver.end(number, first_id, Outcome.REJECTED))
+    retries = of_type(StartAttempt, driver.end_attempt(number, first_id, Outcome.REJECTED))
     assert len(retries) == 1 and retries[0].endpoint_id != first_id
-    last = driver.end(number, retries[0].endpoint_id, Outcome.ERROR)
+    last = driver.end_attempt(number, retries[0].endpoint_id, Outcome.ERROR)
     assert final_answers(last) == [Fail(number)] and not of_type(StartAttempt, last)
 
 
 def test_a_request_with_a_key_is_retried_in_its_zone_and_window() -> None:
     driver = GatewayDriver(endpoints=0)
     entries = tuple(make_endpoint(number, zone=number % 2) for number in range(6))
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
     for outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
         number, first_id = ask_and_attempt(driver, KEYED)
-        retries = of_type(StartAttempt, driver.end(number, first_id, outcome))
+        retries = of_type(StartAttempt, driver.end_attempt(number, first_id, outcome))
         assert len(retries) == 1 and zones[retries[0].endpoint_id] == zones[first_id]
-        driver.end(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
-        driver.now += driver.settings.request_classes[KEYED].deadline_us
-        driver.run(0)
-        assert not any(isinstance(action, Reject) for _, action in driver.log)
+        driver.end_attempt(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
+        driver.now_us += driver.settings.request_classes[KEYED].deadline_us
+        driver.advance(0)
+        assert not any(isinstance(action, Reject) for _, action in driver.action_log)
 
 
 @pytest.mark.parametrize(
@@ -87,32 +87,32 @@
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
     number, endpoint_id = ask_and_attempt(driver, request_class)
-    driver.now += 300 * MS
-    [retry] = of_type(StartAttempt, driver.end(number, endpoint_id, outcome))
+    driver.now_us += 300 * MS
+    [retry] = of_type(StartAttempt, driver.end_attempt(number, endpoint_id, outcome))
     assert retry.send_within_us == (window_us - 300 * MS if is_bounded else 0)
 
 
 def test_a_request_with_a_key_that_never_ran_may_change_the_zone() -> None:
     driver = GatewayDriver(endpoints=0)
     entries = (make_endpoint(1, zone=1), make_endpoint(2, zone=2))
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     number, endpoint_id = ask_and_attempt(driver, KEYED)
-    assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.NOT_CONNECTED))) == 1
+    assert len(of_type(StartAttempt, driver.end_attempt(number, endpoint_id, Outcome.NOT_CONNECTED))) == 1
 
 
 def test_where_hedging_is_not_allowed_an_overdue_attempt_is_cancelled_first() -> None:
     driver = GatewayDriver(may_hedge=False)
     number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
-    later = driver.run(800 * MS)
+    later = driver.advance(800 * MS)
     assert not of_type(StartAttempt, later)
     assert of_type(CancelAttempt, later) == [CancelAttempt(number, 0)]
-    assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.CANCELLED))) <= 1
+    assert len(of_type(StartAttempt, driver.end_attempt(number, endpoint_id, Outcome.CANCELLED))) <= 1
 
 
 def test_where_hedging_is_allowed_an_overdue_attempt_goes_on_beside_another() -> None:
     driver = GatewayDriver()
     number, first_id = ask_and_attempt(driver, IDEMPOTENT)
-    later = driver.run(800 * MS)
+    later = driver.advance(800 * MS)
     hedges = of_type(StartAttempt, later)
     assert hedges and hedges[0].request_id == number and hedges[0].endpoint_id != first_id
     assert not of_type(CancelAttempt, later)
@@ -123,5 +123,5 @@
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
     number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
-    actions = driver.end(number, endpoint_id, Outcome.ERROR)
+    actions = driver.end_attempt(number, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, actions) and len(final_answers(actions)) == 1
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -10,7 +10,7 @@
     """No rejection said when to come back, so clients came again at once, to be rejected again."""
     driver = GatewayDriver(quota_plans=(SMALL_PLAN,))
     for _ in range(40):
-        _, actions = driver.ask(quota_plan=0)
+        _, actions = driver.send_request(quota_plan=0)
         if rejections := of_type(Reject, actions):
             break
     assert rejections  # in the same turn as the arrival
@@ -21,5 +21,5 @@
 
 def test_no_retry_after_where_the_settings_allow_none() -> None:
     driver = GatewayDriver(quota_plans=(SMALL_PLAN,), may_send_retry_after=False)
-    rejections = [r for _ in range(40) for r in of_type(Reject, driver.ask(quota_plan=0)[1])]
+    rejections = [r for _ in range(40) for r in of_type(Reject, driver.send_request(quota_plan=0)[1])]
     assert rejections and all(rejection.retry_after_us == 0 for rejection in rejections)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -146,18 +146,18 @@
 
 def test_a_warming_endpoint_gets_no_more_than_our_part_of_its_budget() -> None:
     driver = GatewayDriver(endpoints=0)
-    warming = make_endpoint(0, started_at_us=driver.now)
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,)))
-    sent = sum(driver.serve() for _ in range(50))
+    warming = make_endpoint(0, started_at_us=driver.now_us)
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,)))
+    sent = sum(driver.serve_request() for _ in range(50))
     work_us = sent * driver.settings.request_classes[IDEMPOTENT].latency_objective_us / 6
     assert work_us <= 3.0 * 0.2 * SECOND / 3
 
 
 def test_a_warm_endpoint_has_no_budget() -> None:
     driver = GatewayDriver(endpoints=0)
-    warm = make_endpoint(0, started_at_us=driver.now - driver.settings.warm_up_us)
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warm,)))
-    assert all(driver.serve() for _ in range(20))
+    warm = make_endpoint(0, started_at_us=driver.now_us - driver.settings.warm_up_us)
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warm,)))
+    assert all(driver.serve_request() for _ in range(20))
 
 
 def times_sent_by_250_gateways(settings: Settings, new: Endpoint, started_at_us: int) -> list[int]:
@@ -166,12 +166,12 @@
     times: list[int] = []
     for rank in range(250):
         driver = GatewayDriver(endpoints=0, gateway_count=250, rank=rank, seed=rank, start_us=started_at_us)
-        driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
+        driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
         for _ in range(100):
-            for attempt in of_type(StartAttempt, driver.run(200 * MS) + driver.ask()[1]):
+            for attempt in of_type(StartAttempt, driver.advance(200 * MS) + driver.send_request()[1]):
                 if attempt.endpoint_id == new.endpoint_id:
-                    times.append(driver.now)
-                driver.end(attempt.request_id, attempt.endpoint_id)
+                    times.append(driver.now_us)
+                driver.end_attempt(attempt.request_id, attempt.endpoint_id)
     return sorted(times)
 
 
--- a/tests/decisions/test_tenant.py
+++ b/tests/decisions/test_tenant.py
@@ -1,42 +1,44 @@
 """Which tenants a gateway keeps, and that they are kept apart."""
 
-from tests.gateway_driver import HARD_RATED, MS, RATED, SECOND, GatewayDriver
+from tests.gateway_driver import HARD_RATE_LIMITED, MS, RATE_LIMITED, SECOND, GatewayDriver
 
 
 def test_an_idle_tenant_is_forgotten_only_once_its_part_of_the_hard_rate_is_full() -> None:
     driver = GatewayDriver()
-    driver.run(5 * SECOND)
-    assert driver.serve(tenant=6, quota_plan=HARD_RATED)
-    driver.serve(tenant=5, quota_plan=RATED)
-    driver.run(21 * SECOND)
-    bucket = driver.gateway.tenants[6, HARD_RATED].hard_rate
-    bucket.refill(driver.now)
+    driver.advance(5 * SECOND)
+    assert driver.serve_request(tenant=6, quota_plan=HARD_RATE_LIMITED)
+    driver.serve_request(tenant=5, quota_plan=RATE_LIMITED)
+    driver.advance(21 * SECOND)
+    bucket = driver.gateway.tenants[6, HARD_RATE_LIMITED].hard_rate
+    bucket.refill(driver.now_us)
     bucket.units = -3.0  # below its part for some seconds more
-    driver.serve(tenant=7, quota_plan=RATED)
-    assert set(driver.gateway.tenants) == {(6, HARD_RATED), (5, RATED), (7, RATED)}
-    driver.run(19 * SECOND)
-    driver.serve(tenant=7, quota_plan=RATED)
-    assert set(driver.gateway.tenants) == {(7, RATED)}
+    driver.serve_request(tenant=7, quota_plan=RATE_LIMITED)
+    assert set(driver.gateway.tenants) == {(6, HARD_RATE_LIMITED), (5, RATE_LIMITED), (7, RATE_LIMITED)}
+    driver.advance(19 * SECOND)
+    driver.serve_request(tenant=7, quota_plan=RATE_LIMITED)
+    assert set(driver.gateway.tenants) == {(7, RATE_LIMITED)}
 
 
 def test_tenants_that_come_once_do_not_fill_the_memory() -> None:
     """A tenant that comes again and again must not keep the idle ones behind it from being forgotten."""
     driver = GatewayDriver(gateway_count=2)
-    driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
+    driver.serve_request(tenant=1, quota_plan=RATE_LIMITED, gateway_count=2)
     for number in range(2, 1500):
-        driver.serve(tenant=number, quota_plan=(RATED, HARD_RATED)[number % 2], gateway_count=2)
-        driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
-        driver.run(100 * MS)
+        driver.serve_request(
+            tenant=number, quota_plan=(RATE_LIMITED, HARD_RATE_LIMITED)[number % 2], gateway_count=2
+        )
+        driver.serve_request(tenant=1, quota_plan=RATE_LIMITED, gateway_count=2)
+        driver.advance(100 * MS)
     assert len(driver.gateway.tenants) <= 210  # those of the last 20 s and the regular one
-    driver.run(10 * SECOND)
+    driver.advance(10 * SECOND)
     assert not driver.gateway.requests and not len(driver.gateway.polling) and len(driver.gateway.timers) < 10
 
 
 def test_a_request_that_names_another_plan_leaves_the_tenants_plan_alone() -> None:
     driver = GatewayDriver()
-    driver.serve(tenant=9, quota_plan=HARD_RATED, units=1.0)
-    driver.serve(tenant=9, quota_plan=RATED)
+    driver.serve_request(tenant=9, quota_plan=HARD_RATE_LIMITED, units=1.0)
+    driver.serve_request(tenant=9, quota_plan=RATE_LIMITED)
     assert [tenant.plan for tenant in driver.gateway.tenants.values()] == [
-        driver.settings.quota_plans[HARD_RATED],
-        driver.settings.quota_plans[RATED],
+        driver.settings.quota_plans[HARD_RATE_LIMITED],
+        driver.settings.quota_plans[RATE_LIMITED],
     ]
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -14,7 +14,7 @@
 from functools import partial
 from random import Random
 
-from tests.gateway_driver import FREE, MS, SECOND, make_endpoint, make_settings
+from tests.gateway_driver import MS, SECOND, UNLIMITED, make_endpoint, make_settings
 from yardlane.decisions.actions import CancelAttempt, Fail, Reject, SetTimer, StartAttempt
 from yardlane.decisions.events import (
     AttemptEnded,
@@ -292,7 +292,7 @@
         rank = self.random.randrange(gateway_count)
         request_class = self.request_count % 3
         arrived = RequestArrived(
-            self.request_count, rank, FREE, request_class, 3 * SECOND, 1.0, 0, gateway_count
+            self.request_count, rank, UNLIMITED, request_class, 3 * SECOND, 1.0, 0, gateway_count
         )
         self._handle(self.processes[rank], arrived)
 
--- a/tests/discovery_responses.py
+++ b/tests/discovery_responses.py
@@ -1,16 +1,18 @@
 """What discovery answers, as the bytes of HTTP responses."""
 
-from tests.loopback import answer, as_json, whole_list
+from tests.loopback import encode_json, endpoint_list_dict, make_response
 
 
 def delta(revision: int, *members: dict[str, object]) -> bytes:
     """The changes since the version that was asked for."""
-    return answer(200, as_json({"revision": revision, "complete": False, "members": list(members)}))
+    return make_response(
+        200, encode_json({"revision": revision, "complete": False, "members": list(members)})
+    )
 
 
 def snapshot(revision: int, *members: dict[str, object]) -> bytes:
     """The whole list."""
-    return answer(200, as_json(whole_list(*members, revision=revision)))
+    return make_response(200, encode_json(endpoint_list_dict(*members, revision=revision)))
 
 
 ENDLESS_HEAD = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/front_door_process.py
+++ b/tests/front_door_process.py
@@ -6,17 +6,17 @@
 import sys
 from pathlib import Path
 
-from tests.loopback import Peer
+from tests.loopback import FakeServer
 
 
 async def start_process(
-    path: Path, configuration: object, descriptors: int = 0
+    config_path: Path, configuration: object, descriptors: int = 0
 ) -> asyncio.subprocess.Process:
-    """The command with a configuration file, written to `path`.
+    """The command with a configuration file, written to `config_path`.
 
     It may hold so many file descriptors; 0 for as many as the test itself.
     """
-    path.write_text(json.dumps(configuration))
+    config_path.write_text(json.dumps(configuration))
     limit = f"ulimit -n {descriptors} && " if descriptors else ""
     return await asyncio.create_subprocess_exec(
         "sh",
@@ -24,11 +24,11 @@
         f'{limit}exec "$0" -m yardlane',
         sys.executable,
         stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "EDGE_CONFIG": str(path)},
+        env={**os.environ, "EDGE_CONFIG": str(config_path)},
     )
 
 
 async def free_port() -> int:
     """A port of 127.0.0.1 that nobody listens on."""
-    async with Peer() as peer:
-        return peer.port
+    async with FakeServer() as server:
+        return server.port
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -26,7 +26,7 @@
 MS = 1_000
 SECOND = 1_000_000
 IDEMPOTENT, KEYED, NON_IDEMPOTENT = 0, 1, 2
-FREE, RATED, CAPPED, HARD_RATED = 0, 1, 2, 3
+UNLIMITED, RATE_LIMITED, CONCURRENCY_LIMITED, HARD_RATE_LIMITED = 0, 1, 2, 3
 
 
 def make_request_class(
@@ -117,56 +117,56 @@
     ) -> None:
         self.settings = make_settings(**changes)
         self.gateway = Gateway(self.settings, seed)
-        self.now = start_us
+        self.now_us = start_us
         self.timers_us: list[int] = []
-        self.log: list[tuple[int, Action]] = []
-        self.counts: dict[int, float] = {}
-        self.counter_answers = True
-        self.counter_answer_us = MS
+        self.action_log: list[tuple[int, Action]] = []
+        self.counter_totals: dict[int, float] = {}
+        self.counter_responds = True
+        self.counter_latency_us = MS
         self.counter_failure = Outcome.TIMED_OUT  # while it does not answer
         self.remote_demand = 0.0  # what other gateways add to each count before it is read
-        self.next_request = 1
-        self.attempts: dict[int, int] = {}
+        self.next_request_id = 1
+        self.attempt_counts: dict[int, int] = {}
         entries = tuple(make_endpoint(number) for number in range(endpoints))
-        self.give(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
+        self.deliver(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
-    def give(self, *events: Event) -> list[Action]:
+    def deliver(self, *events: Event) -> list[Action]:
         """A turn with these events; its actions, and those of the counter's answers."""
-        actions = self.gateway.handle(self.now, list(events))
+        actions = self.gateway.handle(self.now_us, list(events))
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now_us, action))
             if isinstance(action, SetTimer):
-                self.timers_us.append(self.now + max(1, action.delay_us))
+                self.timers_us.append(self.now_us + max(1, action.delay_us))
             elif isinstance(action, StartAttempt):
-                self.attempts[action.request_id] = self.attempts.get(action.request_id, 0) + 1
+                self.attempt_counts[action.request_id] = self.attempt_counts.get(action.request_id, 0) + 1
         for call in of_type(AddToCounter, actions):
-            actions = actions + self._count(call)
+            actions = actions + self._respond_for_counter(call)
         return actions
 
-    def _count(self, call: AddToCounter) -> list[Action]:
-        if not self.counter_answers:
-            return self.give(
+    def _respond_for_counter(self, call: AddToCounter) -> list[Action]:
+        if not self.counter_responds:
+            return self.deliver(
                 CounterResult(call.counter_key, self.counter_failure, 0.0, self.settings.counter_timeout_us)
             )
-        total = self.counts.get(call.counter_key, self.remote_demand) + call.amount
-        self.counts[call.counter_key] = total
-        return self.give(CounterResult(call.counter_key, Outcome.OK, total, self.counter_answer_us))
+        total = self.counter_totals.get(call.counter_key, self.remote_demand) + call.amount
+        self.counter_totals[call.counter_key] = total
+        return self.deliver(CounterResult(call.counter_key, Outcome.OK, total, self.counter_latency_us))
 
-    def run(self, duration_us: int) -> list[Action]:
+    def advance(self, duration_us: int) -> list[Action]:
         """Let time pass; only timers fire."""
-        seen = len(self.log)
-        end_us = self.now + duration_us
+        log_start = len(self.action_log)
+        end_us = self.now_us + duration_us
         while self.timers_us and min(self.timers_us) <= end_us:
-            self.now = max(self.now, min(self.timers_us))
-            self.timers_us = [at_us for at_us in self.timers_us if at_us > self.now]
-            self.give(TimerFired(0))
-        self.now = end_us
-        return [action for _, action in self.log[seen:]]
+            self.now_us = max(self.now_us, min(self.timers_us))
+            self.timers_us = [at_us for at_us in self.timers_us if at_us > self.now_us]
+            self.deliver(TimerFired(0))
+        self.now_us = end_us
+        return [action for _, action in self.action_log[log_start:]]
 
-    def ask(
+    def send_request(
         self,
         tenant: int = 9,
-        quota_plan: int = FREE,
+        quota_plan: int = UNLIMITED,
         request_class: int = IDEMPOTENT,
         units: float = 1.0,
         time_left_us: int | None = None,
@@ -174,16 +174,16 @@
         gateway_count: int = 3,
     ) -> tuple[int, list[Action]]:
         """A new request: its number, and the actions of the same turn."""
-        number = self.next_request
-        self.next_request += 1
+        number = self.next_request_id
+        self.next_request_id += 1
         if time_left_us is None:
             time_left_us = self.settings.request_classes[request_class].deadline_us
         arrived = RequestArrived(
             number, tenant, quota_plan, request_class, time_left_us, units, first_gateway, gateway_count
         )
-        return number, self.give(arrived)
+        return number, self.deliver(arrived)
 
-    def end(
+    def end_attempt(
         self,
         request_id: int,
         endpoint_id: bytes,
@@ -195,19 +195,19 @@
     ) -> list[Action]:
         """The end of an attempt, the last one if none is named."""
         if attempt_index is None:
-            attempt_index = self.attempts[request_id] - 1
+            attempt_index = self.attempt_counts[request_id] - 1
         if request_ended is None:
             request_ended = outcome is Outcome.OK
-        return self.give(
+        return self.deliver(
             AttemptEnded(
                 request_id, attempt_index, endpoint_id, outcome, elapsed_us, request_ended, load=load
             )
         )
 
-    def serve(self, **ask: Any) -> bool:
+    def serve_request(self, **request: Any) -> bool:
         """A new request that is answered at once if it is sent; whether it was."""
-        number, actions = self.ask(**ask)
+        number, actions = self.send_request(**request)
         sent = of_type(StartAttempt, actions)
         if sent:
-            self.end(number, sent[0].endpoint_id)
+            self.end_attempt(number, sent[0].endpoint_id)
         return bool(sent)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from yardlane.config import Config, parse
+from yardlane.config import Config, parse_config
 from yardlane.decisions.actions import Action, Fail, Reject, StartAttempt
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import AttemptEnded, Event, RequestArrived
@@ -24,10 +24,10 @@
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
-LIMIT = 20.0  # s for a whole test; only a test that hangs runs into it
+TEST_TIMEOUT_S = 20.0  # s for a whole test; only a test that hangs runs into it
 
 
-def settings(**changes: Any) -> dict[str, Any]:
+def settings_dict(**changes: Any) -> dict[str, Any]:
     """The settings text as a map, by its names on the wire."""
     base: dict[str, Any] = {
         "discovery": "pushed",
@@ -100,7 +100,7 @@
     return base
 
 
-def config(**changes: Any) -> Config:
+def make_config(**changes: Any) -> Config:
     """A process's configuration, which listens on a free port."""
     base: dict[str, Any] = {
         "name": "n0",
@@ -108,16 +108,16 @@
         "discovery": "127.0.0.1:1",
         "seed": "5",
         "limits": {"sockets": 256},
-        "settings": settings(),
+        "settings": settings_dict(),
     }
     base.update(changes)
-    made = parse(base)
-    fields = {field: getattr(made, field) for field in Config.__slots__}
+    config = parse_config(base)
+    fields = {field: getattr(config, field) for field in Config.__slots__}
     fields["listen"] = ("127.0.0.1", 0)  # the kernel picks a port, and the test asks which
     return Config(**fields)
 
 
-def member(name: str, port: int, **changes: Any) -> dict[str, Any]:
+def member_dict(name: str, port: int, **changes: Any) -> dict[str, Any]:
     """An entry of the endpoint list as discovery writes it."""
     return {
         "id": name,
@@ -132,12 +132,12 @@
     }
 
 
-def whole_list(*members: dict[str, Any], revision: int = 1) -> dict[str, Any]:
+def endpoint_list_dict(*members: dict[str, Any], revision: int = 1) -> dict[str, Any]:
     """A snapshot of the endpoint list as discovery writes it."""
     return {"revision": revision, "complete": True, "members": list(members)}
 
 
-class Peer:
+class FakeServer:
     """A server at a free port of 127.0.0.1, whose connections the test takes and serves by hand."""
 
     def __init__(self) -> None:
@@ -148,7 +148,7 @@
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
-    async def __aenter__(self) -> Peer:
+    async def __aenter__(self) -> FakeServer:
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.writers.append(writer)
             await self.accepted.put((reader, writer))
@@ -166,12 +166,12 @@
     def port(self) -> int:
         return int(self.sock.getsockname()[1])
 
-    async def connection(self) -> Streams:
+    async def accept_connection(self) -> Streams:
         """The next new connection."""
         return await self.accepted.get()
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Let the loop run until the condition holds; the time for a whole test bounds this too."""
     while not condition():
         await asyncio.sleep(0)
@@ -186,12 +186,12 @@
     return head[0], headers, body
 
 
-def answer(status: int = 200, body: bytes = b"done", extra: str = "") -> bytes:
+def make_response(status: int = 200, body: bytes = b"done", extra: str = "") -> bytes:
     """A response; `extra` holds whole header lines, each with its line end."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
-def ask(kind: str = "look", trace: str = "ab12", **changes: str | None) -> bytes:
+def make_request(kind: str = "look", trace: str = "ab12", **changes: str | None) -> bytes:
     """A client's request; a header set to None is left out."""
     headers: dict[str, str | None] = {
         "X-Trace-Id": trace,
@@ -214,35 +214,35 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
         super().__init__(config, loop, decider)
         self.writers: list[asyncio.StreamWriter] = []
-        self.unanswered = 0  # each request ends exactly once: fewer ends leave it above 0, more below
+        self.open_request_count = 0  # each request ends exactly once: fewer ends leave it above 0, more below
         handle_request = self.proxy.handle_request
         end = self.proxy._end
 
         def count_request(client_request: ClientRequest, parsed: ParsedRequest) -> None:
-            self.unanswered += 1
+            self.open_request_count += 1
             handle_request(client_request, parsed)
 
         def count_end(request: RequestInFlight) -> None:
             end(request)
-            self.unanswered -= 1
+            self.open_request_count -= 1
 
         self.proxy.handle_request = count_request  # type: ignore[method-assign]
         self.proxy._end = count_end  # type: ignore[method-assign]
 
-    async def client(self) -> Streams:
+    async def connect_client(self) -> Streams:
         """A new client's connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.clients.port())
         self.writers.append(writer)
         return reader, writer
 
-    async def call(self, request: bytes) -> tuple[str, dict[str, str], bytes]:
+    async def fetch(self, request: bytes) -> tuple[str, dict[str, str], bytes]:
         """The answer to one request on a new connection."""
-        reader, writer = await self.client()
+        reader, writer = await self.connect_client()
         writer.write(request)
         return await read_message(reader)
 
 
-class LoopDouble:
+class EventLoopWrapper:
     """A loop that does as `loop` does, but for what a subclass defines."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -256,13 +256,13 @@
         return cast(asyncio.AbstractEventLoop, self)
 
 
-class DelayedConnections(LoopDouble):
+class DelayedConnectLoop(EventLoopWrapper):
     """The pool's loop; connections to one backend are made, and known to be, only when the test says so."""
 
     def __init__(self, server: RunningServer, port: int) -> None:
         super().__init__(server.pool.loop)
         self.port = port
-        self.requested = asyncio.Event()
+        self.connect_requested = asyncio.Event()
         self.may_connect = asyncio.Event()
         self.may_return = asyncio.Event()  # set, unless a test withholds what is known of a connection made
         self.may_return.set()
@@ -272,7 +272,7 @@
         self, make_protocol: Callable[[], asyncio.Protocol], host: str, port: int
     ) -> Any:
         if port == self.port:
-            self.requested.set()
+            self.connect_requested.set()
             await self.may_connect.wait()
         connection = await self.loop.create_connection(make_protocol, host, port)
         await self.may_return.wait()
@@ -280,11 +280,11 @@
 
 
 @asynccontextmanager
-async def running(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningServer]:
+async def running_server(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningServer]:
     """The whole program, without its signals; nobody need listen at discovery's address."""
-    made = config(**changes)
+    config = make_config(**changes)
     loop = asyncio.get_running_loop()
-    server = RunningServer(made, loop, decider or Gateway(made.settings, made.seed))
+    server = RunningServer(config, loop, decider or Gateway(config.settings, config.seed))
     server.start()
     try:
         yield server
@@ -295,12 +295,12 @@
             writer.transport.abort()
 
 
-def socket_test(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
+def uvloop_test(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
     """Run a test on the program's own kind of loop."""
 
     def run() -> None:
         async def limited() -> None:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TEST_TIMEOUT_S):
                 await test()
 
         uvloop.run(limited())
@@ -309,43 +309,43 @@
     return run
 
 
-def as_json(value: object) -> bytes:
+def encode_json(value: object) -> bytes:
     """A body of discovery's."""
     return json.dumps(value).encode()
 
 
-class Script:
+class ScriptedDecider:
     """A decider that does as the test says: `reply` turns each event into actions."""
 
     def __init__(self, reply: Callable[[Event], list[Action]]) -> None:
         self.reply = reply
-        self.seen: list[Event] = []
+        self.received_events: list[Event] = []
         self.actions: list[Action] = []
-        self.changed = asyncio.Event()
+        self.events_received = asyncio.Event()
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """The actions for all events, in order."""
         self.actions = []
         for event in events:
-            self.actions += self._one(event)
-        self.changed.set()
+            self.actions += self._handle_event(event)
+        self.events_received.set()
         return self.actions
 
-    def _one(self, event: Event) -> list[Action]:
-        self.seen.append(event)
+    def _handle_event(self, event: Event) -> list[Action]:
+        self.received_events.append(event)
         return self.reply(event)
 
     async def wait_for(self, kind: type[E], count: int = 1) -> list[E]:
         """Once so many events of this kind have come: all of them."""
         while True:
-            found: list[E] = [event for event in self.seen if isinstance(event, kind)]
+            found: list[E] = [event for event in self.received_events if isinstance(event, kind)]
             if len(found) >= count:
                 return found
-            self.changed.clear()
-            await self.changed.wait()
+            self.events_received.clear()
+            await self.events_received.wait()
 
 
-def send_all(event: Event, endpoint_id: bytes = b"s-1") -> list[Action]:
+def forward_all(event: Event, endpoint_id: bytes = b"s-1") -> list[Action]:
     """Each request gets one attempt, and fails unless that brings a good response."""
     if isinstance(event, RequestArrived):
         return [StartAttempt(event.request_id, endpoint_id)]
@@ -354,17 +354,17 @@
     return []
 
 
-def hold_all(_: Event) -> list[Action]:
+def leave_pending(_: Event) -> list[Action]:
     """Requests stay pending."""
     return []
 
 
-def reject_each(event: Event) -> list[Action]:
+def reject_all(event: Event) -> list[Action]:
     """Requests are rejected at once."""
     return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
 
-def attempt_each(*endpoints: bytes, send_within_us: int = 0) -> Callable[[Event], list[Action]]:
+def attempt_at_each(*endpoints: bytes, send_within_us: int = 0) -> Callable[[Event], list[Action]]:
     """Requests get one attempt at each endpoint, and no decision after that."""
 
     def reply(event: Event) -> list[Action]:
@@ -378,13 +378,15 @@
 
 
 @asynccontextmanager
-async def running_with_backend(
+async def running_server_with_backend(
     decider: Decider | None = None, **changes: Any
-) -> AsyncIterator[tuple[RunningServer, Peer]]:
+) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
     """A proxy whose endpoint list holds one backend, `s-1`."""
     async with (
-        Peer() as backend,
-        running(decider, known=whole_list(member("s-1", backend.port)), **changes) as server,
+        FakeServer() as backend,
+        running_server(
+            decider, known=endpoint_list_dict(member_dict("s-1", backend.port)), **changes
+        ) as server,
     ):
         yield server, backend
 
@@ -395,7 +397,7 @@
     return line.split()[1]
 
 
-async def read_to_end(reader: asyncio.StreamReader) -> bytes:
+async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
     """What still comes on a connection, until it is closed or reset."""
     with suppress(ConnectionError):
         return await reader.read()
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -24,22 +24,22 @@
 )
 from tests.loopback import (
     HEALTH_CHECK,
-    DelayedConnections,
-    Peer,
+    DelayedConnectLoop,
+    FakeServer,
     RunningServer,
-    Script,
-    answer,
-    ask,
-    hold_all,
-    member,
+    ScriptedDecider,
+    endpoint_list_dict,
+    forward_all,
+    leave_pending,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
     read_status,
-    running,
-    running_with_backend,
-    send_all,
-    settings,
-    socket_test,
-    whole_list,
+    running_server,
+    running_server_with_backend,
+    settings_dict,
+    uvloop_test,
 )
 from yardlane.decisions.actions import Action, StartAttempt
 from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
@@ -49,8 +49,8 @@
 
 Leave = Callable[[asyncio.StreamWriter], None]
 
-NEVER_RAN = answer(503, extra="X-Never-Ran: 1\r\n")  # the request may be sent to another endpoint
-ONE_AT_A_TIME = settings(packages=[{**settings()["packages"][0], "concurrency": 1}])
+NEVER_RAN = make_response(503, extra="X-Never-Ran: 1\r\n")  # the request may be sent to another endpoint
+ONE_AT_A_TIME = settings_dict(packages=[{**settings_dict()["packages"][0], "concurrency": 1}])
 
 
 def close(writer: asyncio.StreamWriter) -> None:
@@ -74,7 +74,7 @@
         async def leaving() -> None:
             await test(leave)
 
-        socket_test(leaving)()
+        uvloop_test(leaving)()
 
     run.__name__ = getattr(test, "__name__", "run")
     return pytest.mark.parametrize("leave", [close, reset, half_close])(run)
@@ -86,12 +86,12 @@
 @each_way_to_leave
 async def test_a_client_that_leaves_while_its_request_connects(leave: Leave) -> None:
     """Nothing is written on the connection once it is up."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
-        delayed = DelayedConnections(server, backend.port)
-        _, to_proxy = await server.client()
-        to_proxy.write(ask())
-        await delayed.requested.wait()
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
+        delayed = DelayedConnectLoop(server, backend.port)
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        await delayed.connect_requested.wait()
         leave(to_proxy)
         await script.wait_for(RequestEnded)
         delayed.may_connect.set()
@@ -105,10 +105,10 @@
         await asyncio.sleep(0)
 
 
-async def next_request(backend: Peer, idle: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> str:
+async def next_request(backend: FakeServer, idle: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> str:
     """Answer the next request, on the idle connection or on a new one, and return its trace id."""
     on_idle = asyncio.ensure_future(read_message(idle[0]))
-    on_new = asyncio.ensure_future(backend.connection())
+    on_new = asyncio.ensure_future(backend.accept_connection())
     done, _ = await asyncio.wait((on_idle, on_new), return_when=asyncio.FIRST_COMPLETED)
     if on_new in done:  # the idle one is still in quarantine
         on_idle.cancel()
@@ -118,29 +118,29 @@
         on_new.cancel()
         writer = idle[1]
         message = on_idle.result()
-    writer.write(answer())
+    writer.write(make_response())
     return message[1]["x-trace-id"]
 
 
 @each_way_to_leave
 async def test_a_client_that_leaves_while_its_request_is_queued(leave: Leave) -> None:
     """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
-    async with running_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
+    async with running_server_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
         gateway = cast(Gateway, server.proxy.decisions.decider)
-        first, to_first = await server.client()
-        to_first.write(ask(trace="first"))
-        reader, writer = await backend.connection()
+        first, to_first = await server.connect_client()
+        to_first.write(make_request(trace="first"))
+        reader, writer = await backend.accept_connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "first"
-        _, to_proxy = await server.client()
-        to_proxy.write(ask(trace="second"))
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request(trace="second"))
         await some_request_queued(gateway)
         leave(to_proxy)
         while len(server.proxy.requests) > 1:
             await asyncio.sleep(0)
-        third, to_third = await server.client()
-        to_third.write(ask(trace="third"))
+        third, to_third = await server.connect_client()
+        to_third.write(make_request(trace="third"))
         await some_request_queued(gateway)
-        writer.write(answer())
+        writer.write(make_response())
         assert await read_status(first) == "200"
         assert await next_request(backend, (reader, writer)) == "third"
         assert await read_status(third) == "200"
@@ -159,14 +159,16 @@
 async def test_a_client_that_leaves_before_a_retry(leave: Leave) -> None:
     """The first endpoint has not run the request: it could be retried at the other one, and must not be."""
     async with (
-        Peer() as one,
-        Peer() as two,
-        running(known=whole_list(member("s-1", one.port), member("s-2", two.port))) as server,
+        FakeServer() as one,
+        FakeServer() as two,
+        running_server(
+            known=endpoint_list_dict(member_dict("s-1", one.port), member_dict("s-2", two.port))
+        ) as server,
     ):
         gateway = cast(Gateway, server.proxy.decisions.decider)
-        _, to_proxy = await server.client()
-        to_proxy.write(ask())
-        arrivals = [asyncio.ensure_future(backend.connection()) for backend in (one, two)]
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        arrivals = [asyncio.ensure_future(backend.accept_connection()) for backend in (one, two)]
         done, pending = await asyncio.wait(arrivals, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
@@ -180,16 +182,16 @@
         while gateway.requests:
             await asyncio.sleep(0)
         assert gateway.concurrency.in_flight == 0
-        await server.call(HEALTH_CHECK)
+        await server.fetch(HEALTH_CHECK)
         assert one.accepted.empty() and two.accepted.empty()
 
 
 @each_way_to_leave
 async def test_a_client_that_leaves_a_connection_that_is_not_read(leave: Leave) -> None:
     """With as many requests pending as a connection may have, it is not read: the reaper looks at it."""
-    script = Script(hold_all)
-    async with running(script, settings=settings(profiles=PATIENT_CLASSES)) as server:
-        _, to_proxy = await server.client()
+    script = ScriptedDecider(leave_pending)
+    async with running_server(script, settings=settings_dict(profiles=PATIENT_CLASSES)) as server:
+        _, to_proxy = await server.connect_client()
         to_proxy.write(pipeline(MAX_PIPELINED, X_Expires_In="60000m"))
         await script.wait_for(RequestArrived, MAX_PIPELINED)
         leave(to_proxy)
@@ -217,7 +219,7 @@
 
 async def fill_pipeline(server: RunningServer) -> asyncio.StreamWriter:
     """A client with so many requests pending that its connection is not read."""
-    _, to_proxy = await server.client()
+    _, to_proxy = await server.connect_client()
     to_proxy.write(pipeline(MAX_PIPELINED))
     while len(server.proxy.requests) < MAX_PIPELINED:
         await asyncio.sleep(0)
@@ -242,8 +244,8 @@
 @each_way_to_leave
 async def test_no_first_attempt_begins_after_the_client_left(leave: Leave) -> None:
     """The other requests of the connection end with it."""
-    script = Script(hold_all)
-    async with running_with_backend(script) as (server, _):
+    script = ScriptedDecider(leave_pending)
+    async with running_server_with_backend(script) as (server, _):
         begun = without_reaper(server)
         leave(await fill_pipeline(server))
         await kernel_knows(server)
@@ -256,14 +258,14 @@
 @each_way_to_leave
 async def test_no_queued_request_is_admitted_after_the_client_left(leave: Leave) -> None:
     """One request runs and the others are queued for its slot, which none of them may take."""
-    async with running_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
+    async with running_server_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
         begun = without_reaper(server)
         to_proxy = await fill_pipeline(server)
-        reader, writer = await backend.connection()
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
         leave(to_proxy)
         await kernel_knows(server)
-        writer.write(answer())
+        writer.write(make_response())
         while server.proxy.requests and len(begun) < 2:
             await asyncio.sleep(0)
         assert [attempt.request_id for attempt in begun] == [1]
@@ -279,13 +281,13 @@
     def retry(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and not event.request_ended:
             return [StartAttempt(event.request_id, b"s-1")]
-        return send_all(event)
+        return forward_all(event)
 
-    script = Script(retry)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(retry)
+    async with running_server_with_backend(script) as (server, backend):
         begun = without_reaper(server)
         to_proxy = await fill_pipeline(server)
-        streams = [await backend.connection() for _ in range(MAX_PIPELINED)]
+        streams = [await backend.accept_connection() for _ in range(MAX_PIPELINED)]
         for reader, _ in streams:
             await read_message(reader)
         leave(to_proxy)
@@ -301,23 +303,23 @@
 @each_way_to_leave
 async def test_nothing_is_written_on_a_connection_that_comes_up_after_the_client_left(leave: Leave) -> None:
     """The attempts have begun, and their connections come up for nobody."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
         without_reaper(server)
-        delayed = DelayedConnections(server, backend.port)
+        delayed = DelayedConnectLoop(server, backend.port)
         to_proxy = await fill_pipeline(server)
-        await delayed.requested.wait()
+        await delayed.connect_requested.wait()
         leave(to_proxy)
         await kernel_knows(server)
         delayed.may_connect.set()
-        reader, _ = await backend.connection()
+        reader, _ = await backend.accept_connection()
         assert await first_byte(reader) == b""
         ends = await script.wait_for(AttemptEnded, MAX_PIPELINED)
         assert {(e.outcome, e.request_ended) for e in ends} == {(Outcome.NOT_SENT, True)}
         await script.wait_for(RequestEnded, MAX_PIPELINED)
         await all_released(server)
         while not backend.accepted.empty():
-            assert await first_byte((await backend.connection())[0]) == b""
+            assert await first_byte((await backend.accept_connection())[0]) == b""
 
 
 async def slow_reader(
@@ -338,25 +340,25 @@
     return reader, to_proxy, connection
 
 
-def hold_one(held_id: int) -> Script:
+def hold_one(held_id: int) -> ScriptedDecider:
     """All requests but one are sent on."""
 
     def reply(event: Event) -> list[Action]:
-        return [] if isinstance(event, RequestArrived) and event.request_id == held_id else send_all(event)
+        return [] if isinstance(event, RequestArrived) and event.request_id == held_id else forward_all(event)
 
-    return Script(reply)
+    return ScriptedDecider(reply)
 
 
 @each_way_to_leave
 async def test_no_attempt_begins_after_a_client_that_reads_no_answers_left(leave: Leave) -> None:
     """The answers fill the write buffer, so the connection is not read although little is pending."""
     script = hold_one(4)
-    async with running_with_backend(script) as (server, backend):
+    async with running_server_with_backend(script) as (server, backend):
         _, to_proxy, connection = await slow_reader(server, 4)
         for _ in range(3):
-            reader, writer = await backend.connection()
+            reader, writer = await backend.accept_connection()
             await read_message(reader)
-            writer.write(answer(200, LARGE_BODY))
+            writer.write(make_response(200, LARGE_BODY))
         while not connection.is_write_buffer_full or len(connection.pending) > 1:
             await asyncio.sleep(0)
         begun = without_reaper(server)
@@ -367,15 +369,15 @@
         await script.wait_for(RequestEnded)
 
 
-@socket_test
+@uvloop_test
 async def test_no_attempt_begins_after_a_half_close_while_an_answer_is_still_being_written() -> None:
     """The close is seen while the transport holds an answer: that answer is still delivered."""
     script = hold_one(2)
-    async with running_with_backend(script) as (server, backend):
+    async with running_server_with_backend(script) as (server, backend):
         client, to_proxy, connection = await slow_reader(server, 2)
-        reader, writer = await backend.connection()
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
-        writer.write(answer(200, LARGE_BODY))  # little enough for the connection to be read on
+        writer.write(make_response(200, LARGE_BODY))  # little enough for the connection to be read on
         while len(connection.pending) > 1:
             await asyncio.sleep(0)
         begun = without_reaper(server)
@@ -396,20 +398,20 @@
 ) -> None:
     """Request and close arrive in the same turn: the loop has read neither, and reads the request first."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        script = Script(send_all)
-        async with running_with_backend(script) as (server, backend):
+        script = ScriptedDecider(forward_all)
+        async with running_server_with_backend(script) as (server, backend):
             server.pool.reuse.quarantine_s = 0.0
-            client, to_proxy = await server.client()
-            to_proxy.write(ask(trace="first"))
-            reader, writer = await backend.connection()
+            client, to_proxy = await server.connect_client()
+            to_proxy.write(make_request(trace="first"))
+            reader, writer = await backend.accept_connection()
             await read_message(reader)
-            writer.write(answer())
+            writer.write(make_response())
             await read_message(client)
             begun = without_reaper(server)
             with socket.create_connection(("127.0.0.1", server.clients.port())) as made:
-                made.sendall(ask())
+                made.sendall(make_request())
                 leave(made)
                 assert [e.request_id for e in await script.wait_for(RequestEnded)] == [2]
             assert not begun
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -4,69 +4,69 @@
 
 from tests.client_side import ManualClock, connect
 from tests.loopback import (
-    Script,
-    ask,
-    hold_all,
+    ScriptedDecider,
+    leave_pending,
+    make_request,
     read_message,
-    read_to_end,
-    reject_each,
-    running,
-    socket_test,
+    read_until_closed,
+    reject_all,
+    running_server,
+    uvloop_test,
 )
 from yardlane.decisions.events import RequestArrived
 from yardlane.proxy.listener import Listener
 
 
-@socket_test
+@uvloop_test
 async def test_silent_connections_make_room_and_busy_ones_do_not() -> None:
     """Silent clients take all connections: each new one ends a silent one, until all are busy."""
-    script = Script(hold_all)
-    async with running(script) as server:
+    script = ScriptedDecider(leave_pending)
+    async with running_server(script) as server:
         clients = server.clients
         clients.max_connections = 4
         first, *_ = await connect(server, 4)
-        _, to_proxy = await server.client()  # ends the one that has been silent for longest
-        to_proxy.write(ask(trace="a0"))
-        assert await read_to_end(first[0]) == b""
+        _, to_proxy = await server.connect_client()  # ends the one that has been silent for longest
+        to_proxy.write(make_request(trace="a0"))
+        assert await read_until_closed(first[0]) == b""
         await script.wait_for(RequestArrived)
         for n in range(1, 4):
-            _, to_proxy = await server.client()
-            to_proxy.write(ask(trace=f"a{n}"))
+            _, to_proxy = await server.connect_client()
+            to_proxy.write(make_request(trace=f"a{n}"))
             await script.wait_for(RequestArrived, n + 1)
-        newest, _ = await server.client()
-        assert await read_to_end(newest) == b""
+        newest, _ = await server.connect_client()
+        assert await read_until_closed(newest) == b""
         assert len(clients.connections) == 4 and all(c.pending for c in clients.connections)
 
 
-@socket_test
+@uvloop_test
 async def test_a_full_server_ends_the_longest_idle_but_not_before_two_seconds() -> None:
     """A client that was answered a moment ago may have its next request on the way."""
-    async with running(Script(reject_each)) as server:
+    async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
         clock = ManualClock(clients)
         readers = []
         for n in range(2):
-            reader, writer = await server.client()
-            writer.write(ask(trace=f"a{n}"))
+            reader, writer = await server.connect_client()
+            writer.write(make_request(trace=f"a{n}"))
             await read_message(reader)
             readers.append(reader)
             clock.time_s += 0.1
         clients.max_connections = 2
         clock.time_s += 1.75
-        newest, _ = await server.client()
-        assert await read_to_end(newest) == b""
+        newest, _ = await server.connect_client()
+        assert await read_until_closed(newest) == b""
         clock.time_s += 0.1
-        await server.client()
-        assert await read_to_end(readers[0]) == b""
+        await server.connect_client()
+        assert await read_until_closed(readers[0]) == b""
         while len(clients.connections) < 2:
             await asyncio.sleep(0)
 
 
-@socket_test
+@uvloop_test
 async def test_accepting_resumes_after_descriptors_ran_out() -> None:
     """The kernel refuses a descriptor once: the waiting connection is accepted after a pause."""
     loop = asyncio.get_running_loop()
-    async with running(Script(hold_all)) as server:
+    async with running_server(ScriptedDecider(leave_pending)) as server:
         listener: Listener = server.clients.listener
         assert listener.socket is not None
         real = listener.socket
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 
 from tests.loopback import (
-    Script,
-    hold_all,
-    running,
-    socket_test,
+    ScriptedDecider,
+    leave_pending,
+    running_server,
+    uvloop_test,
 )
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_request import ClientRequest
@@ -45,13 +45,13 @@
     assert list(TRANSITIONS) == list(ClientState)
 
 
-@socket_test
+@uvloop_test
 async def test_each_event_in_each_state_follows_the_table() -> None:
     """An event that the table does not have must be logged and change nothing.
 
     Wherever a connection comes to its end, its pending requests are given back.
     """
-    async with running(Script(hold_all)) as server:
+    async with running_server(ScriptedDecider(leave_pending)) as server:
         clients = server.clients
         with logged_by_connections() as lines:
             for event, row in zip(ClientEvent, ROWS.values(), strict=True):
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -6,79 +6,79 @@
 
 from tests.client_side import ManualClock, connect, only_connection
 from tests.loopback import (
-    Script,
-    ask,
-    hold_all,
+    ScriptedDecider,
+    leave_pending,
+    make_request,
     read_status,
-    read_to_end,
-    reject_each,
-    running,
-    socket_test,
+    read_until_closed,
+    reject_all,
+    running_server,
+    uvloop_test,
 )
 from yardlane.decisions.events import RequestArrived
 from yardlane.proxy.client_connection import REQUEST_TIMEOUT_S
 from yardlane.proxy.client_state import ClientState
 
 
-@socket_test
+@uvloop_test
 async def test_a_silent_connection_is_closed() -> None:
     """A client connects and sends nothing: it must not keep its descriptor."""
-    async with running(Script(hold_all)) as server:
+    async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(reader, _)] = await connect(server, 1)
         clock.advance(1.0)
         assert server.clients.connections
         clock.advance(0.75)
-        assert await read_to_end(reader) == b""
+        assert await read_until_closed(reader) == b""
 
 
-@socket_test
+@uvloop_test
 async def test_a_request_that_drips_in_times_out() -> None:
     """A byte now and then must not keep a connection busy: the time is for the whole request."""
-    async with running(Script(hold_all)) as server:
+    async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(reader, writer)] = await connect(server, 1)
         parser = only_connection(server).parser
-        for byte in ask()[:8]:
+        for byte in make_request()[:8]:
             writer.write(bytes((byte,)))
             head_bytes = parser.head_bytes
             while parser.head_bytes == head_bytes and not parser.is_in_message:
                 await asyncio.sleep(0)
             clock.advance(0.2)
         clock.advance(0.2)
-        assert b" 408 " in await read_to_end(reader)
+        assert b" 408 " in await read_until_closed(reader)
 
 
-@pytest.mark.parametrize("rest", [ask(trace="a2")[:20], b"noise\r\n\r\n"])
+@pytest.mark.parametrize("rest", [make_request(trace="a2")[:20], b"noise\r\n\r\n"])
 def test_an_unreadable_request_behind_a_pending_one_ends_both_in_time(rest: bytes) -> None:
     """The error waits for its turn behind the pending request, but for no longer than a request may take.
 
     The pending one is answered without a promise, as it may have had its effect.
     """
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        script = Script(hold_all)
-        async with running(script) as server:
+        script = ScriptedDecider(leave_pending)
+        async with running_server(script) as server:
             clock = ManualClock(server.clients)
             [(reader, writer)] = await connect(server, 1)
             connection = only_connection(server)
-            writer.write(ask(trace="a1") + rest)
+            writer.write(make_request(trace="a1") + rest)
             await script.wait_for(RequestArrived)
             clock.advance(1.0)
             assert connection.pending
             clock.advance(0.75)
-            answers = await read_to_end(reader)
+            answers = await read_until_closed(reader)
             assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
-            assert not server.clients.open_trace_ids and not server.unanswered
+            assert not server.clients.open_trace_ids and not server.open_request_count
 
     run()
 
 
-@socket_test
+@uvloop_test
 async def test_a_client_that_never_closes_is_aborted() -> None:
     """The last answer is written and the client keeps its side open: it must not keep its descriptor."""
-    async with running(Script(hold_all)) as server:
+    async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(_, writer)] = await connect(server, 1)
         writer.write(b"noise\r\n\r\n")
@@ -90,25 +90,25 @@
             await asyncio.sleep(0)
 
 
-@socket_test
+@uvloop_test
 async def test_a_stalled_proxy_times_out_no_client_that_it_has_not_read() -> None:
     """The process stands still for longer than a request may take to come.
 
     The rest of a request may have arrived meanwhile, unread. Only a client that is late while the proxy runs
     is ended.
     """
-    async with running(Script(reject_each)) as server:
+    async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
-        reader, writer = await server.client()
-        writer.write(ask()[:-4])
+        reader, writer = await server.connect_client()
+        writer.write(make_request()[:-4])
         while not clients.has_pending_work():
             await asyncio.sleep(0)
         stalled_until = clients.now() + 100.0
         clients.now = lambda: stalled_until
         clients._reap_on_time()
-        writer.write(ask()[-4:])
+        writer.write(make_request()[-4:])
         assert await read_status(reader) == "429"
-        writer.write(ask()[:-4])
+        writer.write(make_request()[:-4])
         while not clients.has_pending_work():
             await asyncio.sleep(0)
         clients.reap_due_s = stalled_until + REQUEST_TIMEOUT_S
--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -6,16 +6,16 @@
 import pytest
 
 from tests.loopback import (
-    Script,
+    ScriptedDecider,
     Streams,
-    answer,
-    ask,
+    forward_all,
+    make_request,
+    make_response,
     read_message,
     read_status,
-    running_with_backend,
-    send_all,
-    socket_test,
-    until,
+    running_server_with_backend,
+    uvloop_test,
+    wait_until,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
 from yardlane.proxy.connection_reuse import MAX_SHARED_QUARANTINE_S, QUARANTINE_S, ReusePolicy
@@ -68,36 +68,36 @@
     assert policy.quarantine_of(b"s-2") == policy.quarantine_s == 2 * QUARANTINE_S
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_is_quarantined_before_it_is_used_again() -> None:
     """A second request comes while the only connection is still in quarantine. Sent on it, the request could
     be answered by a late second response to the first one."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         server.pool.reuse.quarantine_s = 1e6
-        client = await server.client()
+        client = await server.connect_client()
         for trace in ("a1", "a2"):
             await serve_on_new_connection(client, backend, trace)
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_found_dead_shortens_the_idle_time_of_the_others() -> None:
     """A backend forgets a connection that stands idle, without a word; the next request on it is lost. The
     connections that have stood idle as long are then closed rather than used."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         pool = server.pool
         pool.reuse.quarantine_s = NO_QUARANTINE_S
-        client = await server.client()
+        client = await server.connect_client()
         client_reader, to_proxy = client
         reader, writer = await serve_on_new_connection(client, backend, "a1")
         pool.idle[b"s-1"][0].idle_since_s -= 5.0
-        to_proxy.write(ask(trace="a2"))
+        to_proxy.write(make_request(trace="a2"))
         await read_message(reader)
         writer.transport.abort()
         assert await read_status(client_reader) == "502"
         assert 3.0 < pool.reuse.idle_limit_s < 5.0 < pool.reuse.max_idle_limit_s
         await serve_on_new_connection(client, backend, "a3")
         pool.idle[b"s-1"][0].idle_since_s -= 5.0
-        to_proxy.write(ask(trace="a4"))
+        to_proxy.write(make_request(trace="a4"))
         await accept_request(backend, "a4")
 
 
@@ -106,11 +106,11 @@
     """A backend answers a request a second time, three seconds later. The loop reads it, or the look at the
     socket before the next use shows it. Connections to this backend are then quarantined for longer."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        async with running_with_backend(Script(send_all)) as (server, backend):
+        async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
             pool = server.pool
-            client = await server.client()
+            client = await server.connect_client()
 
             async def served_and_idle_for(trace: str, idle_s: float) -> asyncio.StreamWriter:
                 _, writer = await serve_on_new_connection(client, backend, trace)
@@ -118,8 +118,8 @@
                 return writer
 
             writer = await served_and_idle_for("a1", 3.0)
-            os.write(writer.get_extra_info("socket").fileno(), answer(200, b"stale"))
-            await until(lambda: not is_read or not pool.connections)
+            os.write(writer.get_extra_info("socket").fileno(), make_response(200, b"stale"))
+            await wait_until(lambda: not is_read or not pool.connections)
             assert pool._take_idle(b"s-1") is None
             await served_and_idle_for("a2", 4.0)
             assert pool._take_idle(b"s-1") is None
@@ -129,30 +129,30 @@
     run()
 
 
-@pytest.mark.parametrize("stray", [answer(200, b"stale"), b"noise", answer(200, b"stale")[:20]])
+@pytest.mark.parametrize("stray", [make_response(200, b"stale"), b"noise", make_response(200, b"stale")[:20]])
 def test_stray_bytes_never_answer_the_next_request(stray: bytes) -> None:
     """A backend sends more than one response to a request, together with the first or later. The next client
     must not get it: the connection is closed, and the next request goes out on a new one."""
 
     async def serve(client: Streams, writer: asyncio.StreamWriter, body: bytes, behind: bytes = b"") -> None:
-        writer.write(answer(200, body) + behind)
+        writer.write(make_response(200, body) + behind)
         assert (await read_message(client[0]))[2] == body
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        async with running_with_backend(Script(send_all)) as (server, backend):
+        async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
             pool = server.pool
             pool.reuse.quarantine_s = NO_QUARANTINE_S
-            client, (_, writer) = await forward(server, backend, ask(trace="a0"))
+            client, (_, writer) = await forward(server, backend, make_request(trace="a0"))
             await serve(client, writer, b"first", stray)
-            client[1].write(ask(trace="a1"))
+            client[1].write(make_request(trace="a1"))
             _, writer = await accept_request(backend, "a1")
             await serve(client, writer, b"second")
             idle = pool.idle[b"s-1"][0]
             assert idle.is_clean()
             os.write(writer.get_extra_info("socket").fileno(), stray)
             assert not idle.is_clean()  # it has come, and the loop has not read it yet
-            client[1].write(ask(trace="b1"))
+            client[1].write(make_request(trace="b1"))
             _, writer = await accept_request(backend, "b1")
             await serve(client, writer, b"third")
 
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -8,32 +8,41 @@
 import pytest
 
 from tests.counter_calls import add, first_call, settings_with_counter
-from tests.loopback import Peer, RunningServer, Script, hold_all, running, socket_test
+from tests.loopback import (
+    FakeServer,
+    RunningServer,
+    ScriptedDecider,
+    leave_pending,
+    running_server,
+    uvloop_test,
+)
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.errors import MalformedCounterReply
 from yardlane.proxy.counter_protocol import parse_reply
 
 
-def with_counter(counter: Peer, **changes: Any) -> dict[str, Any]:
+def with_counter(counter: FakeServer, **changes: Any) -> dict[str, Any]:
     return {"counter": f"127.0.0.1:{counter.port}", "settings": settings_with_counter(**changes)}
 
 
 @asynccontextmanager
-async def running_with_counter(script: Script, **changes: Any) -> AsyncIterator[tuple[RunningServer, Peer]]:
+async def running_with_counter(
+    script: ScriptedDecider, **changes: Any
+) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
     """The program beside a counter that the test plays; `changes` are of its settings."""
-    async with Peer() as counter, running(script, **with_counter(counter, **changes)) as server:
+    async with FakeServer() as counter, running_server(script, **with_counter(counter, **changes)) as server:
         yield server, counter
 
 
-@socket_test
+@uvloop_test
 async def test_answers_are_matched_in_order() -> None:
     """Four calls are written before any is answered, and the answers come cut in odd places. Each answer
     belongs to the oldest call; taken for another's, its total would be another key's."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         for amount in (2.5, -1.0, 0.0, 7.0):
             add(server, 0xAB, amount, 4_000_000)
-        reader, writer = await counter.connection()
+        reader, writer = await counter.accept_connection()
         lines = [await reader.readuntil(b"\r\n") for _ in range(4)]
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
         writer.write(b"ok 2.5\r\nbusy\r\nerr")
@@ -47,11 +56,11 @@
         ]
 
 
-@socket_test
+@uvloop_test
 async def test_a_reset_after_writing_may_have_added() -> None:
     """The counter resets the connection after a call was written. Nobody knows whether it was added, so the
     result must not say that it was not: that would let the decisions add it twice."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         add(server)
         _, writer = await first_call(counter)
@@ -59,22 +68,22 @@
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
-@socket_test
+@uvloop_test
 async def test_a_refused_connection_added_nothing() -> None:
     """Nobody listens at the counter's address. The call was never written, and its result says so."""
-    script = Script(hold_all)
-    async with Peer() as counter:
+    script = ScriptedDecider(leave_pending)
+    async with FakeServer() as counter:
         configuration = with_counter(counter)
-    async with running(script, **configuration) as server:
+    async with running_server(script, **configuration) as server:
         add(server)
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
 
 
-@socket_test
+@uvloop_test
 async def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
     """A call times out, the next one is written, then both are answered. The first answer belongs to the call
     that timed out; taken for the next one, every later total would be a wrong one."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=300_000) as (server, counter):
         add(server)
         reader, writer = await first_call(counter)
@@ -86,31 +95,31 @@
         assert (results[1].outcome, results[1].total) == (Outcome.OK, 2.0)
 
 
-@socket_test
+@uvloop_test
 async def test_a_silent_counter_gets_no_backlog_of_calls() -> None:
     """The counter accepts a connection and stays silent while calls go on. Only so many are written; the
     others end at once, so that a counter that comes back is not met by a backlog."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         for _ in range(100):
             add(server)
         results = await script.wait_for(CounterResult, 100 - 16)
         assert {r.outcome for r in results} == {Outcome.NOT_CONNECTED}
-        reader, writer = await counter.connection()
+        reader, writer = await counter.accept_connection()
         for _ in range(16):
             await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\n" * 16)
         assert len(await script.wait_for(CounterResult, 100)) == 100
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_without_answers_is_dropped() -> None:
     """The counter's host is gone without a reset: calls are written and never answered. After some timeouts
     the connection is closed from our side, so that the next calls get another one."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=20_000) as (server, counter):
         add(server)
-        reader, _ = await counter.connection()
+        reader, _ = await counter.accept_connection()
         await reader.read()
         assert len(await script.wait_for(CounterResult)) == 1
 
@@ -125,12 +134,12 @@
 ]
 
 
-@socket_test
+@uvloop_test
 async def test_a_malformed_reply_ends_the_connection_and_not_the_process() -> None:
     """The counter sends a line that answers no call. The call may have been added, and no later answer on
     this connection can be trusted."""
     for reply in MALFORMED_REPLIES:
-        script = Script(hold_all)
+        script = ScriptedDecider(leave_pending)
         async with running_with_counter(script) as (server, counter):
             add(server)
             _, writer = await first_call(counter)
@@ -146,11 +155,11 @@
         parse_reply(reply)
 
 
-@socket_test
+@uvloop_test
 async def test_after_a_malformed_reply_the_next_call_is_answered_on_a_new_connection() -> None:
     """A connection that has answered breaks by a malformed reply. A quarter of all keys share it: they get
     another one at once, without a reconnect delay."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         add(server)
         reader, writer = await first_call(counter)
@@ -167,11 +176,11 @@
         assert [r.outcome for r in results] == [Outcome.OK, Outcome.TIMED_OUT, Outcome.OK]
 
 
-@socket_test
+@uvloop_test
 async def test_a_line_without_an_end_costs_one_call_and_no_other() -> None:
     """The counter sends half a line and nothing more. The call times out, and as answers behind the half line
     could not be told apart, the connection is closed; the next call is answered on another one."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=200_000) as (server, counter):
         add(server)
         reader, writer = await first_call(counter)
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tests.loopback import Script, hold_all, socket_test
+from tests.loopback import ScriptedDecider, leave_pending, uvloop_test
 from yardlane.decisions.actions import Action, Reject, SetTimer
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import Event, RequestEnded, TimerFired
@@ -52,12 +52,12 @@
     return reply
 
 
-@socket_test
+@uvloop_test
 async def test_all_events_of_a_turn_are_handled_together() -> None:
     """Events come faster than turns. One call of the decisions for each would cost their fixed work for each;
     and a retry could go to an endpoint of which the same turn already says that it drains."""
     batches: list[list[Event]] = []
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     handle = script.handle
 
     def record(now: int, events: list[Event]) -> list[Action]:
@@ -74,11 +74,11 @@
     assert batches == [[RequestEnded(1), RequestEnded(2)], [RequestEnded(3)]]
 
 
-@socket_test
+@uvloop_test
 async def test_a_failed_decision_keeps_what_was_decided_before_and_hands_on_the_rest() -> None:
     """The decisions raise on the second of three events. The first one's action is carried out, the second
     one's request fails, the third event comes in the next turn, and no timer that was due is lost."""
-    script = Script(reject_but_raise_on(2))
+    script = ScriptedDecider(reject_but_raise_on(2))
     decisions, handler = loop_round(script)
     for request_id in (1, 2, 3):
         decisions.forget_after_turn(request_id)
@@ -90,7 +90,7 @@
     assert await script.wait_for(TimerFired) == [TimerFired(0)]
 
 
-@socket_test
+@uvloop_test
 async def test_an_action_that_fails_stops_no_other() -> None:
     """Carrying out one action raises. The actions behind it belong to other requests, which would get no
     answer if they were dropped with it."""
@@ -98,14 +98,14 @@
     def reject_behind_unsupported(event: Event) -> list[Action]:
         return [UNSUPPORTED, Reject(1)]
 
-    decisions, handler = loop_round(Script(reject_behind_unsupported))
+    decisions, handler = loop_round(ScriptedDecider(reject_behind_unsupported))
     decisions.forget_after_turn(1)
     decisions.post(RequestEnded(1))
     await asyncio.sleep(0)
     assert (handler.actions, handler.forgotten) == ([Reject(1)], [1])
 
 
-class RaisingOutsideEvents(Script):
+class RaisingOutsideEvents(ScriptedDecider):
     """Raises in its first call, before the first event or after the last one."""
 
     def __init__(self, *, is_after_events: bool) -> None:
@@ -122,7 +122,7 @@
         return super().handle(now, events)
 
 
-@socket_test
+@uvloop_test
 async def test_a_fault_behind_the_last_event_fails_that_events_request() -> None:
     """A timer raises once both events are handled. Nothing tells it apart from the last event, whose request
     fails; what was decided stands, and no event is handled twice."""
@@ -133,10 +133,10 @@
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [2])
-    assert script.seen == [RequestEnded(1), RequestEnded(2)]
+    assert script.received_events == [RequestEnded(1), RequestEnded(2)]
 
 
-@socket_test
+@uvloop_test
 async def test_a_fault_before_the_first_event_fails_no_request() -> None:
     """The decisions raise before they read an event. Whose fault it was is unknown, so no request pays for
     it: all events come again in the next turn."""
@@ -145,6 +145,6 @@
     decisions.post(RequestEnded(1))
     decisions.post(RequestEnded(2))
     await asyncio.sleep(0)
-    assert (script.seen, handler.failed) == ([], [])
+    assert (script.received_events, handler.failed) == ([], [])
     await asyncio.sleep(0)
     assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [])
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -16,20 +16,20 @@
 from tests.front_door_process import free_port, start_process
 from tests.loopback import (
     HEALTH_CHECK,
-    Peer,
+    FakeServer,
     Streams,
-    answer,
-    as_json,
-    ask,
-    member,
+    encode_json,
+    endpoint_list_dict,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
-    socket_test,
-    whole_list,
+    uvloop_test,
 )
-from yardlane.descriptors import RESERVED_DESCRIPTORS, divide
+from yardlane.descriptors import RESERVED_DESCRIPTORS, connection_limits
 
 DESCRIPTORS = 128  # that the process may hold
-MAX_CLIENTS = divide(DESCRIPTORS).clients
+MAX_CLIENTS = connection_limits(DESCRIPTORS).clients
 
 
 class IdleClients:
@@ -72,21 +72,21 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def serve_list(discovery: Peer, whole: dict[str, Any], watched: asyncio.Event) -> None:
+async def serve_list(discovery: FakeServer, whole: dict[str, Any], watched: asyncio.Event) -> None:
     """Answer each fetch with the whole list, also those that wait already; a watch gets no answer."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while "index=" not in (await read_message(reader))[0]:
-                writer.write(answer(200, as_json(whole)))
+                writer.write(make_response(200, encode_json(whole)))
             watched.set()
 
     async with asyncio.TaskGroup() as group:
         while True:
-            group.create_task(serve(*await discovery.connection()))
+            group.create_task(serve(*await discovery.accept_connection()))
 
 
-async def serve_counter(counter: Peer, calls: list[bytes]) -> None:
+async def serve_counter(counter: FakeServer, calls: list[bytes]) -> None:
     """Answer each call, and note it in `calls`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -96,29 +96,29 @@
 
     async with asyncio.TaskGroup() as group:
         while True:
-            group.create_task(serve(*await counter.connection()))
+            group.create_task(serve(*await counter.accept_connection()))
 
 
-async def send_requests(port: int, *backends: Peer) -> None:
+async def send_requests(port: int, *backends: FakeServer) -> None:
     """One request of a new client for each backend; each backend gets one before any is answered."""
 
     async def send(n: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(ask(trace=f"t{n}", Plan="metered", Account=f"{n:016x}"))
+        writer.write(make_request(trace=f"t{n}", Plan="metered", Account=f"{n:016x}"))
         line, _, body = await read_message(reader)
         writer.transport.abort()
         assert line == "HTTP/1.1 200 OK"
         return body
 
-    async def answer_one(backend: Peer) -> None:
-        reader, writer = await backend.connection()
+    async def answer_one(backend: FakeServer) -> None:
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
         busy.append(backend)
         while len(busy) < len(backends):
             await asyncio.sleep(0.01)
-        writer.write(answer(200, b"first"))
+        writer.write(make_response(200, b"first"))
 
-    busy: list[Peer] = []
+    busy: list[FakeServer] = []
     responses = asyncio.gather(*(send(n) for n in range(len(backends))))
     await asyncio.gather(*(answer_one(backend) for backend in backends))
     assert await responses == [b"first"] * len(backends)
@@ -133,7 +133,7 @@
     """All connections that the limits allow are open at once. What the process itself needs must still be
     left, and neither clients nor upstreams may be cut to next to nothing."""
     for descriptors in (256, 384, 512, 1024):
-        limits = divide(descriptors)
+        limits = connection_limits(descriptors)
         assert limits.clients + limits.upstreams + RESERVED_DESCRIPTORS <= descriptors
         assert limits.clients >= descriptors // 3 and limits.upstreams >= descriptors // 3
 
@@ -148,11 +148,13 @@
     return, to the counter or to a backend, and no request would ever be served again. It must not matter
     that the configuration claims more descriptors than the process may hold."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
         async with AsyncExitStack() as stack:
-            one, two, three, counter, moved = [await stack.enter_async_context(Peer()) for _ in range(5)]
-            discovery, port = Peer(), await free_port()
+            one, two, three, counter, moved = [
+                await stack.enter_async_context(FakeServer()) for _ in range(5)
+            ]
+            discovery, port = FakeServer(), await free_port()
             if is_silent:
                 await stack.enter_async_context(discovery)
             config = {
@@ -184,7 +186,9 @@
                     asyncio.create_task(
                         serve_list(
                             serving,
-                            whole_list(*(member(f"s-{peer.port}", peer.port) for peer in backends)),
+                            endpoint_list_dict(
+                                *(member_dict(f"s-{peer.port}", peer.port) for peer in backends)
+                            ),
                             watched,
                         )
                     )
--- a/tests/proxy/test_discovery_connection.py
+++ b/tests/proxy/test_discovery_connection.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.discovery_responses import ENDLESS_HEAD
-from tests.loopback import Peer, answer, read_message, socket_test
+from tests.loopback import FakeServer, make_response, read_message, uvloop_test
 from yardlane.errors import DiscoveryError, DiscoveryUnreachable
 from yardlane.proxy.discovery_connection import DiscoveryConnection
 
@@ -26,51 +26,51 @@
         tracemalloc.stop()
 
 
-async def connect(discovery: Peer) -> DiscoveryConnection:
+async def connect(discovery: FakeServer) -> DiscoveryConnection:
     connection = DiscoveryConnection(("127.0.0.1", discovery.port))
     await asyncio.get_running_loop().create_connection(lambda: connection, "127.0.0.1", discovery.port)
     return connection
 
 
-@socket_test
+@uvloop_test
 async def test_an_informational_response_is_not_the_answer() -> None:
     """Discovery sends a response of 1xx first. The request is answered by the one behind it."""
-    async with Peer() as discovery:
+    async with FakeServer() as discovery:
         connection = await connect(discovery)
         response = connection.get(b"/catalog/members")
-        reader, writer = await discovery.connection()
+        reader, writer = await discovery.accept_connection()
         assert (await read_message(reader))[1] == {"host": f"127.0.0.1:{discovery.port}"}
-        writer.write(b"HTTP/1.1 103 X\r\n\r\n" + answer(200, b"list"))
+        writer.write(b"HTTP/1.1 103 X\r\n\r\n" + make_response(200, b"list"))
         assert await response == b"list"
         assert connection.is_usable()
         connection.close()
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_that_discovery_closes_is_not_used_again() -> None:
     """A response says that its connection is closed behind it. A request written there would be lost, and
     its change with it, until the timeout."""
-    async with Peer() as discovery:
+    async with FakeServer() as discovery:
         connection = await connect(discovery)
         response = connection.get(b"/catalog/members")
-        reader, writer = await discovery.connection()
+        reader, writer = await discovery.accept_connection()
         await read_message(reader)
-        writer.write(answer(200, b"list", "Connection: close\r\n"))
+        writer.write(make_response(200, b"list", "Connection: close\r\n"))
         assert await response == b"list"
         assert not connection.is_usable()
 
 
-@pytest.mark.parametrize("response", [answer(404), answer(503), b"nonsense\r\n\r\n"])
+@pytest.mark.parametrize("response", [make_response(404), make_response(503), b"nonsense\r\n\r\n"])
 def test_a_response_that_is_no_list_raises_the_typed_error(response: bytes) -> None:
     """Discovery answers with an error, or with what is not HTTP. The request fails, and the connection is
     closed, as what follows on it cannot be trusted."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        async with Peer() as discovery:
+        async with FakeServer() as discovery:
             connection = await connect(discovery)
             request = connection.get(b"/catalog/members")
-            _, writer = await discovery.connection()
+            _, writer = await discovery.accept_connection()
             writer.write(response)
             with pytest.raises(DiscoveryError):
                 await request
@@ -79,13 +79,13 @@
     run()
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_that_ends_fails_its_request() -> None:
     """Discovery resets the connection of a watch. The request must fail at once, not by its timeout."""
-    async with Peer() as discovery:
+    async with FakeServer() as discovery:
         connection = await connect(discovery)
         request = connection.get(b"/catalog/members")
-        _, writer = await discovery.connection()
+        _, writer = await discovery.accept_connection()
         writer.transport.abort()
         with pytest.raises(DiscoveryUnreachable):
             await request
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -9,16 +9,16 @@
 
 from tests.discovery_responses import ENDLESS_HEAD, snapshot
 from tests.loopback import (
-    LIMIT,
-    Peer,
+    TEST_TIMEOUT_S,
+    FakeServer,
     Streams,
-    answer,
-    config,
-    member,
+    endpoint_list_dict,
+    make_config,
+    make_response,
+    member_dict,
     read_message,
-    running,
-    settings,
-    whole_list,
+    running_server,
+    settings_dict,
 )
 from yardlane.config import Address
 from yardlane.decisions.events import EndpointListUpdate
@@ -77,7 +77,7 @@
         async def limited() -> None:
             task = asyncio.current_task()
             assert task is not None
-            hung = threading.Timer(LIMIT, lambda: loop.call_soon_threadsafe(task.cancel))
+            hung = threading.Timer(TEST_TIMEOUT_S, lambda: loop.call_soon_threadsafe(task.cancel))
             hung.start()
             try:
                 await test(loop)
@@ -96,16 +96,16 @@
 
     MARGIN_S = 0.001  # what comes in time comes so long before the timeout
 
-    def __init__(self, loop: ManualClockLoop, discovery: Peer, grace_us: int) -> None:
+    def __init__(self, loop: ManualClockLoop, discovery: FakeServer, grace_us: int) -> None:
         self.loop = loop
         self.discovery = discovery
         self.poll_failed = asyncio.Event()
         self.updated = asyncio.Event()
         self.fail_next_update = False
         self.changed_at = 0.0
-        safety = {**settings()["safety"], "drain_grace_us": grace_us}
+        safety = {**settings_dict()["safety"], "drain_grace_us": grace_us}
         self.client = DiscoveryClient(
-            config(discovery=f"127.0.0.1:{discovery.port}", settings=settings(safety=safety)),
+            make_config(discovery=f"127.0.0.1:{discovery.port}", settings=settings_dict(safety=safety)),
             self.on_update,
             self.poll_failed.set,
         )
@@ -126,7 +126,7 @@
         await self.loop.connecting.wait()
         self.loop.now += self.response_timeout_s - self.MARGIN_S
         self.loop.may_connect.set()
-        reader, writer = await self.discovery.connection()
+        reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
         return reader, writer
 
@@ -146,9 +146,9 @@
     async def established(self) -> Streams:
         """The whole list has been sent, and the client watches."""
         self.client.start()
-        reader, writer = await self.discovery.connection()
+        reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
-        writer.write(snapshot(41, member("s-1", 9)))
+        writer.write(snapshot(41, member_dict("s-1", 9)))
         assert f"index=41&wait={WATCH_TIMEOUT_MS} " in (await read_message(reader))[0]
         self.updated.clear()
         self.changed_at = self.loop.now
@@ -174,7 +174,7 @@
 
 async def partial_watch_response(watch: WatchOnManualClock) -> float:
     _, writer = await watch.established()
-    writer.write(snapshot(42, member("s-1", 9))[:-9])
+    writer.write(snapshot(42, member_dict("s-1", 9))[:-9])
     await watch.drip_until(writer, WATCH_TIMEOUT_S + watch.response_timeout_s)
     await watch.until_poll_failed()
     return INITIAL_BACKOFF_S
@@ -210,7 +210,7 @@
     """The whole list drips in."""
     watch.changed_at = await refused(watch) + watch.loop.now
     _, writer = await watch.slow_poll(watch.max_backoff_s)
-    writer.write(snapshot(42, member("s-1", 9))[:-9])
+    writer.write(snapshot(42, member_dict("s-1", 9))[:-9])
     await watch.drip_until(writer, watch.response_timeout_s)
     await watch.until_poll_failed()
     return watch.max_backoff_s
@@ -232,7 +232,7 @@
     await refused(watch)
     _, writer = await watch.slow_poll(watch.max_backoff_s)
     watch.changed_at = watch.loop.now
-    writer.write(answer(200, b"{"))
+    writer.write(make_response(200, b"{"))
     await watch.until_poll_failed()
     return watch.max_backoff_s
 
@@ -242,7 +242,7 @@
     await refused(watch)
     _, writer = await watch.slow_poll(watch.max_backoff_s)
     watch.changed_at = watch.loop.now
-    writer.write(snapshot(42, member("s-1", 9)))
+    writer.write(snapshot(42, member_dict("s-1", 9)))
     await watch.until_poll_failed()
     return watch.max_backoff_s
 
@@ -280,14 +280,14 @@
     The table's sum must be what it really takes, or the bound would hold for the sum alone."""
 
     async def body(loop: ManualClockLoop) -> None:
-        async with Peer() as discovery:
+        async with FakeServer() as discovery:
             watch = WatchOnManualClock(loop, discovery, grace_us)
             backoff_s = await bring(watch)
             _, writer = await watch.slow_poll(backoff_s)
             loop.now += watch.response_timeout_s - watch.MARGIN_S
             if watch.client.version != NO_VERSION:
                 loop.now += RECOVERY_WATCH_TIMEOUT_S
-            writer.write(snapshot(43, member("s-1", 9, phase="Terminating")))
+            writer.write(snapshot(43, member_dict("s-1", 9, phase="Terminating")))
             await watch.updated.wait()
             watch.client.stop()
             took_s = loop.now - watch.changed_at
@@ -307,7 +307,7 @@
 
 
 async def misbehave(
-    discovery: Peer, loop: ManualClockLoop, behaviour: str, response_timeout_s: float
+    discovery: FakeServer, loop: ManualClockLoop, behaviour: str, response_timeout_s: float
 ) -> None:
     """Let the first poll run into its timeout, or fail, by what discovery does."""
     if behaviour == "refuses":
@@ -315,7 +315,7 @@
     if behaviour == "never comes up":
         loop.now += response_timeout_s
         return
-    reader, writer = await discovery.connection()
+    reader, writer = await discovery.accept_connection()
     await read_message(reader)
     if behaviour != "is silent":
         writer.write(ENDLESS_HEAD)
@@ -329,7 +329,9 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("cached_list", [whole_list(member("s-1", 9)), whole_list(), None])
+@pytest.mark.parametrize(
+    "cached_list", [endpoint_list_dict(member_dict("s-1", 9)), endpoint_list_dict(), None]
+)
 @pytest.mark.parametrize("behaviour", ["refuses", "never comes up", "is silent", "drips", "sends too much"])
 def test_a_new_process_is_ready_after_its_first_poll(
     behaviour: str, cached_list: dict[str, Any] | None
@@ -342,8 +344,8 @@
         if behaviour == "never comes up":
             loop.may_connect.clear()
         async with (
-            Peer() as discovery,
-            running(discovery=f"127.0.0.1:{discovery.port}", known=cached_list) as server,
+            FakeServer() as discovery,
+            running_server(discovery=f"127.0.0.1:{discovery.port}", known=cached_list) as server,
         ):
             client = server.discovery
             poll_ended = asyncio.Event()
@@ -364,7 +366,7 @@
             loop.may_connect.set()
             is_ready = bool(cached_list and cached_list["members"])
             assert server.proxy.is_ready() is is_ready
-            assert (await server.call(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
+            assert (await server.fetch(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
 
     on_manual_clock(body)
 
@@ -378,10 +380,10 @@
     """Discovery sends what cannot be parsed. The log gets one short line of it, and no traceback."""
 
     async def play(loop: ManualClockLoop) -> None:
-        async with Peer() as discovery:
+        async with FakeServer() as discovery:
             watch = WatchOnManualClock(loop, discovery, DRAIN_GRACES_US[-1])
             _, writer = await watch.established()
-            writer.write(answer(200, body))
+            writer.write(make_response(200, body))
             await watch.until_poll_failed()
             watch.client.stop()
 
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from tests.loopback import config, member, whole_list
+from tests.loopback import endpoint_list_dict, make_config, member_dict
 from yardlane.decisions.events import EndpointState
 from yardlane.errors import MalformedEndpointList
 from yardlane.proxy.endpoint_decoder import MAX_NAMES, EndpointDecoder, parse_json
 
 
 def make_decoder() -> EndpointDecoder:
-    made = config()
+    made = make_config()
     return EndpointDecoder(made.zones, made.hardware_kinds)
 
 
@@ -21,7 +21,9 @@
     of its own, the tables would grow for as long as the process runs; so the late ones share one."""
     decoder = make_decoder()
     for n in range(1000):
-        update = decoder.decode(whole_list(member("s-1", 9, locality=f"z{n}", flavor=f"k{n}"))).update
+        update = decoder.decode(
+            endpoint_list_dict(member_dict("s-1", 9, locality=f"z{n}", flavor=f"k{n}"))
+        ).update
         [endpoint] = update.endpoints
         assert (endpoint.zone, endpoint.hardware_kind) == (min(2 + n, MAX_NAMES), min(1 + n, MAX_NAMES))
     assert len(decoder.zone_indices) == len(decoder.hardware_kind_indices) == MAX_NAMES
@@ -61,15 +63,15 @@
     """One value of an entry is malformed, in many entries. The list is not rejected: those endpoints drain,
     the others serve, and the log gets one short line. An endpoint that is removed stays removed."""
     decoder = make_decoder()
-    members = [member("s-1", 9), *(member(f"s-{n}", 9, **malformed) for n in range(2, 50))]
-    decoded = decoder.decode(json.loads(json.dumps(whole_list(*members))))
+    members = [member_dict("s-1", 9), *(member_dict(f"s-{n}", 9, **malformed) for n in range(2, 50))]
+    decoded = decoder.decode(json.loads(json.dumps(endpoint_list_dict(*members))))
     endpoints = decoded.update.endpoints
     assert [e.state for e in endpoints] == [EndpointState.READY] + 48 * [EndpointState.DRAINING]
     assert not decoded.is_ambiguous and (b"s-2" in decoded.addresses) is ("host_port" not in malformed)
     assert all(e.weight == 1.0 and e.started_at_us == 0 for e in endpoints)
     [line] = caplog.records
     assert len(line.getMessage()) < 300
-    removed = member("s-1", 9, **{**malformed, "phase": "Gone"})
+    removed = member_dict("s-1", 9, **{**malformed, "phase": "Gone"})
     update = decoder.decode({"revision": 2, "members": [removed]}).update
     assert [e.state for e in update.endpoints] == [EndpointState.REMOVED]
 
@@ -77,8 +79,8 @@
 @pytest.mark.parametrize("endpoint_id", [None, "", 5, ["s-1"], "\ud800"])
 def test_an_entry_without_an_id_makes_the_list_ambiguous(endpoint_id: object) -> None:
     """An entry names no endpoint that we could know: nobody can tell which one it was about."""
-    nameless = {**member("s-2", 9), "id": endpoint_id}
-    decoded = make_decoder().decode(whole_list(member("s-1", 9), nameless))
+    nameless = {**member_dict("s-2", 9), "id": endpoint_id}
+    decoded = make_decoder().decode(endpoint_list_dict(member_dict("s-1", 9), nameless))
     assert [e.endpoint_id for e in decoded.update.endpoints] == [b"s-1"]
     assert decoded.is_ambiguous
 
@@ -97,7 +99,7 @@
 ) -> None:
     """A list contradicts itself. Sending to an endpoint that drains does harm, leaving out one that is ready
     does little: so the less ready entry counts, whichever comes first."""
-    members = [member("s-1", 9, phase=phase) for phase in phases]
+    members = [member_dict("s-1", 9, phase=phase) for phase in phases]
     decoded = make_decoder().decode({"revision": 2, "members": members})
     assert [e.state for e in decoded.update.endpoints] == [state]
     assert bool(decoded.addresses) is (state is not EndpointState.REMOVED)
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -2,75 +2,75 @@
 
 from tests.loopback import (
     HEALTH_CHECK,
-    Peer,
-    answer,
-    as_json,
-    ask,
-    member,
+    FakeServer,
+    encode_json,
+    endpoint_list_dict,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
-    running,
-    running_with_backend,
-    socket_test,
-    until,
-    whole_list,
+    running_server,
+    running_server_with_backend,
+    uvloop_test,
+    wait_until,
 )
 
 
-@socket_test
+@uvloop_test
 async def test_a_request_is_forwarded_unchanged_and_its_response_returned() -> None:
     """The usual way there and back. A header or byte changed on it would break the client's call or its
     idempotency key, and a deadline passed on whole would let the backend work for nobody."""
-    async with running_with_backend() as (server, backend):
-        client, to_proxy = await server.client()
-        to_proxy.write(ask("file", Content_Length="5") + b"claim")
-        reader, writer = await backend.connection()
+    async with running_server_with_backend() as (server, backend):
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request("file", Content_Length="5") + b"claim")
+        reader, writer = await backend.accept_connection()
         line, headers, body = await read_message(reader)
         assert line == "POST /api?q=1 HTTP/1.1"
         assert (headers["x-trace-id"], headers["idempotency-key"], body) == ("ab12", "k1", b"claim")
         assert 0 < int(headers["x-expires-in"].removesuffix("m")) < 9000
-        writer.write(answer(200, b"filed"))
+        writer.write(make_response(200, b"filed"))
         line, _, body = await read_message(client)
         assert (line, body) == ("HTTP/1.1 200 OK", b"filed")
 
 
-@socket_test
+@uvloop_test
 async def test_the_health_check_fails_until_there_is_an_endpoint_list() -> None:
     """The process starts and discovery has not answered yet. A health check that passed already would bring
     clients whose requests have no endpoint to go to."""
-    async with Peer() as discovery, running(discovery=f"127.0.0.1:{discovery.port}") as server:
-        assert (await server.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 503")
-        reader, writer = await discovery.connection()
+    async with FakeServer() as discovery, running_server(discovery=f"127.0.0.1:{discovery.port}") as server:
+        assert (await server.fetch(HEALTH_CHECK))[0].startswith("HTTP/1.1 503")
+        reader, writer = await discovery.accept_connection()
         assert (await read_message(reader))[0] == "GET /catalog/members HTTP/1.1"
-        writer.write(answer(200, as_json(whole_list(member("s-1", 9), revision=41))))
+        writer.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-1", 9), revision=41))))
         assert (await read_message(reader))[0].startswith("GET /catalog/members?index=41&wait=")
-        assert (await server.call(HEALTH_CHECK))[0].startswith("HTTP/1.1 200")
+        assert (await server.fetch(HEALTH_CHECK))[0].startswith("HTTP/1.1 200")
 
 
-@socket_test
+@uvloop_test
 async def test_a_client_that_leaves_releases_its_request() -> None:
     """The client resets while its attempt is out: the request ends, and the late response goes nowhere."""
-    async with running_with_backend() as (server, backend):
-        _, to_proxy = await server.client()
-        to_proxy.write(ask())
-        reader, writer = await backend.connection()
+    async with running_server_with_backend() as (server, backend):
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
         to_proxy.transport.abort()
-        writer.write(answer())
-        await until(lambda: not server.proxy.requests)
-        assert server.unanswered == 0
+        writer.write(make_response())
+        await wait_until(lambda: not server.proxy.requests)
+        assert server.open_request_count == 0
 
 
-@socket_test
+@uvloop_test
 async def test_an_upstream_connection_is_reused() -> None:
     """The parser says only within its own call whether the peer keeps the connection."""
-    async with running_with_backend() as (server, backend):
+    async with running_server_with_backend() as (server, backend):
         server.pool.reuse.quarantine_s = 0.0
-        client, to_proxy = await server.client()
-        to_proxy.write(ask(trace="a1"))
-        reader, writer = await backend.connection()
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request(trace="a1"))
+        reader, writer = await backend.accept_connection()
         for trace in ("a1", "a2"):
             assert (await read_message(reader))[1]["x-trace-id"] == trace
-            writer.write(answer())
+            writer.write(make_response())
             assert (await read_message(client))[2] == b"done"
-            to_proxy.write(ask(trace="a2"))
+            to_proxy.write(make_request(trace="a2"))
         assert backend.accepted.empty()
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -5,20 +5,20 @@
 
 from tests.loopback import (
     HEALTH_CHECK,
-    Peer,
+    FakeServer,
     RunningServer,
-    Script,
-    answer,
-    ask,
-    config,
-    hold_all,
-    member,
+    ScriptedDecider,
+    endpoint_list_dict,
+    forward_all,
+    leave_pending,
+    make_config,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
-    running,
-    send_all,
-    settings,
-    socket_test,
-    whole_list,
+    running_server,
+    settings_dict,
+    uvloop_test,
 )
 from yardlane.decisions.actions import Reject, StartAttempt
 from yardlane.decisions.events import RequestArrived
@@ -44,97 +44,108 @@
     gets no response at all; so every one is answered 0.3 s before."""
 
     def timeout_us(*deadlines_us: int) -> int:
-        [look, file] = settings()["profiles"]
+        [look, file] = settings_dict()["profiles"]
         classes = [{**look, "name": f"c{n}", "deadline_us": d} for n, d in enumerate(deadlines_us)]
         classes.append({**file, "deadline_us": 100_000})
-        return shutdown_timeout_us(config(settings=settings(profiles=classes)).settings)
+        return shutdown_timeout_us(make_config(settings=settings_dict(profiles=classes)).settings)
 
     assert timeout_us(900_000) == 900_000 + 400_000
     assert timeout_us(250_000, 1_200_000) == 1_200_000 + 400_000
     assert timeout_us(30_000_000) == 3_000_000 + 400_000
 
 
-@socket_test
+@uvloop_test
 async def test_a_request_that_a_backend_leaves_open_is_answered_by_the_end() -> None:
     """The end of the shutdown has come and all open requests were answered with 500; then a request arrives
     whose head was being read. Its backend does not answer. It gets its 500 as well."""
-    short = [{**c, "deadline_us": 200_000} for c in settings()["profiles"]]
-    script = Script(
+    short = [{**c, "deadline_us": 200_000} for c in settings_dict()["profiles"]]
+    script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
     async with (
-        Peer() as backend,
-        running(
-            script, settings=settings(profiles=short), known=whole_list(member("s-1", backend.port))
+        FakeServer() as backend,
+        running_server(
+            script,
+            settings=settings_dict(profiles=short),
+            known=endpoint_list_dict(member_dict("s-1", backend.port)),
         ) as server,
     ):
-        client, to_proxy = await server.client()
-        to_proxy.write(ask()[:40])
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request()[:40])
         while not server.clients.has_pending_work():
             await asyncio.sleep(0)
         server.shut_down()
         server.proxy._end_all()
         await until_it_listens_no_more(server)
-        to_proxy.write(ask()[40:])
-        await backend.connection()
+        to_proxy.write(make_request()[40:])
+        await backend.accept_connection()
         assert (await read_message(client))[0].split()[1] == "500"
         await server.stopped.wait()
 
 
-@socket_test
+@uvloop_test
 async def test_a_request_that_is_still_being_read_is_waited_for() -> None:
     """Half a request has arrived as the listener closes. Nothing is in flight, but a response is owed: the
     process must not end before the other half has come and was answered."""
-    script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
-        client, to_proxy = await server.client()
-        to_proxy.write(ask()[:-4])
+    script = ScriptedDecider(forward_all)
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request()[:-4])
         while not server.clients.has_pending_work():
             await asyncio.sleep(0)
         server.shut_down()
         await until_it_listens_no_more(server)
         assert not server.stopped.is_set()
-        to_proxy.write(ask()[-4:])
-        reader, writer = await backend.connection()
+        to_proxy.write(make_request()[-4:])
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
-        writer.write(answer())
+        writer.write(make_response())
         line, headers, _ = await read_message(client)
         assert (line.split()[1], headers["connection"]) == ("200", "close")
         await server.stopped.wait()
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_that_was_accepted_last_may_still_send_a_request() -> None:
     """A client has connected and sends its first request after the listener was closed. Its connection is
     idle, but it was not closed with the other idle ones: its request is answered."""
-    script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
-        client, to_proxy = await server.client()
+    script = ScriptedDecider(forward_all)
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
+        client, to_proxy = await server.connect_client()
         server.shut_down()
         await until_it_listens_no_more(server)
-        to_proxy.write(ask())
-        reader, writer = await backend.connection()
+        to_proxy.write(make_request())
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
-        writer.write(answer())
+        writer.write(make_response())
         assert (await read_message(client))[0].split()[1] == "200"
         await server.stopped.wait()
 
 
-@socket_test
+@uvloop_test
 async def test_connections_that_wait_to_be_accepted_are_accepted_before_the_listener_closes() -> None:
     """Many clients have connected, and the kernel holds them until they are accepted. A listener that is
     closed resets them, and their requests with them; so it accepts all of them first."""
-    script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+    script = ScriptedDecider(forward_all)
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
         address = ("127.0.0.1", server.clients.port())
         waiting = [socket.create_connection(address) for _ in range(20)]  # more than one turn accepts
         for n, connection in enumerate(waiting):
-            connection.sendall(ask(trace=f"t{n}"))
+            connection.sendall(make_request(trace=f"t{n}"))
         server.clients.stop_listening()  # in the same turn: the loop has accepted none of them yet
         for _ in waiting:
-            reader, writer = await backend.connection()
+            reader, writer = await backend.accept_connection()
             await read_message(reader)
-            writer.write(answer())
+            writer.write(make_response())
         for connection in waiting:
             connection.setblocking(False)
             received = await asyncio.get_running_loop().sock_recv(connection, 100)
@@ -142,33 +153,38 @@
             connection.close()
 
 
-@socket_test
+@uvloop_test
 async def test_responses_are_not_lost_to_requests_that_are_read_no_further() -> None:
     """A connection is closed behind its last response while bytes of further requests wait unread. The kernel
     would answer them by a reset, which discards the responses that the client has not read yet."""
-    script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
-        reader, writer = await server.client()
-        writer.write(b"".join(ask(trace=f"t{n}") for n in range(4)))  # as many as a connection may pipeline
-        streams = [await backend.connection() for _ in range(4)]
+    script = ScriptedDecider(forward_all)
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
+        reader, writer = await server.connect_client()
+        writer.write(
+            b"".join(make_request(trace=f"t{n}") for n in range(4))
+        )  # as many as a connection may pipeline
+        streams = [await backend.accept_connection() for _ in range(4)]
         writer.write(b"x" * 200_000)  # left unread
         await writer.drain()
         server.clients.is_draining = True
         for to_backend, backend_writer in streams:
             await read_message(to_backend)
-            backend_writer.write(answer(200, b"y" * 60_000))
+            backend_writer.write(make_response(200, b"y" * 60_000))
         for _ in range(4):
             assert (await read_message(reader))[2] == b"y" * 60_000
 
 
-@socket_test
+@uvloop_test
 async def test_a_response_that_waited_in_the_pipeline_closes_its_connection_too() -> None:
     """The second of two pipelined requests is answered before the shutdown, the first one after it began. The
     second response goes out last, and its connection must close behind it, not once it was idle for long."""
-    script = Script(hold_all)
-    async with running(script) as server:
-        reader, writer = await server.client()
-        writer.write(ask(trace="a") + ask(trace="b"))
+    script = ScriptedDecider(leave_pending)
+    async with running_server(script) as server:
+        reader, writer = await server.connect_client()
+        writer.write(make_request(trace="a") + make_request(trace="b"))
         await script.wait_for(RequestArrived, 2)
         server.proxy.apply(Reject(2))
         server.clients.is_draining = True
@@ -180,25 +196,28 @@
         assert await reader.read() == b""
 
 
-@socket_test
+@uvloop_test
 async def test_the_shutdown_waits_for_a_client_that_still_reads_its_response() -> None:
     """A client reads slowly: its response is complete, but most of it is still in our buffers. If the process
     ended now, the rest would be lost."""
     body = b"y" * 60_000
-    script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
+    script = ScriptedDecider(forward_all)
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
         with socket.socket() as slow:
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # far less than the response
             slow.connect(("127.0.0.1", server.clients.port()))
             slow.setblocking(False)
-            slow.sendall(ask())
-            reader, writer = await backend.connection()
+            slow.sendall(make_request())
+            reader, writer = await backend.accept_connection()
             await read_message(reader)
             [client] = server.clients.connections
             assert client.transport is not None
             client.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             server.clients.is_draining = True
-            writer.write(answer(200, body))
+            writer.write(make_response(200, body))
             while client.state is not ClientState.CLOSING:
                 await asyncio.sleep(0)
             assert server.clients.has_pending_work()
@@ -209,45 +228,51 @@
                 await asyncio.sleep(0)
 
 
-@socket_test
+@uvloop_test
 async def test_new_connections_are_served_and_each_closes_behind_its_response() -> None:
     """Clients learn late that a front door drains, and connect to it for a while. Were the listener closed
     at once, they would be refused. Each connection says that it closes, so that its client goes elsewhere."""
-    script = Script(send_all)
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
-        idle, to_idle = await server.client()
+    script = ScriptedDecider(forward_all)
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
+        idle, to_idle = await server.connect_client()
         to_idle.write(HEALTH_CHECK)
         await read_message(idle)
-        client, to_proxy = await server.client()
-        to_proxy.write(ask())
-        reader, writer = await backend.connection()
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
         server.shut_down()
         await asyncio.sleep(0.05)
-        late, to_late = await server.client()
-        to_late.write(ask(trace="a2"))
-        late_reader, late_writer = await backend.connection()
+        late, to_late = await server.connect_client()
+        to_late.write(make_request(trace="a2"))
+        late_reader, late_writer = await backend.accept_connection()
         await read_message(late_reader)
-        late_writer.write(answer())
+        late_writer.write(make_response())
         line, headers, _ = await read_message(late)
         assert (line.split()[1], headers["connection"]) == ("200", "close")
         assert await late.read() == b""
-        writer.write(answer())
+        writer.write(make_response())
         assert (await read_message(client))[1]["connection"] == "close"
         assert await idle.read() == b""
         await server.stopped.wait()
 
 
-@socket_test
+@uvloop_test
 async def test_a_request_without_an_answer_of_its_backend_gets_one_before_the_end() -> None:
     """A backend hangs as the shutdown begins. Its request is answered with 500 before SIGKILL could come."""
-    script = Script(
+    script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
-    async with Peer() as backend, running(script, known=whole_list(member("s-1", backend.port))) as server:
-        client, to_proxy = await server.client()
-        to_proxy.write(ask())
-        await backend.connection()
+    async with (
+        FakeServer() as backend,
+        running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
+    ):
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        await backend.accept_connection()
         server.shut_down()
         assert (await read_message(client))[0].split()[1] == "500"
         await server.stopped.wait()
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -11,44 +11,46 @@
 from tests.client_side import PATIENT_CLASSES, all_released
 from tests.loopback import (
     HEALTH_CHECK,
-    LIMIT,
-    DelayedConnections,
-    Peer,
-    Script,
-    answer,
-    as_json,
-    ask,
-    attempt_each,
-    member,
+    TEST_TIMEOUT_S,
+    DelayedConnectLoop,
+    FakeServer,
+    ScriptedDecider,
+    attempt_at_each,
+    encode_json,
+    endpoint_list_dict,
+    forward_all,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
     read_status,
-    running,
-    running_with_backend,
-    send_all,
-    settings,
-    socket_test,
-    until,
-    whole_list,
+    running_server,
+    running_server_with_backend,
+    settings_dict,
+    uvloop_test,
+    wait_until,
 )
 from yardlane.decisions.actions import Action, Fail, StartAttempt
 from yardlane.decisions.events import AttemptEnded, Event, Outcome
 
 
-@socket_test
+@uvloop_test
 async def test_a_hedged_request_still_connecting_when_the_first_is_answered_is_never_written() -> None:
     """Two attempts run at once, and the second still connects as the first brings the answer."""
-    script = Script(attempt_each(b"s-1", b"s-2"))
+    script = ScriptedDecider(attempt_at_each(b"s-1", b"s-2"))
     async with (
-        Peer() as first,
-        Peer() as second,
-        running(script, known=whole_list(member("s-1", first.port), member("s-2", second.port))) as server,
+        FakeServer() as first,
+        FakeServer() as second,
+        running_server(
+            script, known=endpoint_list_dict(member_dict("s-1", first.port), member_dict("s-2", second.port))
+        ) as server,
     ):
-        delayed = DelayedConnections(server, second.port)
-        client, to_proxy = await server.client()
-        to_proxy.write(ask())
-        reader, writer = await first.connection()
+        delayed = DelayedConnectLoop(server, second.port)
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        reader, writer = await first.accept_connection()
         await read_message(reader)
-        writer.write(answer())
+        writer.write(make_response())
         assert await read_status(client) == "200"
         delayed.may_connect.set()
         ends = await script.wait_for(AttemptEnded, 2)
@@ -56,19 +58,19 @@
             0: (Outcome.OK, True),
             1: (Outcome.NOT_SENT, True),
         }
-        await server.call(HEALTH_CHECK)
+        await server.fetch(HEALTH_CHECK)
         assert second.accepted.empty()
 
 
-@socket_test
+@uvloop_test
 async def test_an_attempt_still_connecting_at_the_final_answer_is_never_written() -> None:
     """The decisions give the request up while its one attempt still connects."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
-        delayed = DelayedConnections(server, backend.port)
-        client, to_proxy = await server.client()
-        to_proxy.write(ask())
-        await delayed.requested.wait()
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
+        delayed = DelayedConnectLoop(server, backend.port)
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        await delayed.connect_requested.wait()
         server.proxy.apply(Fail(1))
         assert await read_status(client) == "502"
         delayed.may_connect.set()
@@ -77,59 +79,59 @@
         assert backend.accepted.empty()
 
 
-@socket_test
+@uvloop_test
 async def test_an_endpoint_that_begins_to_drain_gets_nothing_that_still_connects() -> None:
     """An endpoint begins to drain while an attempt connects to it: the attempt goes to another one."""
 
     def retry_at_the_next(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_CONNECTED:
             return [StartAttempt(event.request_id, b"s-2")]
-        return send_all(event)
+        return forward_all(event)
 
-    script = Script(retry_at_the_next)
-    async with Peer() as one, Peer() as two, Peer() as discovery:
-        first, second = member("s-1", one.port), member("s-2", two.port)
-        async with running(
-            script, known=whole_list(first, second), discovery=f"127.0.0.1:{discovery.port}"
+    script = ScriptedDecider(retry_at_the_next)
+    async with FakeServer() as one, FakeServer() as two, FakeServer() as discovery:
+        first, second = member_dict("s-1", one.port), member_dict("s-2", two.port)
+        async with running_server(
+            script, known=endpoint_list_dict(first, second), discovery=f"127.0.0.1:{discovery.port}"
         ) as server:
-            server.pool.connect_timeout_s = LIMIT
-            from_proxy, to_discovery_client = await discovery.connection()
+            server.pool.connect_timeout_s = TEST_TIMEOUT_S
+            from_proxy, to_discovery_client = await discovery.accept_connection()
             await read_message(from_proxy)
-            delayed = DelayedConnections(server, one.port)
-            client, to_proxy = await server.client()
-            to_proxy.write(ask())
-            await delayed.requested.wait()
-            update = whole_list({**first, "phase": "Terminating"}, second)
-            to_discovery_client.write(answer(200, as_json(update)))
-            reader, writer = await two.connection()
+            delayed = DelayedConnectLoop(server, one.port)
+            client, to_proxy = await server.connect_client()
+            to_proxy.write(make_request())
+            await delayed.connect_requested.wait()
+            update = endpoint_list_dict({**first, "phase": "Terminating"}, second)
+            to_discovery_client.write(make_response(200, encode_json(update)))
+            reader, writer = await two.accept_connection()
             await read_message(reader)
-            writer.write(answer())
+            writer.write(make_response())
             assert await read_status(client) == "200"
             delayed.may_connect.set()
-            await server.call(HEALTH_CHECK)
+            await server.fetch(HEALTH_CHECK)
             assert one.accepted.empty()
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_up_as_its_timeout_ends_serves_what_was_written() -> None:
     """A connection comes up and is used, but the loop says so only after the time to connect is over.
 
     The timeout must not end the attempt: its request has been written.
     """
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
         pool = server.pool
         pool.connect_timeout_s = 0.05
-        delayed = DelayedConnections(server, backend.port)
+        delayed = DelayedConnectLoop(server, backend.port)
         delayed.may_connect.set()
         delayed.may_return = asyncio.Event()
-        client, to_proxy = await server.client()
-        to_proxy.write(ask())
-        reader, writer = await backend.connection()
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
         timed_out_at = delayed.loop.time() + 2 * pool.connect_timeout_s
-        await until(lambda: delayed.loop.time() >= timed_out_at)
-        writer.write(answer())
+        await wait_until(lambda: delayed.loop.time() >= timed_out_at)
+        writer.write(make_response())
         assert await read_status(client) == "200"
         delayed.may_return.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.OK]
@@ -140,16 +142,16 @@
     """An idempotency key holds for a time from the first attempt; this connection takes longer."""
 
     async def run() -> None:
-        script = Script(attempt_each(b"s-1", send_within_us=30_000))
-        async with running_with_backend(script, settings=settings(profiles=PATIENT_CLASSES)) as (
+        script = ScriptedDecider(attempt_at_each(b"s-1", send_within_us=30_000))
+        async with running_server_with_backend(script, settings=settings_dict(profiles=PATIENT_CLASSES)) as (
             server,
             backend,
         ):
-            server.pool.connect_timeout_s = LIMIT
-            delayed = DelayedConnections(server, backend.port)
-            _, to_proxy = await server.client()
-            to_proxy.write(ask("file", X_Expires_In="60000m"))
-            await delayed.requested.wait()
+            server.pool.connect_timeout_s = TEST_TIMEOUT_S
+            delayed = DelayedConnectLoop(server, backend.port)
+            _, to_proxy = await server.connect_client()
+            to_proxy.write(make_request("file", X_Expires_In="60000m"))
+            await delayed.connect_requested.wait()
             if has_timer:
                 [ended] = await script.wait_for(AttemptEnded)
                 assert not ended.request_ended
@@ -162,26 +164,26 @@
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
             server.proxy.apply(Fail(1))
             await all_released(server)
-            assert backend.accepted.empty() or not await (await backend.connection())[0].read()
+            assert backend.accepted.empty() or not await (await backend.accept_connection())[0].read()
 
-    socket_test(run)()
+    uvloop_test(run)()
 
 
-@socket_test
+@uvloop_test
 async def test_a_retry_written_within_its_window_keeps_its_whole_timeout() -> None:
     """The bound is for the writing alone: an attempt that is written in time waits for its response."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
         server.pool.reuse.quarantine_s = 0.0
-        client, to_proxy = await server.client()
-        to_proxy.write(ask("file"))
-        reader, writer = await backend.connection()
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request("file"))
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
-        writer.write(answer())
+        writer.write(make_response())
         await read_message(client)
-        script.reply = attempt_each(b"s-1", send_within_us=1)
-        to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
+        script.reply = attempt_at_each(b"s-1", send_within_us=1)
+        to_proxy.write(make_request("file", trace="second"))  # at once, on the idle connection
         await read_message(reader)
         server.proxy.requests[2].attempts[0].on_send_by()  # as its timer comes
-        writer.write(answer())
+        writer.write(make_response())
         assert await read_status(client) == "200"
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -6,18 +6,18 @@
 from typing import Any, cast
 
 from tests.loopback import (
-    LoopDouble,
-    Script,
-    answer,
-    ask,
-    attempt_each,
-    hold_all,
+    EventLoopWrapper,
+    ScriptedDecider,
+    attempt_at_each,
+    leave_pending,
+    make_request,
+    make_response,
     read_status,
-    running,
-    running_with_backend,
-    settings,
-    socket_test,
-    until,
+    running_server,
+    running_server_with_backend,
+    settings_dict,
+    uvloop_test,
+    wait_until,
 )
 from tests.upstream_side import forward
 from yardlane.decisions.actions import Action, CancelAttempt, Reject, SetTimer, StartAttempt
@@ -37,7 +37,7 @@
 OTHER_TENANT = "0000000000000002"
 
 
-@socket_test
+@uvloop_test
 async def test_a_failing_decision_is_its_own_requests_failure() -> None:
     """The decisions raise on one request out of three that came in one read. It is answered with 500; the
     others, and those that come later, are decided as ever."""
@@ -47,17 +47,17 @@
             raise RuntimeError("a fault of the decisions")
         return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
-    async with running(Script(raise_on_one_tenant)) as server:
-        reader, writer = await server.client()
-        good = ask(Account=OTHER_TENANT)
-        failing = ask(trace="b", Account=FAILING_TENANT)
-        writer.write(good + failing + ask(trace="c", Account=OTHER_TENANT))
+    async with running_server(ScriptedDecider(raise_on_one_tenant)) as server:
+        reader, writer = await server.connect_client()
+        good = make_request(Account=OTHER_TENANT)
+        failing = make_request(trace="b", Account=FAILING_TENANT)
+        writer.write(good + failing + make_request(trace="c", Account=OTHER_TENANT))
         assert [await read_status(reader) for _ in range(3)] == ["429", "500", "429"]
-        line, _, _ = await server.call(good)
+        line, _, _ = await server.fetch(good)
         assert line.split()[1] == "429"
 
 
-@socket_test
+@uvloop_test
 async def test_an_action_that_cannot_be_carried_out_stops_no_other() -> None:
     """The decisions ask for what cannot be done, and behind it for a rejection. Were the turn to end at the
     first, the client would wait for its answer until the deadline guard fails the request."""
@@ -73,12 +73,12 @@
         ]
         return actions
 
-    async with running(Script(with_unusable_actions)) as server:
-        line, _, _ = await server.call(ask())
+    async with running_server(ScriptedDecider(with_unusable_actions)) as server:
+        line, _, _ = await server.fetch(make_request())
         assert line.split()[1] == "429"
 
 
-@socket_test
+@uvloop_test
 async def test_attempts_that_do_not_exist_are_not_cancelled() -> None:
     """The decisions cancel attempts that no request has had. An index of -1 taken as Python's would end the
     last attempt, and a request that a backend is serving would get no response."""
@@ -90,96 +90,98 @@
         attempt = StartAttempt(request_id, b"s-1")
         return [attempt, CancelAttempt(request_id, 1), CancelAttempt(request_id, -1), CancelAttempt(9, 0)]
 
-    script = Script(cancel_around)
-    async with running_with_backend(script) as (server, backend):
-        _, to_proxy = await server.client()
-        to_proxy.write(ask(X_Expires_In="200m"))
-        await backend.connection()
+    script = ScriptedDecider(cancel_around)
+    async with running_server_with_backend(script) as (server, backend):
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request(X_Expires_In="200m"))
+        await backend.accept_connection()
         [ended] = await script.wait_for(AttemptEnded)
         assert ended.outcome is Outcome.TIMED_OUT
 
 
-@socket_test
+@uvloop_test
 async def test_after_standing_still_the_decisions_still_give_the_answer() -> None:
     """The process stands still for longer than a queued request's time and grace. The timer of the decisions
     and the deadline guard are due at once then; the decisions reject the request, and a rejection promises
     the client more than the guard's failure does."""
-    capped = [{**settings()["packages"][0], "concurrency": 1}]
-    async with running_with_backend(settings=settings(packages=capped)) as (server, backend):
-        _, to_first = await server.client()
-        to_first.write(ask(trace="first"))
-        await backend.connection()
-        client, to_proxy = await server.client()
-        to_proxy.write(ask(trace="queued", X_Expires_In="100m"))
+    capped = [{**settings_dict()["packages"][0], "concurrency": 1}]
+    async with running_server_with_backend(settings=settings_dict(packages=capped)) as (server, backend):
+        _, to_first = await server.connect_client()
+        to_first.write(make_request(trace="first"))
+        await backend.accept_connection()
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request(trace="queued", X_Expires_In="100m"))
         gateway = cast(Gateway, server.proxy.decisions.decider)
-        await until(lambda: any(tenant.queue for tenant in gateway.tenants.values()))
+        await wait_until(lambda: any(tenant.queue for tenant in gateway.tenants.values()))
         time.sleep(0.2)
         assert await read_status(client) == "429"
 
 
-@socket_test
+@uvloop_test
 async def test_what_the_decisions_never_answer_the_deadline_guard_does() -> None:
     """The decisions let a request's time pass without a word. Without the guard its client would never get
     the one final answer that it is owed, and the proxy would keep the request for good."""
-    async with running(Script(hold_all)) as server:
-        line, _, _ = await server.call(ask(X_Expires_In="50m"))
+    async with running_server(ScriptedDecider(leave_pending)) as server:
+        line, _, _ = await server.fetch(make_request(X_Expires_In="50m"))
         assert line.split()[1] == "500"
         assert not server.proxy.requests
 
 
-@socket_test
+@uvloop_test
 async def test_the_decisions_may_still_answer_as_the_deadline_guard_fires() -> None:
     """No timer of the decisions is left, as after a failed decision. The guard gives them a turn first."""
 
     def reject_when_called(event: Event) -> list[Action]:
         return [Reject(1)] if isinstance(event, TimerFired) else []
 
-    async with running(Script(reject_when_called)) as server:
-        line, _, _ = await server.call(ask(X_Expires_In="50m"))
+    async with running_server(ScriptedDecider(reject_when_called)) as server:
+        line, _, _ = await server.fetch(make_request(X_Expires_In="50m"))
         assert line.split()[1] == "429"
 
 
-@socket_test
+@uvloop_test
 async def test_the_deadline_guard_of_an_answered_request_does_not_stay() -> None:
     """A guard holds its request and the request's body; with long deadlines that would be much memory."""
-    script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(attempt_at_each(b"s-1"))
+    async with running_server_with_backend(script) as (server, backend):
         (client, _), (_, writer) = await forward(server, backend)
         [request] = server.proxy.requests.values()
         assert request.deadline_guard is not None and not request.deadline_guard.cancelled()
-        writer.write(answer())
+        writer.write(make_response())
         assert await read_status(client) == "200"
         assert request.deadline_guard.cancelled()
 
 
-@socket_test
+@uvloop_test
 async def test_an_attempt_beyond_the_most_that_a_request_may_have_is_not_sent() -> None:
     """A faulty decider starts one attempt more than the settings allow. Sent, such attempts would multiply
     the load of backends that are failing already."""
-    most = settings()["permissions"]["max_attempts"]
-    script = Script(attempt_each(*[b"s-1"] * (most + 1)))
-    async with running_with_backend(script) as (server, backend):
-        _, to_proxy = await server.client()
-        to_proxy.write(ask())
+    most = settings_dict()["permissions"]["max_attempts"]
+    script = ScriptedDecider(attempt_at_each(*[b"s-1"] * (most + 1)))
+    async with running_server_with_backend(script) as (server, backend):
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request())
         for _ in range(most):
-            await backend.connection()
+            await backend.accept_connection()
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.attempt_index, ended.outcome) == (most, Outcome.NOT_SENT)
 
 
-class EarlyTimers(LoopDouble):
+class EarlyTimers(EventLoopWrapper):
     """Its timers fire early; uvloop's do by up to a millisecond."""
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
         return self.loop.call_later(max(0.0, delay - EARLY_S), call, *args)
 
 
-@socket_test
+@uvloop_test
 async def test_a_timer_of_the_decisions_never_fires_early() -> None:
     """The loop's timer fires early. Notified then, the decisions would find nothing due, and would not ask to
     be called again: what waits would wait for good."""
-    script = Script(lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else [])
-    async with running(script) as server:
+    script = ScriptedDecider(
+        lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else []
+    )
+    async with running_server(script) as server:
         server.proxy.loop = EarlyTimers(asyncio.get_running_loop()).as_loop()
         handled_at_us: dict[type[Event], int] = {}
         handle = script.handle
