--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -12,21 +12,21 @@
 from tests.counter_calls import add, first_call, settings_with_counter
 from tests.front_door_process import free_port, start_process
 from tests.loopback import (
-    Peer,
-    Script,
-    answer,
-    as_json,
-    hold_all,
-    member,
+    FakeServer,
+    ScriptedDecider,
+    encode_json,
+    endpoint_list_dict,
+    leave_pending,
+    make_response,
+    member_dict,
     read_message,
-    running,
-    socket_test,
-    whole_list,
+    running_server,
+    uvloop_test,
 )
 from yardlane.decisions.events import CounterResult, EndpointListUpdate, Outcome
 
 
-def configuration(discovery: Peer, counter: Peer, **changes: Any) -> dict[str, Any]:
+def configuration(discovery: FakeServer, counter: FakeServer, **changes: Any) -> dict[str, Any]:
     return {
         "listen": "127.0.0.1:9",
         "discovery": f"127.0.0.1:{discovery.port}",
@@ -37,48 +37,52 @@
     }
 
 
-@socket_test
+@uvloop_test
 async def test_a_new_discovery_is_asked_for_its_whole_list_and_the_old_one_is_dropped() -> None:
     """Discovery moves while a watch is open. Each discovery counts its own versions, so the version that we
     have says nothing at the new one: the whole list is fetched there, and ours stands until it comes."""
-    script = Script(hold_all)
-    async with Peer() as old, Peer() as new, running(script, discovery=f"127.0.0.1:{old.port}") as server:
-        reader, writer = await old.connection()
+    script = ScriptedDecider(leave_pending)
+    async with (
+        FakeServer() as old,
+        FakeServer() as new,
+        running_server(script, discovery=f"127.0.0.1:{old.port}") as server,
+    ):
+        reader, writer = await old.accept_connection()
         await read_message(reader)
-        writer.write(answer(200, as_json(whole_list(member("s-1", 9), revision=41))))
+        writer.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-1", 9), revision=41))))
         await read_message(reader)
         for _ in range(3):  # several in a row
             server.discovery.move(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch there is dropped
         assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the first moves only end
-            to_new, agent = await new.connection()
+            to_new, agent = await new.accept_connection()
             if line := await to_new.readline():
                 break
         assert line == b"GET /catalog/members HTTP/1.1\r\n"
         await to_new.readuntil(b"\r\n\r\n")
-        agent.write(answer(200, as_json(whole_list(member("s-2", 9), revision=3))))
+        agent.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-2", 9), revision=3))))
         assert "index=3&" in (await read_message(to_new))[0]
         assert [e.endpoint_id for e in (await script.wait_for(EndpointListUpdate, 3))[-1].endpoints] == [
             b"s-2"
         ]
 
 
-@socket_test
+@uvloop_test
 async def test_each_counter_call_ends_once_where_it_was_written() -> None:
     """The counter moves while a call is written and not answered. Written again at the new address it would
     be added twice; so its answer is awaited at the old one, and only later calls go to the new."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with (
-        Peer() as old,
-        Peer() as new,
-        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
+        FakeServer() as old,
+        FakeServer() as new,
+        running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
         add(server)
         reader, writer = await first_call(old)
         server.proxy.move_counter(("127.0.0.1", new.port))
         add(server, amount=2.0)
-        to_new, counter = await new.connection()
+        to_new, counter = await new.accept_connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
         writer.write(b"ok 1\r\n")
         assert await reader.read() == b""
@@ -87,33 +91,33 @@
         assert [(r.outcome, r.total) for r in results] == [(Outcome.OK, 1.0), (Outcome.OK, 3.0)]
 
 
-@socket_test
+@uvloop_test
 async def test_a_counter_call_that_is_not_written_goes_to_the_new_counter() -> None:
     """The counter moves before the connection to it has come up. The call that waits for it was written
     nowhere, so it may go to the new address."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with (
-        Peer() as old,
-        Peer() as new,
-        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
+        FakeServer() as old,
+        FakeServer() as new,
+        running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
         add(server)
         server.proxy.move_counter(("127.0.0.1", new.port))
-        reader, writer = await new.connection()
+        reader, writer = await new.accept_connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.OK]
 
 
-@socket_test
+@uvloop_test
 async def test_a_silent_old_counter_does_not_keep_its_connection() -> None:
     """The counter moves, and the old one never answers the call that is written there. After a while the
     connection is closed all the same, and the call ends as one that may have been added."""
-    script = Script(hold_all)
+    script = ScriptedDecider(leave_pending)
     async with (
-        Peer() as old,
-        Peer() as new,
-        running(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
+        FakeServer() as old,
+        FakeServer() as new,
+        running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
         add(server)
         reader, _ = await first_call(old)
@@ -128,19 +132,19 @@
     path = tmp_path / "config.json"
 
     async def run() -> None:
-        async with Peer() as old, Peer() as new, Peer() as counter:
+        async with FakeServer() as old, FakeServer() as new, FakeServer() as counter:
             monkeypatch.setitem(os.environ, "EDGE_DISCOVERY", f"127.0.0.1:{old.port}")
             listen = f"127.0.0.1:{await free_port()}"
             process = await start_process(path, configuration(old, counter, listen=listen))
             assert process.stderr is not None
-            await old.connection()  # it has started
+            await old.accept_connection()  # it has started
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             while b"keeping the old configuration" not in await process.stderr.readline():
                 pass
             path.write_text(json.dumps(configuration(new, counter, listen=listen)))
             process.send_signal(signal.SIGHUP)
-            reader, _ = await new.connection()  # the file goes before the variable now
+            reader, _ = await new.accept_connection()  # the file goes before the variable now
             assert await reader.readline() == b"GET /catalog/members HTTP/1.1\r\n"
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)  # in a drain
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -3,17 +3,17 @@
 import pytest
 
 from tests.loopback import (
-    Script,
-    answer,
-    ask,
-    attempt_each,
-    hold_all,
+    ScriptedDecider,
+    attempt_at_each,
+    leave_pending,
+    make_request,
+    make_response,
     read_message,
     read_status,
-    reject_each,
-    running,
-    running_with_backend,
-    socket_test,
+    reject_all,
+    running_server,
+    running_server_with_backend,
+    uvloop_test,
 )
 from yardlane.decisions.actions import Action, Reject
 from yardlane.decisions.events import Event, RequestArrived
@@ -22,49 +22,49 @@
 
 
 def post(length: str, body: bytes = b"") -> bytes:
-    return ask("file", Content_Length=length) + body
+    return make_request("file", Content_Length=length) + body
 
 
 @pytest.mark.parametrize(
     ("request_bytes", "status"),
     [
         (GET + b"\r\n", 400),
-        (ask(X_Qos="unheard-of"), 400),
-        (ask(Plan="unheard-of"), 400),
-        (ask(X_Trace_Id=None), 400),
-        (ask(X_Trace_Id="a b"), 400),
-        (ask(Account="b4d65521"), 400),
-        (ask(Account="ffffffffffffffff"), 400),
-        (ask(Account="000000000000000g"), 400),
-        (ask(X_Expires_In="480"), 400),
-        (ask(X_Expires_In="-5m"), 400),
-        (ask(X_Expires_In="0m"), 400),
-        (ask(X_Expires_In="nanm"), 400),
-        (ask(Quota_Info="units=2,spread=1"), 400),
-        (ask(Quota_Info="units=0,spread=1,first=0"), 400),
-        (ask(Quota_Info="units=2,spread=9,first=0"), 400),
-        (ask(Quota_Info="units=2,spread=1,first=1"), 400),
-        (ask(Quota_Info="units=inf,spread=1,first=0"), 400),
-        (ask("file", Idempotency_Key=None), 400),
-        (ask().replace(b"GET", b"POST"), 405),
-        (ask("file").replace(b"POST", b"GET"), 405),
-        (ask().replace(b"Host: svc\r\n", b""), 400),
-        (ask().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
-        (ask(Content_Length="3") + b"abc", 400),
+        (make_request(X_Qos="unheard-of"), 400),
+        (make_request(Plan="unheard-of"), 400),
+        (make_request(X_Trace_Id=None), 400),
+        (make_request(X_Trace_Id="a b"), 400),
+        (make_request(Account="b4d65521"), 400),
+        (make_request(Account="ffffffffffffffff"), 400),
+        (make_request(Account="000000000000000g"), 400),
+        (make_request(X_Expires_In="480"), 400),
+        (make_request(X_Expires_In="-5m"), 400),
+        (make_request(X_Expires_In="0m"), 400),
+        (make_request(X_Expires_In="nanm"), 400),
+        (make_request(Quota_Info="units=2,spread=1"), 400),
+        (make_request(Quota_Info="units=0,spread=1,first=0"), 400),
+        (make_request(Quota_Info="units=2,spread=9,first=0"), 400),
+        (make_request(Quota_Info="units=2,spread=1,first=1"), 400),
+        (make_request(Quota_Info="units=inf,spread=1,first=0"), 400),
+        (make_request("file", Idempotency_Key=None), 400),
+        (make_request().replace(b"GET", b"POST"), 405),
+        (make_request("file").replace(b"POST", b"GET"), 405),
+        (make_request().replace(b"Host: svc\r\n", b""), 400),
+        (make_request().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
+        (make_request(Content_Length="3") + b"abc", 400),
         (post("70000", b"x" * 70_000), 413),
         (post("-1"), 400),
         (post("4x", b"1234"), 400),
-        (ask("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
-        (ask("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
+        (make_request("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
+        (make_request("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
         (
-            ask("file", Content_Length=None, Transfer_Encoding="chunked").replace(
+            make_request("file", Content_Length=None, Transfer_Encoding="chunked").replace(
                 b"g: chunked", b"g: chunked\r\nContent-Length: 4"
             )
             + b"0\r\n\r\n",
             400,
         ),
         *(
-            (ask("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
+            (make_request("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
             for odd in (
                 "gzip, chunked",
                 "chunked, identity",
@@ -76,7 +76,7 @@
             )
         ),
         *(
-            (ask("file", Content_Length=odd) + b"aa", 400)
+            (make_request("file", Content_Length=odd) + b"aa", 400)
             for odd in (
                 "+2",
                 "-2",
@@ -90,9 +90,9 @@
         ),
         (post("12345678901", b""), 413),
         (post("9" * 30, b""), 400),
-        (ask(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
-        (ask(Quota_Info="units=999999999,spread=1,first=0"), 400),
-        (ask(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
+        (make_request(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
+        (make_request(Quota_Info="units=999999999,spread=1,first=0"), 400),
+        (make_request(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
         (b"hello\r\n\r\n", 400),
         (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
         (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
@@ -102,80 +102,80 @@
 def test_malformed_requests_never_reach_the_decisions(request_bytes: bytes, status: int) -> None:
     """A client sends what the protocol does not allow, or what two readers could read in two ways."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        script = Script(hold_all)
-        async with running(script) as server:
-            line, _, _ = await server.call(request_bytes)
+        script = ScriptedDecider(leave_pending)
+        async with running_server(script) as server:
+            line, _, _ = await server.fetch(request_bytes)
             assert line.split()[1] == str(status)
-            assert not [e for e in script.seen if isinstance(e, RequestArrived)]
+            assert not [e for e in script.received_events if isinstance(e, RequestArrived)]
 
     run()
 
 
-@socket_test
+@uvloop_test
 async def test_a_complete_chunked_body_is_accepted() -> None:
     """A client sends its body in chunks, with no length ahead. That is legal: the request reaches the
     decisions, which reject it here, and it must not be taken for malformed framing."""
-    async with running(Script(reject_each)) as server:
-        request = ask("file", Content_Length=None, Transfer_Encoding="chunked")
-        line, _, _ = await server.call(request + b"3\r\nabc\r\n0\r\n\r\n")
+    async with running_server(ScriptedDecider(reject_all)) as server:
+        request = make_request("file", Content_Length=None, Transfer_Encoding="chunked")
+        line, _, _ = await server.fetch(request + b"3\r\nabc\r\n0\r\n\r\n")
         assert line.split()[1] == "429"
 
 
-@socket_test
+@uvloop_test
 async def test_trailers_are_not_read_as_headers() -> None:
     """A trailer behind a chunked body names another trace id: it must not replace that of the head."""
-    async with running_with_backend(Script(attempt_each(b"s-1"))) as (server, backend):
-        _, to_proxy = await server.client()
+    async with running_server_with_backend(ScriptedDecider(attempt_at_each(b"s-1"))) as (server, backend):
+        _, to_proxy = await server.connect_client()
         to_proxy.write(
-            ask("file", Content_Length=None, Transfer_Encoding="chunked")
+            make_request("file", Content_Length=None, Transfer_Encoding="chunked")
             + b"3\r\nabc\r\n0\r\nX-Trace-Id: other\r\nX-More: 1\r\n\r\n"
         )
-        reader, _ = await backend.connection()
+        reader, _ = await backend.accept_connection()
         _, headers, body = await read_message(reader)
         assert (headers["x-trace-id"], body, "x-more" in headers) == ("ab12", b"abc", False)
 
 
-@socket_test
+@uvloop_test
 async def test_the_time_left_is_bounded_by_the_deadline_of_the_class() -> None:
     """A client claims to wait for far longer than its class allows. The class's deadline holds, so that no
     request is kept queued for a time that was never promised."""
-    script = Script(hold_all)
-    async with running(script) as server:
-        _, to_proxy = await server.client()
-        to_proxy.write(ask(X_Expires_In="3000000m"))
+    script = ScriptedDecider(leave_pending)
+    async with running_server(script) as server:
+        _, to_proxy = await server.connect_client()
+        to_proxy.write(make_request(X_Expires_In="3000000m"))
         [arrival] = await script.wait_for(RequestArrived)
         assert arrival.time_left_us <= 10_000_000
 
 
-@socket_test
+@uvloop_test
 async def test_the_trace_id_of_a_pending_request_is_rejected() -> None:
     """Two clients use one trace id: with both pending, the answers could not be told apart."""
-    script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (server, backend):
-        client, to_proxy = await server.client()
-        to_proxy.write(ask(trace="a1"))
-        reader, writer = await backend.connection()
+    script = ScriptedDecider(attempt_at_each(b"s-1"))
+    async with running_server_with_backend(script) as (server, backend):
+        client, to_proxy = await server.connect_client()
+        to_proxy.write(make_request(trace="a1"))
+        reader, writer = await backend.accept_connection()
         await read_message(reader)
-        assert (await server.call(ask(trace="a1")))[0].split()[1] == "409"
-        writer.write(answer(200, b"mine"))
+        assert (await server.fetch(make_request(trace="a1")))[0].split()[1] == "409"
+        writer.write(make_response(200, b"mine"))
         assert (await read_message(client))[2] == b"mine"
         assert len(await script.wait_for(RequestArrived)) == 1
-        to_proxy.write(ask(trace="a1"))  # answered: the id may be used again
+        to_proxy.write(make_request(trace="a1"))  # answered: the id may be used again
         await script.wait_for(RequestArrived, 2)
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_survives_a_well_framed_malformed_request() -> None:
     """The client names an unknown plan, but where its next request begins is certain."""
 
     def reject_for_a_quarter_second(event: Event) -> list[Action]:
         return [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
 
-    async with running(Script(reject_for_a_quarter_second)) as server:
-        reader, writer = await server.client()
-        writer.write(ask(Plan="unheard-of") + ask())
+    async with running_server(ScriptedDecider(reject_for_a_quarter_second)) as server:
+        reader, writer = await server.connect_client()
+        writer.write(make_request(Plan="unheard-of") + make_request())
         assert await read_status(reader) == "400"
         line, headers, _ = await read_message(reader)
         assert (line.split()[1], headers["retry-after"]) == ("429", "0.250")
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -5,15 +5,15 @@
 import pytest
 
 from tests.loopback import (
-    Script,
-    answer,
-    ask,
+    ScriptedDecider,
+    forward_all,
+    make_request,
+    make_response,
     read_message,
     read_status,
-    running_with_backend,
-    send_all,
-    socket_test,
-    until,
+    running_server_with_backend,
+    uvloop_test,
+    wait_until,
 )
 from tests.upstream_side import forward, serve_on_new_connection, until_state
 from yardlane.decisions.events import AttemptEnded, LoadReport, Outcome
@@ -28,27 +28,27 @@
 @pytest.mark.parametrize(
     ("written", "outcome", "status"),
     [
-        (answer(200, b"yes"), Outcome.OK, "200"),
-        (answer(500), Outcome.ERROR, "502"),
-        (answer(404), Outcome.ERROR, "502"),
-        (answer(503, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
-        (answer(504, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
-        (answer(503), Outcome.ERROR, "502"),
-        (answer(503, extra="X-Never-Ran: 0\r\n"), Outcome.ERROR, "502"),
-        (answer(500, extra="X-Never-Ran: 1\r\n"), Outcome.ERROR, "502"),
+        (make_response(200, b"yes"), Outcome.OK, "200"),
+        (make_response(500), Outcome.ERROR, "502"),
+        (make_response(404), Outcome.ERROR, "502"),
+        (make_response(503, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (make_response(504, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (make_response(503), Outcome.ERROR, "502"),
+        (make_response(503, extra="X-Never-Ran: 0\r\n"), Outcome.ERROR, "502"),
+        (make_response(500, extra="X-Never-Ran: 1\r\n"), Outcome.ERROR, "502"),
         (CLOSE, Outcome.CONNECTION_LOST, "502"),
-        (answer(200, b"yes")[:-1] + CLOSE, Outcome.CONNECTION_LOST, "502"),
+        (make_response(200, b"yes")[:-1] + CLOSE, Outcome.CONNECTION_LOST, "502"),
         (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Outcome.CONNECTION_LOST, "502"),
         (b"nonsense\r\n\r\n", Outcome.CONNECTION_LOST, "502"),
         (b"HTTP/1.1 200 X\r\nA: " + b"x" * 20_000 + b"\r\n\r\n", Outcome.CONNECTION_LOST, "502"),
-        (INTERIM + answer(200, b"yes"), Outcome.OK, "200"),
+        (INTERIM + make_response(200, b"yes"), Outcome.OK, "200"),
         (b"HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc", Outcome.CONNECTION_LOST, "502"),
         (INTERIM * 100, Outcome.CONNECTION_LOST, "502"),
-        (answer(200, b"yes") + answer(200, b"yes"), Outcome.OK, "200"),
-        (answer(200, b"yes") + b"\x00\xffnoise", Outcome.OK, "200"),
-        (answer(200, b"yes", "Connection: close\r\n") + b"noise", Outcome.OK, "200"),
+        (make_response(200, b"yes") + make_response(200, b"yes"), Outcome.OK, "200"),
+        (make_response(200, b"yes") + b"\x00\xffnoise", Outcome.OK, "200"),
+        (make_response(200, b"yes", "Connection: close\r\n") + b"noise", Outcome.OK, "200"),
         (
-            answer(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"),
+            make_response(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"),
             Outcome.OK,
             "200",
         ),
@@ -58,13 +58,13 @@
     """A backend responds in one of all the ways that are seen, broken ones too. A wrong outcome costs a
     client its response, or lets a request that may have run be sent a second time."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        script = Script(send_all)
-        async with running_with_backend(script) as (server, backend):
+        script = ScriptedDecider(forward_all)
+        async with running_server_with_backend(script) as (server, backend):
             (client, _), (_, writer) = await forward(server, backend)
             writer.write(written)
-            if written in (CLOSE, answer(200, b"yes")[:-1]):
+            if written in (CLOSE, make_response(200, b"yes")[:-1]):
                 writer.close()
             assert await read_status(client) == status
             [ended] = await script.wait_for(AttemptEnded)
@@ -75,28 +75,28 @@
     run()
 
 
-@socket_test
+@uvloop_test
 async def test_load_report_and_usage_reach_the_decisions() -> None:
     """A response says how loaded its backend is. Unread, the decisions would know their own share of its load
     alone, and send to a backend that others keep busy."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
-        writer.write(answer(extra=load_report + "Usage-Percent: 140\r\n"))
+        writer.write(make_response(extra=load_report + "Usage-Percent: 140\r\n"))
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.usage_percent, ended.load) == (140, LoadReport(queued=3.0, utilization=0.25))
 
 
-@socket_test
+@uvloop_test
 async def test_figures_beyond_any_load_are_dropped() -> None:
     """A backend reports figures that no load can reach. Believed, one such report would keep all requests
     from it until the next one."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"
-        writer.write(answer(extra=load_report))
+        writer.write(make_response(extra=load_report))
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.outcome, ended.load) == (Outcome.OK, None)
 
@@ -118,84 +118,84 @@
     with pytest.raises(MalformedResponse, match="interim responses"):
         reader.feed(INTERIM)
     reader = ResponseReader()
-    reader.feed(answer(200, b"yes"))
+    reader.feed(make_response(200, b"yes"))
     assert reader.is_complete and reader.keep_alive and reader.response.body == b"yes"
     with pytest.raises(MalformedResponse, match="more than one response"):
-        reader.feed(answer(200, b"no"))
+        reader.feed(make_response(200, b"no"))
     assert reader.response.body == b"yes"
 
 
-@socket_test
+@uvloop_test
 async def test_a_response_that_stalls_ends_its_attempt_long_before_the_deadline() -> None:
     """A backend hangs in the middle of a response; its client's time is long. Backends write a response at
     once, so the rest is not waited for until the deadline."""
-    script = Script(send_all)
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(forward_all)
+    async with running_server_with_backend(script) as (server, backend):
         server.pool.stall_timeout_s = 0.02
-        (client, _), (_, writer) = await forward(server, backend, ask(X_Expires_In="3000000m"))
-        writer.write(answer()[:10])
+        (client, _), (_, writer) = await forward(server, backend, make_request(X_Expires_In="3000000m"))
+        writer.write(make_response()[:10])
         assert await read_status(client) == "502"
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.CONNECTION_LOST]
 
 
-@socket_test
+@uvloop_test
 async def test_an_interim_response_is_not_one_that_stalls() -> None:
     """A backend sends a whole interim response and takes its time for the final one. Ended as stalled, a
     request that is only slow would fail, and could not be retried if it must not run twice."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         server.pool.stall_timeout_s = 0.0
         (client, _), (_, writer) = await forward(server, backend)
         [connection] = server.pool.connections
         writer.write(INTERIM)
-        await until(lambda: connection.reader is not None and connection.reader.interim_count)
+        await wait_until(lambda: connection.reader is not None and connection.reader.interim_count)
         await asyncio.sleep(0)
-        writer.write(answer(200, b"whole"))
+        writer.write(make_response(200, b"whole"))
         assert (await read_message(client))[2] == b"whole"
 
 
-@socket_test
+@uvloop_test
 async def test_an_interim_response_in_two_parts_is_followed_by_the_final_one() -> None:
     """The network splits an interim response. Taken for the final one, or for a fault, it would cost the
     client the response that follows."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         (client, _), (_, writer) = await forward(server, backend)
         [connection] = server.pool.connections
         writer.write(INTERIM[:10])
         await until_state(connection, UpstreamState.RECEIVING)
         writer.write(INTERIM[10:])
         await until_state(connection, UpstreamState.AWAITING)
-        writer.write(answer(200, b"whole"))
+        writer.write(make_response(200, b"whole"))
         assert (await read_message(client))[2] == b"whole"
 
 
-@socket_test
+@uvloop_test
 async def test_a_response_in_two_parts_leaves_the_next_one_all_its_time() -> None:
     """The timer for the rest of a response must end with it: left over, it would end the next request on the
     connection, which may rightly take longer."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         pool = server.pool
         pool.reuse.quarantine_s = 0.0
         pool.stall_timeout_s = 0.02
         (client, to_server), (reader, writer) = await forward(server, backend)
         [connection] = pool.connections
-        writer.write(answer()[:10])
+        writer.write(make_response()[:10])
         await until_state(connection, UpstreamState.RECEIVING)
-        writer.write(answer()[10:])
+        writer.write(make_response()[10:])
         assert await read_status(client) == "200"
-        to_server.write(ask(trace="a2"))
+        to_server.write(make_request(trace="a2"))
         await read_message(reader)
         await asyncio.sleep(3 * pool.stall_timeout_s)
-        writer.write(answer())
+        writer.write(make_response())
         assert await read_status(client) == "200"
 
 
-@socket_test
+@uvloop_test
 async def test_a_connection_that_the_backend_announced_to_close_is_not_used_again() -> None:
     """A backend names the response the connection's last one, and closes it a little later. A request sent in
     between would be lost, and could not be retried where it must not run twice."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         server.pool.reuse.quarantine_s = 0.0
-        client = await server.client()
-        await serve_on_new_connection(client, backend, "a1", answer(extra="Connection: close\r\n"))
+        client = await server.connect_client()
+        await serve_on_new_connection(client, backend, "a1", make_response(extra="Connection: close\r\n"))
         assert not server.pool.connections
         await serve_on_new_connection(client, backend, "a2")
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -8,19 +8,19 @@
 from typing import Any
 
 from tests.loopback import (
-    Script,
-    answer,
-    ask,
-    attempt_each,
-    config,
-    member,
+    ScriptedDecider,
+    attempt_at_each,
+    endpoint_list_dict,
+    forward_all,
+    make_config,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
     read_status,
-    running_with_backend,
-    send_all,
-    socket_test,
-    until,
-    whole_list,
+    running_server_with_backend,
+    uvloop_test,
+    wait_until,
 )
 from tests.upstream_side import accept_request, forward, serve_on_new_connection
 from yardlane.decisions.actions import Action
@@ -30,92 +30,92 @@
 NO_QUARANTINE_S = 0.0
 
 
-@socket_test
+@uvloop_test
 async def test_an_idle_connection_that_the_backend_closed_is_not_used() -> None:
     """A backend closes an idle connection. A request sent on it would be lost, and one that must not run
     twice would fail for its client."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
-        client = await server.client()
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
+        client = await server.connect_client()
         _, writer = await serve_on_new_connection(client, backend, "a1")
         writer.close()
-        await until(lambda: not server.pool.connections)
-        client[1].write(ask(trace="a2"))
+        await wait_until(lambda: not server.pool.connections)
+        client[1].write(make_request(trace="a2"))
         await accept_request(backend, "a2")
 
 
-@socket_test
+@uvloop_test
 async def test_more_attempts_than_connections_are_not_sent_and_no_backends_fault() -> None:
     """All descriptors for upstreams are in use. That says nothing of the backend: an outcome against it would
     have it ejected as an outlier."""
-    script = Script(attempt_each(b"s-1"))
-    async with running_with_backend(script) as (server, backend):
+    script = ScriptedDecider(attempt_at_each(b"s-1"))
+    async with running_server_with_backend(script) as (server, backend):
         server.pool.max_connections = 1
-        _, first = await server.client()
-        first.write(ask())
-        await backend.connection()
-        _, second = await server.client()
-        second.write(ask(trace="a2"))
+        _, first = await server.connect_client()
+        first.write(make_request())
+        await backend.accept_connection()
+        _, second = await server.connect_client()
+        second.write(make_request(trace="a2"))
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
 
 
-@socket_test
+@uvloop_test
 async def test_the_connection_idle_for_longest_makes_room_for_another_backend() -> None:
     """All descriptors for upstreams are taken by idle connections to other backends. If none made room, a
     request to a new backend would not be sent while nothing is in use."""
 
     def spread(event: Event) -> list[Action]:
-        return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
+        return forward_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
-    async with running_with_backend(Script(spread)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(spread)) as (server, backend):
         server.pool.max_connections = 1
         update = server.discovery.decoder.decode(
-            whole_list(member("s-1", backend.port), member("s-2", backend.port))
+            endpoint_list_dict(member_dict("s-1", backend.port), member_dict("s-2", backend.port))
         )
         server.proxy.apply_update(update.update, update.addresses)
-        client = await server.client()
+        client = await server.connect_client()
         reader, _ = await serve_on_new_connection(client, backend, "a1")
         await serve_on_new_connection(client, backend, "a2")
         assert await reader.read() == b""
         assert list(server.pool.idle) == [b"s-2"]
 
 
-@socket_test
+@uvloop_test
 async def test_an_endpoint_without_an_address_gets_no_attempt() -> None:
     """The decisions choose an endpoint whose address could not be read. The attempt ends at once as not sent;
     were it dropped without an end, its request would wait until the deadline."""
-    script = Script(lambda event: send_all(event, b"s-2"))
-    async with running_with_backend(script) as (server, backend):
-        line, _, _ = await server.call(ask())
+    script = ScriptedDecider(lambda event: forward_all(event, b"s-2"))
+    async with running_server_with_backend(script) as (server, backend):
+        line, _, _ = await server.fetch(make_request())
         assert line.split()[1] == "502"
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
         assert backend.accepted.empty()
 
 
-@socket_test
+@uvloop_test
 async def test_a_new_endpoint_at_an_old_address_gets_no_connection_of_the_old_one() -> None:
     """An endpoint is replaced by another one at its address while it has a request. The old connection serves
     that one and is closed: what it is connected to may still be the old process."""
 
     def old_then_new(event: Event) -> list[Action]:
-        return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
+        return forward_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
 
-    async with running_with_backend(Script(old_then_new)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(old_then_new)) as (server, backend):
         server.pool.reuse.quarantine_s = NO_QUARANTINE_S
-        (client, to_server), (reader, writer) = await forward(server, backend, ask(trace="a1"))
-        decoded = server.discovery.decoder.decode(whole_list(member("s-2", backend.port)))
+        (client, to_server), (reader, writer) = await forward(server, backend, make_request(trace="a1"))
+        decoded = server.discovery.decoder.decode(endpoint_list_dict(member_dict("s-2", backend.port)))
         server.proxy.apply_update(decoded.update, decoded.addresses)
-        writer.write(answer(200, b"old"))
+        writer.write(make_response(200, b"old"))
         assert (await read_message(client))[2] == b"old"
         assert await reader.read() == b""
-        to_server.write(ask(trace="a2"))
+        to_server.write(make_request(trace="a2"))
         await accept_request(backend, "a2")
 
 
-@socket_test
+@uvloop_test
 async def test_a_closed_connection_leaves_nothing_for_the_garbage_collector() -> None:
     """Connection, reader and parser refer to each other. Left as a cycle they stay until the collector runs,
     whose pauses grow with all that waits for it."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         gc.disable()
         try:
             (client, _), (_, writer) = await forward(server, backend)
@@ -123,31 +123,31 @@
             assert held.reader is not None
             references: list[weakref.ref[Any]] = [weakref.ref(held), weakref.ref(held.reader)]
             del held
-            writer.write(answer())
+            writer.write(make_response())
             assert await read_status(client) == "200"
             writer.close()
-            await until(lambda: all(reference() is None for reference in references))
+            await wait_until(lambda: all(reference() is None for reference in references))
         finally:
             gc.enable()
 
 
-@socket_test
+@uvloop_test
 async def test_an_endpoint_that_is_removed_takes_its_quarantine_along() -> None:
     """What stands at an address next, or comes back under the same id, is another process."""
-    pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
+    pool = UpstreamPool(make_config(), 8, asyncio.get_running_loop())
     pool.reuse.on_stray_bytes(b"s-1", 5.0)
     pool.reuse.on_stray_bytes(b"s-2", 5.0)
     pool.remove_endpoint(b"s-1")
     assert list(pool.reuse.endpoint_quarantine_s) == [b"s-2"]
 
 
-@socket_test
+@uvloop_test
 async def test_maintenance_closes_what_was_idle_for_too_long_and_lets_the_bounds_recover() -> None:
     """Once a second the pool closes what no request would use any more. Left out, idle connections would hold
     descriptors, and a bound that one bad moment cut would stay so."""
-    async with running_with_backend(Script(send_all)) as (server, backend):
+    async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         pool = server.pool
-        client = await server.client()
+        client = await server.connect_client()
         reader, _ = await serve_on_new_connection(client, backend, "a1")
         pool.idle[b"s-1"][0].idle_since_s -= 5.0
         pool._maintain()
--- a/tests/proxy/test_upstream_state.py
+++ b/tests/proxy/test_upstream_state.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.loopback import config, socket_test
+from tests.loopback import make_config, uvloop_test
 from yardlane.proxy.upstream_connection import UpstreamConnection
 from yardlane.proxy.upstream_pool import UpstreamPool
 from yardlane.proxy.upstream_state import MAY_HAVE_RUN, TRANSITIONS, UpstreamEvent, UpstreamState
@@ -38,9 +38,9 @@
     """A fault of this program brings an event that the state cannot have. If it moved the state all the same,
     a request could be reported as never run though a backend runs it."""
 
-    @socket_test
+    @uvloop_test
     async def run() -> None:
-        pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
+        pool = UpstreamPool(make_config(), 8, asyncio.get_running_loop())
         for event in UpstreamEvent:
             for state in UpstreamState:
                 connection = UpstreamConnection(pool, b"s-1", ("127.0.0.1", 9))
--- a/tests/settings_text.py
+++ b/tests/settings_text.py
@@ -1,6 +1,6 @@
 """The settings text of one instance, with a setting that nobody knows."""
 
-SETTINGS = b"""discovery=pushed
+SETTINGS_TEXT = b"""discovery=pushed
 peers_total=2
 rank=0
 locality=0
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from tests.settings_text import SETTINGS
+from tests.settings_text import SETTINGS_TEXT
 from yardlane.decisions.actions import (
     Action,
     AddToCounter,
@@ -63,7 +63,7 @@
     return list(read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
 
 
-def init(instance: int = 3, text: bytes = SETTINGS) -> bytes:
+def init(instance: int = 3, text: bytes = SETTINGS_TEXT) -> bytes:
     return record(1050, struct.pack("<IQI", instance, 4, len(text)) + text)
 
 
@@ -194,7 +194,7 @@
     [
         (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
         (frame(init(text=b"rank=1")), "discovery is missing"),
-        (frame(init(text=SETTINGS.replace(b"rank=0", b"rank=x"))), "rank is no number"),
+        (frame(init(text=SETTINGS_TEXT.replace(b"rank=0", b"rank=x"))), "rank is no number"),
         (frame(record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
         (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
     ],
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -46,7 +46,7 @@
     """The end of an attempt arrives for a request that the gateway has no record of. Counted, it would make
     the attempts in flight wrong for good."""
     driver = GatewayDriver()
-    assert driver.give(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
+    assert driver.deliver(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
     assert driver.gateway.concurrency.in_flight == 0
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -5,51 +5,55 @@
 
 import pytest
 
-from tests.loopback import settings
-from yardlane.config import flatten, load, parse_address
+from tests.loopback import settings_dict
+from yardlane.config import flatten, load_config, parse_address
 from yardlane.errors import ConfigError
 
 
-def test_json_nested_too_deep_is_no_configuration(tmp_path: Path) -> None:
+def test_too_deeply_nested_json_raises_config_error(tmp_path: Path) -> None:
     """The file is JSON that the parser gives up on. That is a fault of the file like any other."""
     path = tmp_path / "config.json"
     path.write_text("[" * 100_000)
     with pytest.raises(ConfigError, match="no JSON"):
-        load({"EDGE_CONFIG": str(path)})
+        load_config({"EDGE_CONFIG": str(path)})
 
 
-def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
+def test_environment_variables_override_the_file(tmp_path: Path) -> None:
     """Each variable that is set goes before its key in the file; the others leave the file as it is."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
-    config = load({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
+    path.write_text(
+        json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings_dict()})
+    )
+    config = load_config({"EDGE_CONFIG": str(path), "EDGE_LISTEN": "127.0.0.1:3", "EDGE_NAME": "n7"})
     assert (config.listen[1], config.discovery[1]) == (3, 2)
     assert (config.request_class_names, config.quota_plan_names) == (("look", "file"), ("basic", "metered"))
     assert config.zones == ("north", "south")
     with pytest.raises(ConfigError, match="not set"):
-        load({})
+        load_config({})
 
 
 @pytest.mark.parametrize("is_reload", [False, True])
-def test_only_a_reload_takes_discovery_from_the_file(is_reload: bool, tmp_path: Path) -> None:
+def test_discovery_address_of_the_file_wins_only_on_reload(is_reload: bool, tmp_path: Path) -> None:
     """Discovery moves: the file names its new address, the environment still has that of the start."""
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings()}))
-    config = load({"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.1:4"}, is_reload)
+    path.write_text(
+        json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings_dict()})
+    )
+    config = load_config({"EDGE_CONFIG": str(path), "EDGE_DISCOVERY": "127.0.0.1:4"}, is_reload)
     assert config.discovery[1] == (2 if is_reload else 4)
 
 
 @pytest.mark.parametrize(
     "text", ["", "x", ":9", "x:", "x:0", "x:65536", "x:-1", "x:\u0663", "x:" + "9" * 5000, None, ["x:9"]]
 )
-def test_what_is_no_address_raises_the_typed_error(text: object) -> None:
+def test_invalid_address_raises_config_error(text: object) -> None:
     """An address is mistyped: no port, a port out of range, digits that are not ASCII. The start must end
     with one line that names the value, not with a traceback."""
     with pytest.raises(ConfigError, match=r"here is .*wanted host:port"):
         parse_address(text, "here")
 
 
-def test_nested_settings_become_the_paths_of_the_settings_text() -> None:
+def test_flatten_returns_the_paths_of_the_settings_text() -> None:
     nested = {
         "rank": 0,
         "safety": {"fall_us": 7},
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-FORM = "TEST | COMMAND AND SEED | SEEN | ISSUE"
+ENTRY_FORMAT = "TEST | COMMAND AND SEED | SEEN | ISSUE"
 TESTS = """
 import pytest
 def test_good(): pass
@@ -28,12 +28,14 @@
 def test_untidy(untidy): assert False
 """
 FAILING = "tests/test_some.py::test_failing[1]"
-UNREADY = "tests/test_some.py::test_unready"
-UNTIDY = "tests/test_some.py::test_untidy"
-ORDINARY = "not unready and not untidy"
+SETUP_ERROR = "tests/test_some.py::test_unready"
+TEARDOWN_ERROR = "tests/test_some.py::test_untidy"
+WITHOUT_FIXTURE_ERRORS = "not unready and not untidy"
 
 
-def run_ci(path: Path, listed: str | None, only: str = ORDINARY, tests: str = TESTS) -> tuple[int, str]:
+def run_ci(
+    path: Path, listed: str | None, only: str = WITHOUT_FIXTURE_ERRORS, tests: str = TESTS
+) -> tuple[int, str]:
     """Exit code and output of `.ci/run` in a project of these tests, where pip, ruff and mypy do nothing."""
     for file in (".ci/run", "tests/conftest.py"):
         (path / file).parent.mkdir(exist_ok=True)
@@ -45,10 +47,10 @@
     commands = path / ".venv-dev" / "bin"
     commands.mkdir(parents=True)
     for name in ("pip", "ruff", "mypy", "python"):
-        does = f"exec {sys.executable}" if name == "python" else "true"
-        (commands / name).write_text(f'#!/bin/sh\n{does} "$@"\n')
+        script = f"exec {sys.executable}" if name == "python" else "true"
+        (commands / name).write_text(f'#!/bin/sh\n{script} "$@"\n')
         (commands / name).chmod(0o755)
-    made = subprocess.run(
+    completed = subprocess.run(
         ["bash", ".ci/run"],
         cwd=path,
         capture_output=True,
@@ -56,24 +58,24 @@
         check=False,
         env={**os.environ, "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1", "PYTEST_ADDOPTS": f"-k '{only}'"},
     )
-    return made.returncode, made.stdout + made.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def closing(output: str) -> str:
+def last_line(output: str) -> str:
     return output.strip().splitlines()[-1]
 
 
-def test_a_listed_test_that_fails_is_passed_over_and_named(tmp_path: Path) -> None:
+def test_failing_listed_test_passes_ci_and_is_reported(tmp_path: Path) -> None:
     """A test that is listed fails, as expected. CI passes, but its end names the entry, so that a known fault
     is not forgotten."""
     code, output = run_ci(tmp_path, f"\n{FAILING} | pytest, seed 5 | the clock | #7\n\n")
     assert code == 0, output
-    assert closing(output).startswith("2 passed, 1 skipped, 2 deselected, 2 xfailed in "), output
+    assert last_line(output).startswith("2 passed, 1 skipped, 2 deselected, 2 xfailed in "), output
     assert f"known red: {FAILING} | pytest, seed 5 | the clock | #7" in output
 
 
 @pytest.mark.parametrize("listed", [None, "", "tests/test_some.py::test_expected | pytest | seen | #1\n"])
-def test_what_is_not_listed_counts(tmp_path: Path, listed: str | None) -> None:
+def test_failing_unlisted_test_fails_ci(tmp_path: Path, listed: str | None) -> None:
     """A test fails that the list does not name: there is no list, an empty one, or one of other tests. CI
     must fail, or the list would hide any fault."""
     code, output = run_ci(tmp_path, listed)
@@ -81,18 +83,18 @@
 
 
 @pytest.mark.parametrize("name", ["test_good", "test_failing[2]", "test_skipped", "test_expected"])
-def test_a_listed_test_that_does_not_fail_is_a_failure(tmp_path: Path, name: str) -> None:
+def test_listed_test_that_does_not_fail_fails_ci(tmp_path: Path, name: str) -> None:
     """A listed test passes again, or does not run. Left on the list, it would hide the next fault that it
     finds: CI fails until the entry is gone."""
     code, output = run_ci(
         tmp_path, f"{FAILING} | pytest | seen | #1\ntests/test_some.py::{name} | pytest | seen | #1\n"
     )
     assert code == 1 and f"tests/test_some.py::{name} - KNOWN-RED.txt lists it" in output, output
-    assert "1 failed, " in closing(output) or ", 1 error" in closing(output), output
+    assert "1 failed, " in last_line(output) or ", 1 error" in last_line(output), output
 
 
-@pytest.mark.parametrize("name", [UNREADY, UNTIDY])
-def test_an_error_around_a_listed_test_is_one(tmp_path: Path, name: str) -> None:
+@pytest.mark.parametrize("name", [SETUP_ERROR, TEARDOWN_ERROR])
+def test_fixture_error_of_listed_test_fails_ci(tmp_path: Path, name: str) -> None:
     """A fixture of a listed test breaks, before or after it. That is another fault than the one that is
     known, so CI reports it."""
     code, output = run_ci(tmp_path, f"{name} | pytest | seen | #1\n", name.rpartition("_")[2])
@@ -100,14 +102,16 @@
 
 
 @pytest.mark.parametrize(
-    "listed, tests, ends",
+    "listed, tests, expected_code",
     [(None, "", 5), (f"{FAILING} | pytest | seen | #1", "import nothing_of_the_kind\n", 2)],
 )
-def test_a_run_without_the_tests_fails(tmp_path: Path, listed: str | None, tests: str, ends: int) -> None:
+def test_run_without_collected_tests_fails_ci(
+    tmp_path: Path, listed: str | None, tests: str, expected_code: int
+) -> None:
     """No test is found, or a file of tests cannot be imported. Nothing has failed then, and still CI must not
     pass: nothing was checked."""
     code, output = run_ci(tmp_path, listed, tests=tests)
-    assert code == ends, output
+    assert code == expected_code, output
 
 
 @pytest.mark.parametrize(
@@ -118,20 +122,20 @@
             "no such test in this run: tests/test_some.py::test_failing",
         ),
         ("tests/test_some.py::test_unready | pytest | seen | #1", "no such test in this run"),  # not selected
-        (f"{FAILING} | seen", f"wanted {FORM}"),
-        (f"{FAILING} | seen | #1", f"wanted {FORM}"),
-        (f"{FAILING} | pytest | seen | ", f"wanted {FORM}"),
-        (f"{FAILING} | pytest |  | #1", f"wanted {FORM}"),
-        (f"{FAILING} |  | seen | #1", f"wanted {FORM}"),
-        (f"{FAILING} | pytest | seen | #1 | more", f"wanted {FORM}"),
+        (f"{FAILING} | seen", f"wanted {ENTRY_FORMAT}"),
+        (f"{FAILING} | seen | #1", f"wanted {ENTRY_FORMAT}"),
+        (f"{FAILING} | pytest | seen | ", f"wanted {ENTRY_FORMAT}"),
+        (f"{FAILING} | pytest |  | #1", f"wanted {ENTRY_FORMAT}"),
+        (f"{FAILING} |  | seen | #1", f"wanted {ENTRY_FORMAT}"),
+        (f"{FAILING} | pytest | seen | #1 | more", f"wanted {ENTRY_FORMAT}"),
         (f"{FAILING} | pytest | a | #1\n{FAILING} | pytest | b | #2", "listed twice"),
         ("\n".join(f"a.py::test_{n} | pytest | seen | #1" for n in range(4)), "4 tests, at most 3"),
     ],
 )
-def test_a_malformed_list_ends_with_one_line(tmp_path: Path, listed: str, reason: str) -> None:
+def test_malformed_list_fails_ci_with_one_line(tmp_path: Path, listed: str, reason: str) -> None:
     """An entry is incomplete, stands twice, names no test or is one too many. CI says so in one line and runs
     nothing, as it could not tell which failures are known."""
     code, output = run_ci(tmp_path, listed)
     assert code != 0 and "Traceback" not in output, output
-    assert closing(output).startswith("ERROR: KNOWN-RED.txt: ") and reason in closing(output), output
+    assert last_line(output).startswith("ERROR: KNOWN-RED.txt: ") and reason in last_line(output), output
     assert " passed" not in output
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -26,7 +26,7 @@
     "docs/measurements.md",
 ]
 FILE_ENDINGS = (".py", ".md", ".json", ".toml", ".txt")
-FILES_OF_THE_MODELS = {"connection_pool.py", "connection.py", "http11.py", "commands.py"}  # in DEVELOPERS.md
+EXTERNAL_FILES = {"connection_pool.py", "connection.py", "http11.py", "commands.py"}  # in DEVELOPERS.md
 DECISION_LIBRARIES = {
     "__future__",
     "abc",
@@ -58,7 +58,7 @@
 }
 
 
-def imported(path: Path) -> set[str]:
+def imported_names(path: Path) -> set[str]:
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -71,18 +71,18 @@
     return found
 
 
-def part_of(path: Path) -> str:
+def layer_of(path: Path) -> str:
     """The part of the package that a module belongs to: its folder, or itself at the top."""
     return path.relative_to(PACKAGE).with_suffix("").parts[0]
 
 
-def test_each_decision_file_is_short() -> None:
+def test_policy_files_have_at_most_400_lines() -> None:
     for path in POLICY:
         lines = [line for line in path.read_text().splitlines() if line.strip()]
         assert len(lines) <= 400, path
 
 
-def test_no_line_is_long() -> None:
+def test_lines_have_at_most_110_characters() -> None:
     for path in [*MODULES, *ROOT.glob("tests/**/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
@@ -108,39 +108,39 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_what_a_page_names_exists(page: str) -> None:
+def test_files_and_names_on_a_page_exist(page: str) -> None:
     """At night a page that sends its reader to a file or function of an earlier version costs the time."""
     text = (ROOT / page).read_text()
-    named_files = set(re.findall(r"`(?:yardlane/)?((?:\w+/)*\w+\.py)`", text))
+    referenced_files = set(re.findall(r"`(?:yardlane/)?((?:\w+/)*\w+\.py)`", text))
     files = [*MODULES, *(ROOT / "tests").rglob("*.py")]
     existing = {path.name for path in files}
     existing |= {
         str(path.relative_to(base)) for base in (PACKAGE, ROOT) for path in files if base in path.parents
     }
-    assert named_files <= existing | FILES_OF_THE_MODELS
-    named = {name for name in re.findall(r"`(\w+\.\w+)`", text) if not name.endswith(FILE_ENDINGS)}
-    assert named <= defined_names()
+    assert referenced_files <= existing | EXTERNAL_FILES
+    referenced_names = {name for name in re.findall(r"`(\w+\.\w+)`", text) if not name.endswith(FILE_ENDINGS)}
+    assert referenced_names <= defined_names()
 
 
-def test_the_decisions_do_no_input_or_output() -> None:
+def test_decisions_import_no_io_library() -> None:
     assert PACKAGE / "decisions" / "gateway.py" in POLICY
     for path in (PACKAGE / "decisions").glob("*.py"):
-        outside = {name for name in imported(path) if not name.startswith("yardlane.decisions")}
+        outside = {name for name in imported_names(path) if not name.startswith("yardlane.decisions")}
         assert outside <= DECISION_LIBRARIES | {"yardlane.errors", "yardlane.errors.SettingsError"}, path
 
 
-def test_every_module_that_decides_is_in_the_policy_of_the_deploy_file() -> None:
-    interface = {"__init__", "actions", "decider", "events", "settings", "units"}
-    modules = {path for path in (PACKAGE / "decisions").glob("*.py") if path.stem not in interface}
+def test_deploy_file_lists_every_decision_module_as_policy() -> None:
+    non_deciding_modules = {"__init__", "actions", "decider", "events", "settings", "units"}
+    modules = {path for path in (PACKAGE / "decisions").glob("*.py") if path.stem not in non_deciding_modules}
     assert set(POLICY) == modules
 
 
-def test_the_policy_of_the_deploy_file_is_in_the_decisions() -> None:
+def test_policy_files_exist_in_the_decisions_package() -> None:
     for path in POLICY:
         assert path.is_file() and path.parent == PACKAGE / "decisions"
 
 
-def test_the_node_of_the_deploy_file_is_the_front_door_without_its_decisions() -> None:
+def test_deploy_file_lists_every_other_front_door_module_as_node() -> None:
     """A module of the front door that the deploy file does not list would not be looked at as one."""
     listed = [ROOT / path for path in DEPLOY["node"]]
     assert all(path.exists() for path in listed)
@@ -152,29 +152,29 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_imports_point_down_only(path: Path) -> None:
-    names = {name.split(".")[1] for name in imported(path) if name.startswith("yardlane.")}
-    assert names <= MAY_IMPORT[part_of(path)]
+def test_modules_import_only_lower_layers(path: Path) -> None:
+    names = {name.split(".")[1] for name in imported_names(path) if name.startswith("yardlane.")}
+    assert names <= MAY_IMPORT[layer_of(path)]
 
 
-def test_no_other_module_decides() -> None:
+def test_only_entry_points_import_the_gateway() -> None:
     """Only who assembles a program knows the gateway: the proxy and the codec know its interface alone."""
-    knows = {path for path in MODULES if "yardlane.decisions.gateway" in imported(path)}
-    assert knows <= {PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
+    importers = {path for path in MODULES if "yardlane.decisions.gateway" in imported_names(path)}
+    assert importers <= {PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
     for name in ("events", "actions", "decider"):
-        own = {f"yardlane.decisions.{part}" for part in ("events", "actions")}
-        classes = {f"{module}.{one}" for module in own for one in ("Action", "Event")}
-        allowed = {"__future__", "dataclasses", "enum", "typing"} | own | classes
-        assert imported(PACKAGE / "decisions" / f"{name}.py") <= allowed
+        interface_modules = {f"yardlane.decisions.{part}" for part in ("events", "actions")}
+        classes = {f"{module}.{one}" for module in interface_modules for one in ("Action", "Event")}
+        allowed = {"__future__", "dataclasses", "enum", "typing"} | interface_modules | classes
+        assert imported_names(PACKAGE / "decisions" / f"{name}.py") <= allowed
 
 
-def test_what_the_build_compiles_stands_whatever_times_the_files_get(tmp_path: Path) -> None:
+def test_compiled_bytecode_stays_valid_when_file_times_change(tmp_path: Path) -> None:
     shutil.copytree(PACKAGE, tmp_path / "yardlane", ignore=shutil.ignore_patterns("__pycache__"))
     build = DEPLOY["build"].rpartition("&& ")[2].replace(".venv/bin/python", sys.executable)
     subprocess.run(build, shell=True, cwd=tmp_path, check=True)
     for source in tmp_path.rglob("*.py"):
         os.utime(source, (1, 1))  # a copy of the root, or a fresh checkout
-    told = subprocess.run(
+    import_log = subprocess.run(
         [sys.executable, "-v", "-c", "import yardlane.__main__"],
         cwd=tmp_path,
         check=True,
@@ -182,5 +182,5 @@
         text=True,
         env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
     ).stderr
-    assert "yardlane/__main__.py\n" in told
-    assert "bytecode is stale for 'yardlane" not in told
+    assert "yardlane/__main__.py\n" in import_log
+    assert "bytecode is stale for 'yardlane" not in import_log
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -7,16 +7,16 @@
 from yardlane.log import LINES_PER_S, RateLimitFilter
 
 
-def test_lines_over_the_limit_of_a_second_are_dropped_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_over_the_rate_limit_are_dropped_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each of a flood of failures logs a line. Only the first ones of a second are written, as writing them
     all would take the processor from the requests; the next second says how many were dropped."""
     now_s = 100.0
     monkeypatch.setattr("yardlane.log.time.monotonic", lambda: now_s)
-    limit = RateLimitFilter()
+    rate_limit_filter = RateLimitFilter()
 
     def log_line() -> tuple[bool, str]:
         record = logging.LogRecord("yardlane", logging.WARNING, __file__, 1, "failed", None, None)
-        return limit.filter(record), record.getMessage()
+        return rate_limit_filter.filter(record), record.getMessage()
 
     written = [is_written for is_written, _ in (log_line() for _ in range(LINES_PER_S + 30))]
     assert written == [True] * LINES_PER_S + [False] * 30
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -7,26 +7,26 @@
 import pytest
 
 from tests.front_door_process import free_port, start_process
-from tests.loopback import Peer, member, settings, whole_list
+from tests.loopback import FakeServer, endpoint_list_dict, member_dict, settings_dict
 
 
-def test_sigterm_ends_the_process_with_0(tmp_path: Path) -> None:
+def test_sigterm_exits_with_code_0(tmp_path: Path) -> None:
     """SIGTERM comes while nothing is open. The process ends by itself with 0: any other code would have its
     supervisor report a crash at every planned restart."""
 
     async def run() -> None:
-        async with Peer() as discovery:
+        async with FakeServer() as discovery:
             process = await start_process(
                 tmp_path / "config.json",
                 {
                     "listen": f"127.0.0.1:{await free_port()}",
                     "discovery": f"127.0.0.1:{discovery.port}",
                     "seed": "1f",
-                    "settings": settings(),
-                    "known": whole_list(member("s-1", 9)),
+                    "settings": settings_dict(),
+                    "known": endpoint_list_dict(member_dict("s-1", 9)),
                 },
             )
-            await discovery.connection()  # it has started, and listens
+            await discovery.accept_connection()  # it has started, and listens
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
             assert process.returncode == 0, errors
@@ -41,13 +41,13 @@
     return process.returncode, errors.decode()
 
 
-def test_an_address_that_cannot_be_listened_on_is_one_plain_line_and_exit_1(tmp_path: Path) -> None:
+def test_unavailable_listen_address_exits_with_code_1(tmp_path: Path) -> None:
     """The address to listen on is not one of this machine's. The process must not go on without clients."""
     configuration = {
         "listen": "203.0.113.1:80",
         "discovery": "127.0.0.1:9",
         "seed": "1f",
-        "settings": settings(),
+        "settings": settings_dict(),
     }
     code, errors = asyncio.run(run_until_exit(tmp_path / "config.json", configuration))
     assert code == 1
@@ -59,31 +59,31 @@
     [
         ({}, "settings are missing"),
         ({"settings": {"rank": 0}}, "discovery is missing"),
-        ({"settings": settings(rank=7)}, "rank is 7"),
-        ({"settings": settings(), "listen": "nowhere"}, "listen is 'nowhere'"),
+        ({"settings": settings_dict(rank=7)}, "rank is 7"),
+        ({"settings": settings_dict(), "listen": "nowhere"}, "listen is 'nowhere'"),
         (
-            {"settings": settings(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"},
+            {"settings": settings_dict(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"},
             "seed is",
         ),
         ([], "wanted an object"),
-        ({"settings": settings(), "limits": [256]}, "limits are [256]"),
-        ({"settings": settings(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
-        ({"settings": settings(), "limits": {"sockets": "many"}}, "limits.sockets is 'many'"),
-        ({"settings": settings(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
-        ({"settings": settings(permissions={"max_attempts": 0})}, "permissions.max_attempts is 0"),
+        ({"settings": settings_dict(), "limits": [256]}, "limits are [256]"),
+        ({"settings": settings_dict(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
+        ({"settings": settings_dict(), "limits": {"sockets": "many"}}, "limits.sockets is 'many'"),
+        ({"settings": settings_dict(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
+        ({"settings": settings_dict(permissions={"max_attempts": 0})}, "permissions.max_attempts is 0"),
         (
             {
                 "listen": "127.0.0.1:9",
                 "discovery": "127.0.0.1:9",
-                "settings": settings(permissions={**settings()["permissions"], "connect_timeout_us": 0}),
+                "settings": settings_dict(
+                    permissions={**settings_dict()["permissions"], "connect_timeout_us": 0}
+                ),
             },
             "connect_timeout_us is 0",
         ),
     ],
 )
-def test_an_invalid_configuration_is_one_plain_line_and_exit_2(
-    configuration: object, message: str, tmp_path: Path
-) -> None:
+def test_invalid_configuration_exits_with_code_2(configuration: object, message: str, tmp_path: Path) -> None:
     """A value of the configuration is missing or wrong. Whoever starts the process sees which, in one line,
     and the process does not run with another value."""
     code, errors = asyncio.run(run_until_exit(tmp_path / "config.json", configuration))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_the_embedding_example_runs() -> None:
+def test_readme_python_examples_run() -> None:
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(), re.S)
     assert blocks
     for block in blocks:
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from tests.settings_text import SETTINGS
+from tests.settings_text import SETTINGS_TEXT
 from yardlane.decisions.settings import Idempotency
 from yardlane.errors import SettingsError
 from yardlane.settings_reader import SettingsReader, parse_settings
 
 
-def test_the_settings_text_is_read_with_the_names_of_its_load_report() -> None:
-    settings, columns = parse_settings(SETTINGS)
+def test_parse_settings_returns_settings_and_report_columns() -> None:
+    settings, columns = parse_settings(SETTINGS_TEXT)
     assert (settings.gateway_count, settings.rank, settings.warm_up_us) == (2, 0, 9_000_000)
     [request_class] = settings.request_classes
     assert request_class.idempotency is Idempotency.IDEMPOTENT
@@ -31,16 +31,14 @@
         (b"something.new=7", b"something.new=\xff", "settings are not UTF-8 at byte"),
     ],
 )
-def test_a_fault_of_the_settings_text_raises_the_typed_error(
-    replaced: bytes, by: bytes, message: str
-) -> None:
-    assert replaced in SETTINGS
+def test_invalid_settings_text_raises_settings_error(replaced: bytes, by: bytes, message: str) -> None:
+    assert replaced in SETTINGS_TEXT
     with pytest.raises(SettingsError) as raised:
-        parse_settings(SETTINGS.replace(replaced, by))
+        parse_settings(SETTINGS_TEXT.replace(replaced, by))
     assert str(raised.value).startswith(message)
 
 
-def test_a_default_stands_for_a_missing_setting_alone() -> None:
+def test_default_replaces_only_a_missing_setting() -> None:
     reader = SettingsReader({"here": "7", "empty": ""})
     assert reader.integer("here", "3") == 7
     assert reader.integer("missing", "3") == 3
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -8,16 +8,16 @@
 from typing import Any
 
 from tests.loopback import (
-    LoopDouble,
-    Peer,
+    EventLoopWrapper,
+    FakeServer,
     RunningServer,
     Streams,
-    answer,
-    ask,
-    member,
+    endpoint_list_dict,
+    make_request,
+    make_response,
+    member_dict,
     read_message,
-    until,
-    whole_list,
+    wait_until,
 )
 from yardlane.proxy.upstream_connection import UpstreamConnection
 from yardlane.proxy.upstream_state import UpstreamState
@@ -28,27 +28,29 @@
 RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER, on, with a time of 0
 
 
-async def accept_request(backend: Peer, trace: str | None = None) -> Streams:
+async def accept_request(backend: FakeServer, trace: str | None = None) -> Streams:
     """The next new connection to this backend, once its first request has come whole."""
-    reader, writer = await backend.connection()
+    reader, writer = await backend.accept_connection()
     _, headers, _ = await read_message(reader)
     assert trace is None or headers["x-trace-id"] == trace
     return reader, writer
 
 
-async def forward(server: RunningServer, backend: Peer, request: bytes = ask()) -> tuple[Streams, Streams]:
+async def forward(
+    server: RunningServer, backend: FakeServer, request: bytes = make_request()
+) -> tuple[Streams, Streams]:
     """A new client's request, forwarded on a new connection: the client's streams and the backend's."""
-    client, to_proxy = await server.client()
+    client, to_proxy = await server.connect_client()
     to_proxy.write(request)
     return (client, to_proxy), await accept_request(backend)
 
 
 async def serve_on_new_connection(
-    client: Streams, backend: Peer, trace: str, response: bytes = answer()
+    client: Streams, backend: FakeServer, trace: str, response: bytes = make_response()
 ) -> Streams:
     """A further request of this client is forwarded on a new connection, and answered."""
     client_reader, to_proxy = client
-    to_proxy.write(ask(trace=trace))
+    to_proxy.write(make_request(trace=trace))
     reader, writer = await accept_request(backend, trace)
     writer.write(response)
     await read_message(client_reader)
@@ -57,7 +59,7 @@
 
 async def until_state(connection: UpstreamConnection, state: UpstreamState) -> None:
     """The loop runs until the connection is in this state."""
-    await until(lambda: connection.state is state)
+    await wait_until(lambda: connection.state is state)
 
 
 def unsent_bytes(connection: UpstreamConnection) -> int:
@@ -92,7 +94,7 @@
     return received
 
 
-class SmallBufferBackends(LoopDouble):
+class SmallBufferBackends(EventLoopWrapper):
     """Backends that read nothing by themselves, and the pool's loop, which connects with small buffers.
 
     The kernel takes a part of a large request, and the rest stays in the transport until the test reads.
@@ -107,7 +109,9 @@
             listener.listen()
             listener.setblocking(False)
         ports = [listener.getsockname()[1] for listener in self.listeners]
-        self.known = whole_list(*(member(f"s-{number}", port) for number, port in enumerate(ports, 1)))
+        self.known = endpoint_list_dict(
+            *(member_dict(f"s-{number}", port) for number, port in enumerate(ports, 1))
+        )
 
     async def create_connection(
         self, make_protocol: Callable[[], asyncio.Protocol], host: str, port: int
@@ -127,8 +131,8 @@
     ) -> tuple[UpstreamConnection, socket.socket]:
         """The connection on which a part of a large request is sent, and the backend's end of it."""
         self.connect_for(server)
-        self.client, self.to_proxy = await server.client()
-        request = ask("file", Content_Length=str(LARGE_REQUEST_BYTES)) + b"x" * LARGE_REQUEST_BYTES
+        self.client, self.to_proxy = await server.connect_client()
+        request = make_request("file", Content_Length=str(LARGE_REQUEST_BYTES)) + b"x" * LARGE_REQUEST_BYTES
         self.to_proxy.write(request)
         accepted = backend_end or await self.accept()
         return await self.stuck_connection(server), accepted
@@ -143,5 +147,5 @@
 
     async def stuck_connection(self, server: RunningServer) -> UpstreamConnection:
         """The connection whose request is sent in part."""
-        await until(lambda: any(unsent_bytes(connection) for connection in server.pool.connections))
+        await wait_until(lambda: any(unsent_bytes(connection) for connection in server.pool.connections))
         return next(connection for connection in server.pool.connections if unsent_bytes(connection))
--- a/yardlane/__main__.py
+++ b/yardlane/__main__.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from yardlane import log
-from yardlane.config import Config, load
+from yardlane.config import Config, load_config
 from yardlane.decisions.gateway import Gateway
 from yardlane.errors import ConfigError
 from yardlane.server import Server
@@ -42,7 +42,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log.configure()
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
     except ConfigError as error:
         print("yardlane:", error.one_line(), file=sys.stderr)
         return EXIT_INVALID_CONFIG
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -1,8 +1,8 @@
 """From the environment and the JSON file that it names to `Config`.
 
 This is the one place that knows the names in that file. The names inside its `settings` are known by
-`yardlane.settings_reader`, all but those that the proxy alone uses: `parse` reads these itself. Whatever
-is wrong raises ConfigError, whose text names the value.
+`yardlane.settings_reader`, all but those that the proxy alone uses: `parse_config` reads these itself.
+Whatever is wrong raises ConfigError, whose text names the value.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 DEFAULT_KEEPALIVE_US = "30000000"
 
 # The key in the file, and the variable that overrides it. `EDGE_NAME` and `name` are accepted and not read.
-ENVIRONMENT = {
+ENVIRONMENT_OVERRIDES = {
     "listen": "EDGE_LISTEN",
     "discovery": "EDGE_DISCOVERY",
 }
@@ -53,8 +53,8 @@
     """How long an upstream keeps an idle connection."""
 
 
-def load(environ: Mapping[str, str], is_reload: bool = False) -> Config:
-    """Read the file that `EDGE_CONFIG` names; the variables of `ENVIRONMENT` override it.
+def load_config(environ: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Read the file that `EDGE_CONFIG` names; the variables of `ENVIRONMENT_OVERRIDES` override it.
 
     On a reload its discovery overrides `EDGE_DISCOVERY`, which still has the address of the start.
     """
@@ -62,24 +62,24 @@
     if not path:
         raise ConfigError("EDGE_CONFIG is not set")
     document = _read_json(path)
-    for key, variable in ENVIRONMENT.items():
+    for key, variable in ENVIRONMENT_OVERRIDES.items():
         if not environ.get(variable):
             continue
         if is_reload and key == "discovery" and document.get(key):
             continue
         document[key] = environ[variable]
     try:
-        return parse(document)
+        return parse_config(document)
     except SettingsError as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error}") from None
 
 
-def parse(document: Mapping[str, Any]) -> Config:
+def parse_config(document: Mapping[str, Any]) -> Config:
     """The configuration from its JSON object. ConfigError, or SettingsError for its settings."""
-    nested = document.get("settings")
-    if not isinstance(nested, dict):
+    settings_json = document.get("settings")
+    if not isinstance(settings_json, dict):
         raise ConfigError("settings are missing")
-    values = dict(flatten(nested))
+    values = dict(flatten(settings_json))
     settings, _ = read_settings(values)
     reader = SettingsReader(values)
     counter = document.get("counter")
@@ -97,8 +97,8 @@
         settings=settings,
         request_class_names=_read_names(reader, "profiles", len(settings.request_classes)),
         quota_plan_names=_read_names(reader, "packages", len(settings.quota_plans)),
-        zones=_parse_list(nested.get("zones")),
-        hardware_kinds=_parse_list(nested.get("kinds")),
+        zones=_parse_list(settings_json.get("zones")),
+        hardware_kinds=_parse_list(settings_json.get("kinds")),
         connect_timeout_us=reader.positive_integer(
             "permissions.connect_timeout_us", DEFAULT_CONNECT_TIMEOUT_US
         ),
--- a/yardlane/descriptors.py
+++ b/yardlane/descriptors.py
@@ -3,7 +3,7 @@
 A process without a free descriptor can accept nobody and connect nowhere. If clients could take all of them,
 discovery and the upstreams would be shut out for as long as the clients stay. So each kind of connection has
 a limit, and with what the process itself needs the limits stay under the descriptors that it may hold (but
-see `divide` for a process that may hold next to none).
+see `connection_limits` for a process that may hold next to none).
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     upstreams: int
 
 
-def divide(descriptors: int) -> ConnectionLimits:
+def connection_limits(descriptors: int) -> ConnectionLimits:
     """Even halves: requests come from a third of all, and each of them may need an upstream connection.
 
     Under `RESERVED_DESCRIPTORS + MIN_CONNECTIONS` descriptors the limits are those of `MIN_CONNECTIONS`, so
--- a/yardlane/log.py
+++ b/yardlane/log.py
@@ -20,21 +20,21 @@
     def __init__(self) -> None:
         super().__init__()
         self.current_second = 0
-        self.lines = 0
-        self.dropped = 0
+        self.line_count = 0
+        self.dropped_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Whether the line is written."""
         second = int(time.monotonic())
         if second != self.current_second:
-            if self.dropped:
-                record.msg = f"({self.dropped} lines dropped) {record.msg}"
+            if self.dropped_count:
+                record.msg = f"({self.dropped_count} lines dropped) {record.msg}"
             self.current_second = second
-            self.lines = 0
-            self.dropped = 0
-        self.lines += 1
-        if self.lines > LINES_PER_S:
-            self.dropped += 1
+            self.line_count = 0
+            self.dropped_count = 0
+        self.line_count += 1
+        if self.line_count > LINES_PER_S:
+            self.dropped_count += 1
             return False
         return True
 
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -9,10 +9,10 @@
 import signal
 from collections.abc import Callable
 
-from yardlane.config import Config, load
+from yardlane.config import Config, load_config
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.settings import Settings
-from yardlane.descriptors import divide, usable_descriptors
+from yardlane.descriptors import connection_limits, usable_descriptors
 from yardlane.errors import ConfigError
 from yardlane.proxy.client_server import ClientServer
 from yardlane.proxy.discovery_client import DiscoveryClient
@@ -47,7 +47,7 @@
     """One front door, from its start to the end of its graceful shutdown."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
-        limits = divide(usable_descriptors(config.descriptors))
+        limits = connection_limits(usable_descriptors(config.descriptors))
         self.loop = loop
         self.pool = UpstreamPool(config, limits.upstreams, loop)
         self.proxy = Proxy(config, decider, self.pool, loop)
@@ -77,7 +77,7 @@
     def reload(self) -> None:
         """Read the configuration again: discovery and the counter may have another address."""
         try:
-            config = load(os.environ, is_reload=True)
+            config = load_config(os.environ, is_reload=True)
         except ConfigError as error:
             log.error("keeping the old configuration: %s", error.one_line())
             return
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -31,7 +31,7 @@
     "guarded": Idempotency.KEYED,
     "single_shot": Idempotency.NON_IDEMPOTENT,
 }
-IS_PUSHED = {
+DISCOVERY_MODES = {
     "pushed": True,
     "on_request": False,
 }
@@ -41,7 +41,7 @@
     "cell": DeduplicationScope.CELL,
     "": DeduplicationScope.CELL,
 }
-FLAGS = {
+FLAG_VALUES = {
     "true": True,
     "false": False,
 }
@@ -85,16 +85,16 @@
     def flag(self, path: str, default: str | None = None) -> bool:
         """`true` or `false`."""
         text = self.text(path, default)
-        if text not in FLAGS:
+        if text not in FLAG_VALUES:
             raise SettingsError(f"setting {path} is neither true nor false: {text!r}")
-        return FLAGS[text]
+        return FLAG_VALUES[text]
 
-    def one_of(self, path: str, table: dict[str, T], default: str | None = None) -> T:
+    def one_of(self, path: str, choices: dict[str, T], default: str | None = None) -> T:
         """What the table has for the value."""
         text = self.text(path, default)
-        if text not in table:
+        if text not in choices:
             raise SettingsError(f"setting {path} has an unknown value: {text!r}")
-        return table[text]
+        return choices[text]
 
 
 def parse_settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
@@ -104,13 +104,13 @@
     except UnicodeDecodeError as error:
         raise SettingsError(f"settings are not UTF-8 at byte {error.start}") from None
     values: dict[str, str] = {}
-    for number, untrimmed in enumerate(lines, 1):
-        line = untrimmed.strip()
+    for line_number, raw_line in enumerate(lines, 1):
+        line = raw_line.strip()
         if not line:
             continue
-        path, sign, value = line.partition("=")
-        if not sign:
-            raise SettingsError(f"settings line {number} has no '=': {line!r}")
+        path, separator, value = line.partition("=")
+        if not separator:
+            raise SettingsError(f"settings line {line_number} has no '=': {line!r}")
         values[path] = value
     return read_settings(values)
 
@@ -118,7 +118,7 @@
 def read_settings(values: dict[str, str]) -> tuple[Settings, tuple[str, ...]]:
     """The same from values by their paths."""
     reader = SettingsReader(values)
-    endpoint_list_is_pushed = reader.one_of("discovery", IS_PUSHED)
+    endpoint_list_is_pushed = reader.one_of("discovery", DISCOVERY_MODES)
     columns = tuple(column for column in reader.text("report.columns", "").split(",") if column)
     request_classes = tuple(
         _read_request_class(reader, f"profiles.{n}.") for n in range(reader.integer("profiles.count"))
@@ -154,16 +154,16 @@
 
 def _read_request_class(reader: SettingsReader, prefix: str) -> RequestClass:
     idempotency = reader.one_of(prefix + "repeat", IDEMPOTENCY)
-    keyed = idempotency is Idempotency.KEYED
+    is_keyed = idempotency is Idempotency.KEYED
     scope = DeduplicationScope.CELL
-    if keyed:
+    if is_keyed:
         scope = reader.one_of(prefix + "group", DEDUPLICATION_SCOPES)
     return RequestClass(
         latency_objective_us=reader.integer(prefix + "slo_us"),
         deadline_us=reader.integer(prefix + "deadline_us"),
         idempotency=idempotency,
         deduplication_scope=scope,
-        idempotency_window_us=reader.integer(prefix + "window_us", None if keyed else "0"),
+        idempotency_window_us=reader.integer(prefix + "window_us", None if is_keyed else "0"),
         priority_weight=reader.number(prefix + "worth"),
     )
 
