--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -42,7 +42,7 @@
     """A well-framed request that is not accepted (400, 405 or 409). Its connection stays usable."""
 
 
-class UnreadableStream(ClientProtocolError):
+class FatalRequestError(ClientProtocolError):
     """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the response."""
 
 
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import Protocol, cast
 
-from yardlane.errors import InvalidRequest, UnreadableStream
+from yardlane.errors import FatalRequestError, InvalidRequest
 from yardlane.proxy.client_request import ClientRequest, RequestHandler
 from yardlane.proxy.client_response import CONTINUE, Status, encode_response
 from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
@@ -155,7 +155,7 @@
         try:
             if not self.parser.feed(data):
                 self._close_after_pending()
-        except UnreadableStream as error:
+        except FatalRequestError as error:
             self._reject_stream(error)
         if len(self.pending) >= MAX_PIPELINED:
             self._update_reading()
@@ -196,7 +196,7 @@
             return  # pipelined behind the last request of this connection
         self.has_sent_request = True
         if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
-            raise UnreadableStream(Status.SERVICE_UNAVAILABLE, "too many requests at once")
+            raise FatalRequestError(Status.SERVICE_UNAVAILABLE, "too many requests at once")
         request = ClientRequest(self)
         self.pending.append(request)
         if not self.parser.should_keep_alive:
@@ -288,7 +288,7 @@
             self.transport.write_eof()
             self._update_reading()
 
-    def _reject_stream(self, error: UnreadableStream) -> None:
+    def _reject_stream(self, error: FatalRequestError) -> None:
         """Answer the error behind the responses that are pending, then close."""
         if not self._apply(ClientEvent.STREAM_BROKEN):
             return
@@ -371,7 +371,7 @@
         """
         if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
             return
-        self._reject_stream(UnreadableStream(Status.REQUEST_TIMEOUT, "request came too slowly"))
+        self._reject_stream(FatalRequestError(Status.REQUEST_TIMEOUT, "request came too slowly"))
         for request in [request for request in self.pending if not request.response]:
             self.server.handler.abandon_request(request)
 
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -1,8 +1,8 @@
 """From a client's bytes to whole HTTP requests: framing and size limits. No I/O and no clock.
 
 httptools splits the bytes and calls back for each part; `RequestParser` collects the parts of one message and
-raises `UnreadableStream` where the rest of the connection cannot be trusted any more. What a request means is
-read in `request_validation`.
+raises `FatalRequestError` where the rest of the connection cannot be trusted any more. What a request means
+is read in `request_validation`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import httptools
 
-from yardlane.errors import ClientProtocolError, UnreadableStream
+from yardlane.errors import ClientProtocolError, FatalRequestError
 from yardlane.proxy.client_response import Status
 
 log = logging.getLogger("yardlane.proxy.request_parser")
@@ -124,7 +124,7 @@
     def feed(self, data: bytes) -> bool:
         """Parse `data`; False if the client asked for another protocol, which what follows may be.
 
-        Raises `UnreadableStream`.
+        Raises `FatalRequestError`.
         """
         if self._http is None:
             return True
@@ -174,7 +174,7 @@
         key = name.lower()
         if key in SINGLE_HEADERS:
             if key in self.headers:
-                raise UnreadableStream(Status.BAD_REQUEST, f"header {key.decode()} more than once")
+                raise FatalRequestError(Status.BAD_REQUEST, f"header {key.decode()} more than once")
             self.headers[key] = value
         elif key in FRAMING_HEADERS:
             self._check_framing(key, value)
@@ -191,7 +191,7 @@
         """
         is_unknown_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
         if self._has_framing or is_unknown_coding:
-            raise UnreadableStream(Status.BAD_REQUEST, "odd framing")
+            raise FatalRequestError(Status.BAD_REQUEST, "odd framing")
         self._has_framing = True
         if value.isdigit() and int(value) > MAX_BODY_BYTES:
             raise _body_too_long()
@@ -228,13 +228,13 @@
         return cause
     if cause is not None:
         log.error("reading a client's request failed: %r", cause)
-    return UnreadableStream(Status.BAD_REQUEST, "malformed request")
+    return FatalRequestError(Status.BAD_REQUEST, "malformed request")
 
 
-def _head_too_long() -> UnreadableStream:
+def _head_too_long() -> FatalRequestError:
     """A head without end would fill the memory."""
-    return UnreadableStream(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
+    return FatalRequestError(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
 
 
-def _body_too_long() -> UnreadableStream:
-    return UnreadableStream(Status.CONTENT_TOO_LARGE, f"body over {MAX_BODY_BYTES} bytes")
+def _body_too_long() -> FatalRequestError:
+    return FatalRequestError(Status.CONTENT_TOO_LARGE, f"body over {MAX_BODY_BYTES} bytes")
