--- a/yardlane/proxy/attempt.py
+++ b/yardlane/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one upstream, which ends exactly once with one `Outcome`."""
+"""One attempt to send a request to one upstream. It ends exactly once, with one `Outcome`."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class AttemptConnection(Protocol):
-    """What an attempt needs of the connection that carries it."""
+    """The part of a connection's interface that an attempt uses."""
 
     def may_have_run(self) -> bool:
-        """Whether the upstream may have begun the present request."""
+        """Return whether the upstream may have begun to process the current request."""
 
     def release(self) -> None:
-        """The present attempt has ended."""
+        """Detach the current attempt, which has ended."""
 
 
 def do_nothing() -> None:
-    """What is called where nobody waits for the connection."""
+    """Do nothing; the default for `Attempt.on_connected`."""
 
 
 class Attempt:
-    """One attempt of a request; in flight until `finish`.
+    """One attempt of a request. It is in flight until `finish` is called.
 
-    `may_have_run()` tells what the connection has done by now: false until the kernel has the request's last
-    byte. The decisions' `AttemptRecord.may_have_run` starts true and is cleared by the outcome alone, as they
-    do not see the bytes.
+    `may_have_run()` reports the current state of the connection: it is false until the kernel has accepted
+    the request's last byte. `AttemptRecord.may_have_run` in the decisions differs: it starts as true, and
+    only the outcome can clear it, because the decisions do not see what has been sent.
     """
 
     __slots__ = (
@@ -62,16 +62,17 @@
         self.started_at_us = started_at_us
         self.on_finished = on_finished
         self.address: Address = ("", 0)
-        # Called when a new connection is up; may finish the attempt.
+        # Called when a new connection has been established; may finish the attempt.
         self.on_connected: Callable[[], object] = do_nothing
         self.request_bytes = b""
         self.connection: AttemptConnection | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
+        # Set only if the last byte must be sent by a certain time.
         self.send_deadline_timer: asyncio.TimerHandle | None = None
         self.is_finished = False
 
     def finish(self, outcome: Outcome, response: UpstreamResponse | None = None) -> None:
-        """The attempt's one end; later ones are dropped."""
+        """End the attempt with this outcome. Any call after the first one is ignored."""
         if self.is_finished:
             return
         self.is_finished = True
@@ -87,18 +88,21 @@
         self.on_finished(self, outcome, response)
 
     def may_have_run(self) -> bool:
-        """Whether the upstream may have begun it: not before the kernel has taken its last byte."""
+        """Return whether the upstream may have begun to process the request.
+
+        This is false until the kernel has accepted the request's last byte, and once the attempt has ended.
+        """
         return self.connection is not None and self.connection.may_have_run()
 
     def on_send_deadline(self) -> None:
-        """The time is over by which the last byte had to be sent."""
+        """Called at the time by which the last byte must be sent; ends the attempt if it has not been."""
         if not self.may_have_run():
             self.finish(Outcome.NOT_CONNECTED)
 
     def on_deadline(self) -> None:
-        """The time is over by which the response had to be whole."""
+        """Called at the time by which the response must be complete; ends the attempt."""
         self.finish(Outcome.TIMED_OUT if self.may_have_run() else Outcome.NOT_CONNECTED)
 
     def cancel(self) -> None:
-        """The decisions want its result no longer."""
+        """End the attempt because the decisions no longer need its result."""
         self.finish(Outcome.CANCELLED if self.may_have_run() else Outcome.NOT_SENT)
--- a/yardlane/proxy/connection_reuse.py
+++ b/yardlane/proxy/connection_reuse.py
@@ -1,58 +1,65 @@
-"""How long a connection to an upstream must and may stand idle before it carries another request.
+"""Decides how long a connection to an upstream must and may be idle before it is reused.
 
-Two faults are guarded against, one by a lower and one by an upper bound of the idle time.
+The idle time has a lower bound, the reuse delay, and an upper bound, the idle limit. Each guards against one
+fault of upstreams:
 
-- **Stray bytes.** An upstream may send a second response, or a late one; as a response names no request, it
-  would be read as the response to the next one. It shows as bytes on an idle connection. So a connection is
-  quarantined before it is used again: for twice as long as such bytes were seen to come late.
-- **Dead connections.** An upstream may close an idle connection as a request is sent on it; the request ends
-  as CONNECTION_LOST, and may not be sent again where it must not run twice. So a connection stands idle for
-  less time than the shortest at which one was found dead; a new connection costs far less.
+- **Unsolicited bytes.** An upstream may send a second response to a request, or a late one. A response does
+  not identify its request, so it would be read as the response to the next request. Such bytes can be
+  detected while the connection is idle. Therefore a connection is reused only after a delay of twice the
+  lateness seen so far.
+- **Stale connections.** An upstream may close an idle connection just as a request is sent on it. The attempt
+  then ends as CONNECTION_LOST, and a non-idempotent request may not be retried. Therefore a connection is
+  reused only if it has been idle for less time than the shortest idle time after which reuse failed. A new
+  connection costs far less than a lost request.
 
-Both bounds return to their defaults in time: otherwise a bound that forbids all reuse could never be
-disproved.
+Both bounds return to their defaults over time. Otherwise a bound that prevents all reuse would stay for good,
+because only reuse can show that it is no longer needed.
 """
 
 from __future__ import annotations
 
-DEFAULT_REUSE_DELAY_S = 0.01  # bytes that belong to no response show within that time, as a rule
-REUSE_DELAY_MARGIN = 2.0  # times the lateness that was seen
-# A second's decay is small: at a fleet's low traffic a proxy uses an upstream about once in ten seconds.
+DEFAULT_REUSE_DELAY_S = 0.01  # unsolicited bytes usually arrive within this time
+REUSE_DELAY_MARGIN = 2.0  # factor on the observed lateness
+# Factor per second. It is close to 1 because, when the fleet has little traffic, a proxy uses an upstream
+# only about once in ten seconds.
 REUSE_DELAY_DECAY = 0.99
 MAX_SHARED_REUSE_DELAY_S = 0.25
-# Of the idle time in the settings: the upstream counts from a later moment than we do.
+# Fraction of the keepalive time in the settings. The upstream starts to count its idle time later than the
+# proxy does.
 MAX_IDLE_LIMIT_FRACTION = 0.5
-# Of the idle limit: beyond it hardly any connection would be used again.
+# Fraction of the idle limit. With a longer reuse delay, hardly any connection would be reused.
 MAX_SHARED_REUSE_DELAY_FRACTION = 0.5
 MIN_IDLE_LIMIT_S = 0.05
-IDLE_LIMIT_CUT = 0.8  # of the idle time of a connection that was found dead
-IDLE_LIMIT_RAISE = 1.02  # after a request on a connection that stood idle for nearly the limit
-IDLE_LIMIT_RECOVERY = 1.1  # each second
+IDLE_LIMIT_CUT = 0.8  # factor on the idle time after which reuse failed
+IDLE_LIMIT_RAISE = 1.02  # factor on the limit after a successful reuse at nearly the limit
+IDLE_LIMIT_RECOVERY = 1.1  # factor on the limit per second
 
 
 class ReusePolicy:
-    """The two bounds of the idle time, in seconds, learnt from what connections showed."""
+    """Holds both bounds of the idle time, in seconds, and adapts them to what is observed on connections."""
 
     def __init__(self, keepalive_s: float) -> None:
         self.max_idle_limit_s = keepalive_s * MAX_IDLE_LIMIT_FRACTION
         self.idle_limit_s = self.max_idle_limit_s
         self.reuse_delay_s = DEFAULT_REUSE_DELAY_S
-        # Longer quarantines of single upstreams that sent stray bytes.
+        # The individual reuse delays of upstreams that sent unsolicited bytes, by endpoint id.
         self.endpoint_reuse_delays_s: dict[bytes, float] = {}
 
     def reuse_delay_of(self, endpoint_id: bytes) -> float:
-        """Seconds for which a connection to this upstream must stand idle."""
+        """Return for how many seconds a connection to this upstream must be idle before it is reused."""
         if not self.endpoint_reuse_delays_s:
             return self.reuse_delay_s
         return max(self.reuse_delay_s, self.endpoint_reuse_delays_s.get(endpoint_id, 0.0))
 
     def on_unsolicited_bytes(self, endpoint_id: bytes, lateness_s: float) -> None:
-        """Bytes that belong to no response came so long after the last one.
+        """Called when unsolicited bytes have arrived `lateness_s` after the last response; adapts the delays.
 
-        This upstream's own quarantine covers the lateness whole; where that exceeds the idle limit, none of
-        its connections is used again. The quarantine that all upstreams share grows only by lateness that
-        neither quarantine covered, at most twofold at a time: a few faulty upstreams cost the others few
-        connections, and a fault that many have is soon guarded against for those that are seldom used.
+        The upstream's own reuse delay is raised to cover the whole lateness. If it then exceeds the idle
+        limit, none of the upstream's connections is reused.
+
+        The reuse delay that all upstreams share is raised only if neither delay covered the lateness, and at
+        most doubles at a time. So a few faulty upstreams cause few new connections to the others, while a
+        fault that many upstreams have soon lengthens the delay for rarely used upstreams too.
         """
         own_delay_s = self.endpoint_reuse_delays_s.get(endpoint_id, 0.0)
         target_delay_s = min(lateness_s * REUSE_DELAY_MARGIN, self.max_idle_limit_s)
@@ -66,20 +73,20 @@
             self.reuse_delay_s = max(self.reuse_delay_s, min(target_delay_s, max_shared_delay_s))
 
     def on_reuse_succeeded(self, idle_s: float) -> None:
-        """A connection that had stood idle so long brought a whole response."""
+        """Called when a connection that was idle for `idle_s` has returned a complete response."""
         if idle_s > self.idle_limit_s * IDLE_LIMIT_CUT:
             self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RAISE)
 
     def on_reuse_failed(self, idle_s: float) -> None:
-        """A connection that had stood idle so long was closed before a response began."""
+        """Called when a connection that was idle for `idle_s` was closed before a response began."""
         self.idle_limit_s = max(MIN_IDLE_LIMIT_S, min(self.idle_limit_s, idle_s) * IDLE_LIMIT_CUT)
 
     def forget_endpoint(self, endpoint_id: bytes) -> None:
-        """The upstream is gone; what stands at its address next is another one."""
+        """Discard the upstream's own reuse delay; whatever serves its address later is another upstream."""
         self.endpoint_reuse_delays_s.pop(endpoint_id, None)
 
     def relax_bounds(self) -> None:
-        """Once a second: both bounds come nearer to their defaults."""
+        """Move both bounds towards their defaults; called once a second."""
         self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RECOVERY)
         if self.reuse_delay_s > DEFAULT_REUSE_DELAY_S:
             self.reuse_delay_s = max(DEFAULT_REUSE_DELAY_S, self.reuse_delay_s * REUSE_DELAY_DECAY)
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -1,4 +1,4 @@
-"""Responses of upstreams: what is read of them, their limits, and the outcome of an attempt that got one."""
+"""Parses the responses of upstreams, enforces limits on them, and maps each to the outcome of its attempt."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 MAX_BODY_BYTES = 65_536
 MAX_HEAD_BYTES = 16_384
-MAX_INTERIM_RESPONSES = 16  # 1xx responses ahead of the final one
-MAX_NUMBER_DIGITS = 9  # of Content-Length and Usage-Percent
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
+MAX_NUMBER_DIGITS = 9  # in the values of Content-Length and Usage-Percent
 FIRST_FINAL_STATUS = 200
 STATUS_OK = 200
 STATUS_SERVICE_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
-# With these an upstream's word that the request had no effect counts.
+# Only with these statuses does the proxy believe an upstream that says it never ran the request.
 REJECTION_STATUSES = frozenset({STATUS_SERVICE_UNAVAILABLE, STATUS_GATEWAY_TIMEOUT})
 
-LOAD_REPORT_FORMAT = "TEXT"  # what the header's value begins with; figures follow as `name=value, ...`
-# The figures of a load report that the decisions use, by their names in the settings and as plain words.
+LOAD_REPORT_FORMAT = "TEXT"  # the header's value begins with this; metrics follow as `name=value, ...`
+# Maps the metrics that the decisions use to `LoadReport` fields. A metric is accepted by its name in the
+# settings and by a second, plain name.
 LOAD_METRIC_FIELDS = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
 MAX_REQUESTS = 10_000.0
 MAX_LOAD_SHARE = 1.5
 MAX_LATENCY_MS = 60_000.0
 MAX_RATE_PER_S = 1e6
-# The most that an upstream can mean by each figure; a greater one is noise.
+# The largest plausible value of each metric. Greater values are ignored as invalid.
 MAX_METRIC_VALUES = {
     "concurrent": MAX_REQUESTS,
     "inflight": MAX_REQUESTS,
@@ -41,7 +42,7 @@
     "err_ps": MAX_RATE_PER_S,
     "eps": MAX_RATE_PER_S,
 }
-UNKNOWN_METRIC_MAX = -1.0  # no number is as small: an unknown figure is passed over
+UNKNOWN_METRIC_MAX = -1.0  # below every valid value, so that unknown metrics are ignored
 
 
 class UpstreamResponse:
@@ -53,16 +54,17 @@
         self.status = 0
         self.body = b""
         self.content_type = b""
-        self.never_ran = False  # the upstream's word that the request had no effect
+        self.never_ran = False  # the upstream says that it did not run the request
         self.usage_percent: int | None = None
         self.load_report: LoadReport | None = None
 
 
 def outcome_of(response: UpstreamResponse) -> Outcome:
-    """The protocol's table of outcomes, for whole responses.
+    """Return the outcome of an attempt that got this complete response, following the protocol's table.
 
-    Status 200 alone is success, and any other status is an error that may have run, 201, 304 and 404 too: the
-    table has no row for them. An upstream's word that it never ran the request counts with 503 and 504 only.
+    Only status 200 is a success. Any other status, including 201, 304 and 404, for which the table has no
+    row, is an error after which the request may have run. An upstream's statement that it never ran the
+    request is believed only with 503 and 504.
     """
     if response.status == STATUS_OK:
         return Outcome.OK
@@ -72,11 +74,11 @@
 
 
 def parse_load_report(text: bytes) -> LoadReport | None:
-    """The figures of a load report; those that are unknown, no numbers or too great are passed over.
+    """Return the metrics of a load report, or None if it has no valid metric.
 
-    None where no figure is left, which is no report at all. A figure that no rule reads (`qps=4`) still
-    counts, as the upstream does report, and by a readable number: it yields a `LoadReport` without figures,
-    which the decisions take for a load of 0.
+    Metrics that are unknown, not numeric, negative or too great are ignored. A valid metric that the
+    decisions do not use (`qps=4`) still counts, because it shows that the upstream reports its load. Alone,
+    it gives a `LoadReport` without values, which the decisions take for a load of 0.
     """
     metrics: dict[str, float] = {}
     for part in text.decode("latin-1").removeprefix(LOAD_REPORT_FORMAT).split(","):
@@ -96,7 +98,7 @@
 
 
 class ResponseReader:
-    """Reads the responses of one connection: to each request one final response, after any interim ones."""
+    """Parses the responses on one connection: one final response per request, after any interim ones."""
 
     def __init__(self) -> None:
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
@@ -105,29 +107,36 @@
         self.head_bytes = 0
         self.body_bytes = 0
         self.interim_count = 0
-        self.is_receiving = False  # a response has begun and is not whole
-        self.is_complete = False  # the final response is whole; reset as the next request may be sent
-        self.keep_alive = False  # the connection may carry another request after it
+        self.is_receiving = False  # a response has begun and is not complete
+        self.is_complete = False  # the final response is complete; the connection resets this for reuse
+        self.keep_alive = False  # whether the connection can be reused after the final response
 
     def feed(self, data: bytes) -> None:
-        """Read on; raises `MalformedResponse`, also for bytes behind a complete response."""
+        """Parse further received bytes.
+
+        Raises `MalformedResponse` if they are not valid HTTP, exceed a limit or follow a complete response.
+        """
         assert self.parser is not None
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            cause = error.__context__ or error  # what a callback raised is the context of the parser's error
+            cause = error.__context__ or error  # an exception from a callback is the context of this error
             raise MalformedResponse(str(cause)) from error
 
     def close(self) -> None:
-        """Nothing more is read. The parser and this reader hold each other, which only the GC would end."""
+        """Release the parser; no more bytes may be fed.
+
+        The parser and this reader refer to each other. Without this, only the garbage collector could free
+        them.
+        """
         self.parser = None
 
-    # Callbacks of the parser
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Called when a response begins; raises `MalformedResponse` if the final one is already complete."""
         if self.is_complete:
-            raise MalformedResponse("more than one response to one request")
+            raise MalformedResponse("more than one response to a request")
         self.response = UpstreamResponse()
         self.body_parts = []
         self.head_bytes = 0
@@ -135,15 +144,18 @@
         self.is_receiving = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header of the response; those that mean something here are kept."""
+        """Called for each header; keeps those that the proxy uses.
+
+        Raises `MalformedResponse` if the head or the announced body exceeds its limit.
+        """
         self.head_bytes += len(name) + len(value)
         if self.head_bytes > MAX_HEAD_BYTES:
-            raise MalformedResponse(f"head over {MAX_HEAD_BYTES} bytes")
+            raise MalformedResponse(f"response head over {MAX_HEAD_BYTES} bytes")
         key = name.lower()
         if key == b"content-length":
-            # A response of gigabytes is refused by its head rather than read up to the limit.
+            # Reject a huge response by its head, rather than after reading its body up to the limit.
             if len(value) > MAX_NUMBER_DIGITS or int(value) > MAX_BODY_BYTES:
-                raise MalformedResponse(f"body over {MAX_BODY_BYTES} bytes")
+                raise MalformedResponse(f"Content-Length announces a body over {MAX_BODY_BYTES} bytes")
         elif key == b"endpoint-load-metrics":
             self.response.load_report = parse_load_report(value)
         elif key == b"usage-percent":
@@ -155,14 +167,14 @@
             self.response.content_type = value
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Called for each part of the body; raises `MalformedResponse` if the body exceeds its limit."""
         self.body_bytes += len(body)
         if self.body_bytes > MAX_BODY_BYTES:
-            raise MalformedResponse(f"body over {MAX_BODY_BYTES} bytes")
+            raise MalformedResponse(f"response body over {MAX_BODY_BYTES} bytes")
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """The response is whole."""
+        """Called when a response is complete; stores it if it is the final one."""
         assert self.parser is not None
         self.is_receiving = False
         status = self.parser.get_status_code()
@@ -173,10 +185,13 @@
         self.response.body = b"".join(self.body_parts)
         self.interim_count = 0
         self.is_complete = True
-        self.keep_alive = self.parser.should_keep_alive()  # the parser answers this within this call only
+        self.keep_alive = self.parser.should_keep_alive()  # valid only during this callback
 
     def _count_interim(self) -> None:
-        """Interim responses without end would hold the attempt until its deadline."""
+        """Count an interim response; raises `MalformedResponse` if there are too many.
+
+        Endless interim responses would otherwise keep the attempt open until its deadline.
+        """
         self.interim_count += 1
         if self.interim_count > MAX_INTERIM_RESPONSES:
             raise MalformedResponse(f"more than {MAX_INTERIM_RESPONSES} interim responses")
--- a/yardlane/proxy/socket_probe.py
+++ b/yardlane/proxy/socket_probe.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a socket before the event loop has read it."""
+"""Checks a socket for events, such as unread data or a hang-up, before the event loop handles them."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class SocketProbe:
-    """Asks for `events` (a mask of `select.POLL*`) on an open socket, without reading from it.
+    """Polls an open socket for `events` (a mask of `select.POLL*`) without reading from it.
 
-    The loop notices bytes and closes only on its next turn, and on a paused connection not at all. What must
-    not begin after them asks here first.
+    The event loop notices received bytes and closed connections only in its next iteration, and on a paused
+    connection not at all. Code that must not start an operation after such an event polls the socket first.
     """
 
     __slots__ = ("_poll",)
@@ -19,7 +19,10 @@
         self._poll.register(file_descriptor, events)
 
     def pending_events(self) -> int:
-        """The events that have occurred, as a mask; 0 for none. Errors and hang-ups are always included."""
+        """Return the pending events as a mask, 0 if there are none.
+
+        Errors and hang-ups are always included.
+        """
         ready = self._poll.poll(0)
         if not ready:
             return 0
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: it carries one request at a time, and its state follows `TRANSITIONS`."""
+"""A connection to an upstream. It carries one request at a time, and its state follows `TRANSITIONS`."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 
 log = logging.getLogger("yardlane.proxy.upstream_connection")
 
-# The answer of TIOCOUTQ, a native int, where all bytes sent are acknowledged (tcp(7)).
+# The result of TIOCOUTQ, a native int, when the peer has acknowledged all sent bytes (tcp(7)).
 NOTHING_UNACKNOWLEDGED = bytes(4)
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that opened it."""
+    """The part of the pool's interface that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
     reuse_policy: ReusePolicy
     stall_timeout_s: float
 
     def on_idle(self, connection: UpstreamConnection) -> None:
-        """It may carry another request."""
+        """Called when the connection has become idle and can be reused."""
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """It carries none any more."""
+        """Called when the connection has been closed."""
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -61,71 +61,78 @@
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.reader: ResponseReader | None = None
-        self.closes_after_response = False  # the upstream closes it, sent stray bytes, has moved or is gone
+        # True if the upstream announced that it closes the connection, sent malformed or unsolicited bytes,
+        # moved to another address or was removed.
+        self.closes_after_response = False
         self.idle_since_s = 0.0
         self.idle_before_request_s: float | None = None  # None: the connection is new
         self.file_descriptor = -1
-        self.probe: SocketProbe | None = None  # made at the first look
+        self.probe: SocketProbe | None = None  # created by the first call of `is_reusable`
         self.connect_task: asyncio.Task[None] | None = None
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def _apply(self, event: UpstreamEvent) -> bool:
-        """The one place where the state changes; returns whether `TRANSITIONS` allows the event here.
+        """Change the state as `TRANSITIONS` has it; return whether it allows the event in this state.
 
-        One that it does not allow is a fault of this program: it is logged and changes nothing.
+        The state changes nowhere else. An event that the table does not allow is a bug in this program: it
+        is logged and changes nothing.
         """
         next_state = TRANSITIONS[self.state].get(event)
         if next_state is None:
             log.error(
-                "unexpected event %s in state %s of an upstream connection", event.name, self.state.name
+                "unexpected event %s in state %s of an upstream connection; ignoring it",
+                event.name,
+                self.state.name,
             )
             return False
         self.state = next_state
         return True
 
-    # For the pool
+    # Called by the pool
 
     async def connect(self, timeout_s: float) -> None:
-        """Open the connection; its request is sent as it comes up."""
+        """Open the connection; `connection_made` sends the request once it is established."""
         timer = self.pool.loop.call_later(timeout_s, self._on_connect_timeout)
         try:
             await self.pool.loop.create_connection(lambda: self, *self.address)
         except OSError as error:
-            log.warning("no connection to %s:%d: %s", *self.address, error)
+            log.warning("connecting to upstream %s:%d failed: %s", *self.address, error)
             self._fail_connection()
         finally:
             timer.cancel()
             self.connect_task = None
 
     def _on_connect_timeout(self) -> None:
-        if self.transport is None:  # once it is up, its request is sent, and the attempt's deadline counts
-            log.warning("no connection to %s:%d: timed out", *self.address)
+        # Once the connection is established, its request has been sent, and the attempt's deadline applies.
+        if self.transport is None:
+            log.warning("connecting to upstream %s:%d timed out", *self.address)
             self._close_with_outcome(Outcome.NOT_CONNECTED)
 
     def assign(self, attempt: Attempt) -> None:
-        """Send the attempt's request, at once or as the connection comes up."""
+        """Take on an attempt: send its request now, or once the connection is established."""
         self.attempt = attempt
         attempt.connection = self
         if self.transport is not None:
             self._send(self.transport, attempt)
 
     def is_reusable(self) -> bool:
-        """Whether it is open and nothing has come since the last response, also in what is not read yet.
+        """Return whether the connection is open and nothing has been received since the last response.
 
-        Bytes in the socket's buffer would be taken for the response to the next request; an end of the
-        stream there would lose the request. Stray bytes lengthen the quarantine.
+        This includes what the event loop has not read from the socket yet: unread bytes would be taken for
+        the response to the next request, and if the upstream has closed the connection, the request would be
+        lost. Unsolicited bytes that are found here lengthen the reuse delay.
         """
         if self.transport is None or self.transport.is_closing():
             return False
         if self.probe is None:
             self.probe = SocketProbe(self.file_descriptor, select.POLLIN | select.POLLRDHUP)
         events = self.probe.pending_events()
-        if events == select.POLLIN:  # bytes, and no end of the stream
+        if events == select.POLLIN:  # unread bytes, and the upstream has not closed the connection
             self._on_unsolicited_bytes()
         return not events
 
     def close(self) -> None:
-        """Close at once; what is not sent yet never is, and the upstream is not told why."""
+        """Close the connection at once. Bytes that have not been sent yet are discarded."""
         if self.state is CLOSED:
             return
         is_sending = self.state is SENDING
@@ -139,27 +146,33 @@
             self.connect_task.cancel()
 
     def _stop_sending(self) -> None:
-        """`abort` closes the socket a turn later, and until then the loop would send more of the request.
+        """Shut down the sending side of the socket, so that no more of the request is sent.
 
-        The upstream could get the last byte in that turn, and run a request that is reported as never run.
+        `abort` closes the socket only in the next iteration of the event loop. Until then the loop could send
+        the last byte, and the upstream would run a request that is reported as never run.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, self.file_descriptor)
         try:
             sock.shutdown(socket.SHUT_WR)
         except OSError as error:
-            if error.errno != errno.ENOTCONN:  # reset by the upstream: nothing is sent any more
+            # ENOTCONN: the upstream has reset the connection, so nothing more is sent anyway.
+            if error.errno != errno.ENOTCONN:
                 raise
         finally:
-            sock.detach()  # the descriptor is the transport's
+            sock.detach()  # the transport owns the file descriptor
 
-    # For the attempt
+    # Called by the attempt
 
     def may_have_run(self) -> bool:
-        """Whether the upstream may have begun the present request."""
+        """Return whether the upstream may have begun to process the current request."""
         return self.state in MAY_HAVE_RUN
 
     def release(self) -> None:
-        """The attempt has ended: idle after a whole response, else closed."""
+        """Detach the attempt, which has ended.
+
+        After a complete response the connection becomes idle, unless it cannot be reused; in all other cases
+        it is closed.
+        """
         self.attempt = None
         if self.stall_timer is not None:
             self.stall_timer.cancel()
@@ -184,62 +197,79 @@
         transport.write(attempt.request_bytes)
         attempt.request_bytes = b""
         if transport.get_write_buffer_size():
-            transport.set_write_buffer_limits(0)  # so that `resume_writing` comes once all is sent
-        elif not transport.is_closing():  # else the write failed, or came too late: nothing is sent
+            # With these limits the transport calls `resume_writing` once its buffer is empty.
+            transport.set_write_buffer_limits(0)
+        elif (
+            not transport.is_closing()
+        ):  # if it is closing, the write failed or came too late: nothing was sent
             self._apply(UpstreamEvent.REQUEST_SENT)
 
     def resume_writing(self) -> None:
-        """The kernel has taken all. After an error, or after `abort` with bytes left, this never comes."""
+        """Called by the transport when the kernel has accepted the whole request.
+
+        It is not called after an error, or after `abort` with unsent bytes.
+        """
         self._apply(UpstreamEvent.REQUEST_SENT)
 
-    # Ends
+    # Failures and timeouts
 
     def _close_with_outcome(self, outcome: Outcome) -> None:
-        """End the attempt, if there is one, without a response, and close."""
+        """End the attempt, if there is one, with this outcome and no response, and close the connection."""
         if self.attempt is not None:
             self.attempt.finish(outcome)
         self.close()
 
     def _fail_connection(self) -> None:
-        """The connection is of no more use. Its state says what was sent: an error empties the buffer."""
+        """Close the connection, with an outcome that says whether the attempt's request may have run.
+
+        The connection's state decides this, because the transport empties its write buffer on an error.
+        """
         self._close_with_outcome(Outcome.CONNECTION_LOST if self.may_have_run() else Outcome.NOT_CONNECTED)
 
     def _on_response_begun(self) -> None:
-        """A part of a response has come: the rest is due soon."""
+        """Called when part of a response has been received; starts the stall timer unless it is running."""
         self._apply(UpstreamEvent.RESPONSE_BEGUN)
         if self.stall_timer is None:
             self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._on_stalled)
 
     def _on_stalled(self) -> None:
-        """Upstreams write a response at once: a rest that is late is not waited for until the deadline."""
+        """Called when a response is still incomplete after the stall timeout; closes the connection.
+
+        Upstreams write a response in one go, so the proxy does not wait for the rest until the deadline.
+        """
         if self.attempt is not None:
-            log.warning("a response from %s:%d stalled midway", *self.address)
+            log.warning(
+                "response from upstream %s:%d stalled before it was complete; closing the connection",
+                *self.address,
+            )
             self._close_with_outcome(Outcome.CONNECTION_LOST)
 
-    # Stray bytes
+    # Unsolicited bytes
 
     def _on_unsolicited_bytes(self) -> None:
-        """Bytes have come while the connection was idle."""
+        """Report to the reuse policy that bytes were received while the connection was idle."""
         self.pool.reuse_policy.on_unsolicited_bytes(
             self.endpoint_id, self.pool.loop.time() - self.idle_since_s
         )
 
     def _are_bytes_premature(self) -> bool:
-        """Whether bytes were sent before the request had arrived whole: late ones, for an earlier request.
-
-        An upstream begins a request once its last byte has arrived, and what it sends from then on
-        acknowledges that byte. The kernel is asked only for as long as a quarantine after the connection is
-        used again: the call costs a notable part of an attempt's processor time.
-
-        That is the quarantine that all upstreams share, also where this upstream's own is longer. So bytes
-        for an earlier request that come later than that after the connection is used again are read as the
-        response. Before its use it has stood idle for its upstream's own quarantine, which is twice the
-        lateness that the upstream has shown.
+        """Return whether the received bytes were sent before the upstream had the whole current request.
+
+        Such bytes belong to an earlier request. An upstream begins to process a request once its last byte
+        has arrived, and whatever it sends from then on acknowledges that byte. So while sent bytes are still
+        unacknowledged, the received bytes are not the response to the current request.
+
+        The kernel is asked for unacknowledged bytes only during a time as long as the shared reuse delay,
+        counted from the start of the current request, because the call takes a notable part of an attempt's
+        processor time. The shared delay applies even if this upstream's own delay is longer. Bytes for an
+        earlier request that arrive after this time are therefore read as the response. Before the request,
+        though, the connection was idle for the upstream's own reuse delay, which is twice the lateness that
+        the upstream has shown.
         """
         if self.state is SENDING:
             return True
         if self.state is not AWAITING or self.idle_before_request_s is None:
-            return False  # it answers this request already, or the connection has had no earlier one
+            return False  # the response has begun already, or the connection had no earlier request
         sent_for_s = self.pool.loop.time() - self.idle_since_s - self.idle_before_request_s
         if sent_for_s >= self.pool.reuse_policy.reuse_delay_s:
             return False
@@ -248,22 +278,22 @@
 
     def _on_premature_bytes(self) -> None:
         log.warning(
-            "unsolicited response bytes from %s:%d before it had the request; closing the connection",
+            "upstream %s:%d sent response bytes before it had the whole request; closing the connection",
             *self.address,
         )
         if self.idle_before_request_s is not None:
             self.pool.reuse_policy.on_unsolicited_bytes(self.endpoint_id, self.idle_before_request_s)
         self._fail_connection()
 
-    # Calls of the transport
+    # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up: send the request that it was opened for."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        """Called when the connection is established; sends the request that it was opened for."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport is not declared as a subclass
         self.transport = transport
         if self.attempt is not None:
-            self.attempt.on_connected()  # may finish it, which closes this connection
-        if self.attempt is None:  # it has ended while the connection came up
+            self.attempt.on_connected()  # may finish the attempt, which closes this connection
+        if self.attempt is None:  # the attempt ended before or during `on_connected`
             transport.abort()
             self.close()
             return
@@ -272,19 +302,20 @@
         self._send(transport, self.attempt)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, by us, by the upstream or by the network."""
+        """Called when the connection has been closed, by the proxy, by the upstream or by a network error."""
         if self.reader is not None:
             self.reader.close()
             self.reader = None
         self.transport = None
         is_unanswered = self.attempt is not None and self.state is not RECEIVING
         if is_unanswered and self.idle_before_request_s is not None:
-            # Taken for closed while it stood idle; an upstream that ended before it responded looks the same.
+            # The connection is assumed to have been closed while it was idle. An upstream that stopped
+            # before it responded cannot be told from that.
             self.pool.reuse_policy.on_reuse_failed(self.idle_before_request_s)
         self._fail_connection()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come: a part of a response, or bytes that belong to none."""
+        """Called when bytes have been received; they belong to the response or are unsolicited."""
         attempt = self.attempt
         reader = self.reader
         if attempt is None or reader is None:
@@ -297,9 +328,12 @@
         try:
             reader.feed(data)
         except MalformedResponse as error:
-            log.warning("malformed response from %s:%d: %s", *self.address, error)
+            log.warning(
+                "malformed response from upstream %s:%d: %s; closing the connection", *self.address, error
+            )
             self.closes_after_response = True
-            if not reader.is_complete:  # bytes behind a whole response take nothing from it
+            # If the response is complete, the error is in the bytes after it, and the response still counts.
+            if not reader.is_complete:
                 self._close_with_outcome(Outcome.CONNECTION_LOST)
                 return
         if reader.is_complete:
--- a/yardlane/proxy/upstream_pool.py
+++ b/yardlane/proxy/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all upstreams: which one an attempt gets, and how many there are at most."""
+"""The pool of connections to all upstreams. It limits their number and finds one for each attempt."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 log = logging.getLogger("yardlane.proxy.upstream_pool")
 
-# For the rest of a response that has begun. Upstreams write a response at once, so a longer pause means one
-# that hangs, and its client's time is better left to a retry than waited away.
+# How long the proxy waits for the rest of a response that has begun. Upstreams write a response in one go, so
+# a longer pause means that the upstream hangs, and the client's remaining time is better spent on a retry.
 RESPONSE_STALL_TIMEOUT_S = 0.25
 MAINTENANCE_INTERVAL_S = 1.0
 
 
 class UpstreamPool:
-    """The connections to all upstreams, at most `max_connections`."""
+    """Holds the connections to all upstreams, at most `max_connections` in total."""
 
     def __init__(self, config: Config, max_connections: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -31,19 +31,25 @@
         self.stall_timeout_s = RESPONSE_STALL_TIMEOUT_S
         self.reuse_policy = ReusePolicy(config.keepalive_us / US_PER_S)
         self.connections: set[UpstreamConnection] = set()
-        # Those of an upstream by its id, not by its address, where another upstream may stand by now. The
-        # newest is last.
+        # The idle connections of each endpoint. The key is the endpoint id rather than the address, because
+        # another upstream may have taken over the address. The connection that became idle last is last.
         self.idle: dict[bytes, list[UpstreamConnection]] = {}
         loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
 
     def send(self, attempt: Attempt) -> None:
-        """On the newest idle connection that is out of quarantine, else on a new one."""
+        """Send the attempt's request on an idle connection if one can be reused, or else on a new connection.
+
+        If all connections are in use and the limit is reached, end the attempt as NOT_SENT.
+        """
         if connection := self._take_idle(attempt.endpoint_id):
             connection.assign(attempt)
             return
         if len(self.connections) >= self.max_connections and not self._evict_idle():
-            log.warning("all %d connections to upstreams are busy", self.max_connections)
-            attempt.finish(Outcome.NOT_SENT)  # our lack of descriptors says nothing of the upstream
+            log.warning(
+                "all %d connections to upstreams are busy; not sending an attempt", self.max_connections
+            )
+            # The proxy's lack of file descriptors is no evidence against the upstream.
+            attempt.finish(Outcome.NOT_SENT)
             return
         connection = UpstreamConnection(self, attempt.endpoint_id, attempt.address)
         self.connections.add(connection)
@@ -51,9 +57,10 @@
         connection.connect_task = self.loop.create_task(connection.connect(self.connect_timeout_s))
 
     def drain_endpoint(self, endpoint_id: bytes) -> None:
-        """The upstream drains: an attempt that waits for a connection there is not sent any more.
+        """Called when the endpoint is draining: end the attempts that still wait for a connection to it.
 
-        One of which a byte is sent goes on: to a draining upstream, a request counts from its first byte.
+        An attempt continues if any byte of its request has been sent, because a draining upstream counts a
+        request as begun from its first byte.
         """
         connecting = [
             connection
@@ -65,7 +72,11 @@
                 connection.attempt.finish(Outcome.NOT_CONNECTED)
 
     def remove_endpoint(self, endpoint_id: bytes) -> None:
-        """The upstream has moved or is gone: its connections carry no request but the present one."""
+        """Called when the endpoint has moved or been removed: stop reusing its connections.
+
+        Idle connections are closed now, attempts that still wait for a connection end, and busy connections
+        are closed after the current request.
+        """
         for connection in list(self.idle.get(endpoint_id, ())):
             connection.close()
         self.drain_endpoint(endpoint_id)
@@ -74,15 +85,15 @@
             if connection.endpoint_id == endpoint_id:
                 connection.closes_after_response = True
 
-    # For the connections
+    # Called by the connections
 
     def on_idle(self, connection: UpstreamConnection) -> None:
-        """It may carry another request."""
+        """Called when a connection has become idle; makes it available for reuse."""
         connection.idle_since_s = self.loop.time()
         self.idle.setdefault(connection.endpoint_id, []).append(connection)
 
     def on_closed(self, connection: UpstreamConnection) -> None:
-        """It carries none any more."""
+        """Called when a connection has been closed; removes it from the pool."""
         self.connections.discard(connection)
         idle = self.idle.get(connection.endpoint_id)
         if idle and connection in idle:
@@ -93,7 +104,11 @@
     # Idle connections
 
     def _take_idle(self, endpoint_id: bytes) -> UpstreamConnection | None:
-        """The newest one that is out of quarantine; those out of quarantine that are of no use are closed."""
+        """Remove and return the most recently used idle connection that can be reused; None if there is none.
+
+        Connections within their reuse delay are skipped. Connections past it that have been idle for too long
+        or are not reusable are closed on the way.
+        """
         idle = self.idle.get(endpoint_id, [])
         now_s = self.loop.time()
         reuse_delay_s = self.reuse_policy.reuse_delay_of(endpoint_id)
@@ -108,7 +123,7 @@
         return None
 
     def _evict_idle(self) -> bool:
-        """Close the connection that has been idle for longest; False where none is idle."""
+        """Close the connection that has been idle for longest; return whether there was one."""
         idle = [connection for connections in self.idle.values() for connection in connections]
         if idle:
             min(idle, key=lambda connection: connection.idle_since_s).close()
--- a/yardlane/proxy/upstream_state.py
+++ b/yardlane/proxy/upstream_state.py
@@ -1,4 +1,4 @@
-"""The life of one connection to an upstream: its states, its events and the table between them. No I/O."""
+"""The state machine of a connection to an upstream: its states, events and transitions. It does no I/O."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class UpstreamState(IntEnum):
-    """Where a connection stands, and how much of its present request the kernel has taken."""
+    """The state of a connection, including how much of its current request the kernel has accepted."""
 
-    CONNECTING = auto()  # its request is not sent at all: there is no socket yet
-    IDLE = auto()  # no request; it waits in the pool
-    SENDING = auto()  # a request is handed over, and the kernel has not taken its last byte
-    AWAITING = auto()  # the kernel has the whole request; no response has begun, or only interim ones (1xx)
-    RECEIVING = auto()  # a response has begun
-    COMPLETE = auto()  # the final response is whole; its attempt ends in the same turn
-    CLOSED = auto()  # closed by us, by the upstream, or never opened
+    CONNECTING = auto()  # not established yet; nothing of the request has been sent
+    IDLE = auto()  # established, without a request; waits in the pool
+    SENDING = auto()  # the transport has the request, but the kernel has not accepted its last byte
+    AWAITING = auto()  # the kernel has the whole request; no response has begun, except interim ones (1xx)
+    RECEIVING = auto()  # part of a response has been received
+    COMPLETE = auto()  # the final response is complete; the attempt ends in the same event loop callback
+    CLOSED = auto()  # closed by the proxy or by the upstream, or never established
 
 
 class UpstreamEvent(IntEnum):
-    """What happens to a connection."""
+    """An event that changes the state of a connection."""
 
-    REQUEST_HANDED_OVER = auto()  # to the transport
-    REQUEST_SENT = auto()  # the kernel has taken its last byte
-    RESPONSE_BEGUN = auto()  # bytes of a response have come, and not all of it
-    INTERIM_ENDED = auto()  # the response that had begun was an interim one, and is whole; another follows
-    RESPONSE_ENDED = auto()  # the final response is whole
-    RELEASED = auto()  # the attempt has ended, and the connection may carry another one
+    REQUEST_HANDED_OVER = auto()  # the request has been written to the transport
+    REQUEST_SENT = auto()  # the kernel has accepted the last byte of the request
+    RESPONSE_BEGUN = auto()  # part of a response has been received
+    INTERIM_ENDED = auto()  # the response that had begun is complete and was an interim one; another follows
+    RESPONSE_ENDED = auto()  # the final response is complete
+    RELEASED = auto()  # the attempt has ended, and the connection can be reused
     CLOSED = auto()
 
 
@@ -37,21 +37,22 @@
 COMPLETE = UpstreamState.COMPLETE
 CLOSED = UpstreamState.CLOSED
 
-# Each event that a state may meet, and the state after it. Any other is a fault of this program: the
-# connection logs it and stays as it is.
+# For each state, the events that it allows and the state that follows each of them. Any other event is a
+# bug in this program: the connection logs it and keeps its state.
 #
-# The states follow from one question: may the upstream have run the request? Only if not may a request that
-# is not idempotent be sent to another upstream. An upstream begins a request once its last byte has
-# arrived, so a request whose last byte the kernel never took has not run. That is why SENDING and AWAITING
-# are two states, and why SENDING leads to AWAITING or CLOSED alone: a connection that is closed while
-# SENDING sends no further byte. From AWAITING on the request may have run (MAY_HAVE_RUN); only a whole
-# response says what became of it.
+# The states are chosen to answer one question: may the upstream have run the request? Only if it has not may
+# a non-idempotent request be sent to another upstream. An upstream begins to process a request once its
+# last byte has arrived, so a request whose last byte the kernel never accepted has not run. For this reason
+# SENDING and AWAITING are separate states, and SENDING leads only to AWAITING or CLOSED: a connection that
+# is closed in SENDING sends no further bytes. From AWAITING on, the request may have run (MAY_HAVE_RUN);
+# only a complete response tells whether it did.
 #
-# A response names no request. Bytes that come before a request was sent whole answer an earlier one. So
-# nothing of a response is read while IDLE or SENDING; such bytes close the connection.
+# A response does not identify its request. Bytes that arrive before a request has been sent completely
+# belong to an earlier request. Therefore no response is read in IDLE or SENDING; such bytes close the
+# connection.
 #
-# Only COMPLETE leads back to IDLE: where an attempt ends any earlier, its response may still come, and the
-# next request on the connection would take it for its own.
+# Only COMPLETE leads back to IDLE: if an attempt ends earlier, its response may still arrive, and would be
+# read as the response to the next request on the connection.
 TRANSITIONS: dict[UpstreamState, dict[UpstreamEvent, UpstreamState]] = {
     CONNECTING: {
         UpstreamEvent.REQUEST_HANDED_OVER: SENDING,
@@ -70,7 +71,7 @@
         UpstreamEvent.RESPONSE_ENDED: COMPLETE,
         UpstreamEvent.CLOSED: CLOSED,
     },
-    RECEIVING: {  # one read may end an interim response and begin the next one
+    RECEIVING: {  # a single read may complete an interim response and begin the next response
         UpstreamEvent.RESPONSE_BEGUN: RECEIVING,
         UpstreamEvent.INTERIM_ENDED: AWAITING,
         UpstreamEvent.RESPONSE_ENDED: COMPLETE,
@@ -84,4 +85,4 @@
 }
 
 MAY_HAVE_RUN = frozenset({AWAITING, RECEIVING, COMPLETE})
-"""The states in which the upstream may have begun the present request."""
+"""The states in which the upstream may have begun to process the current request."""
