--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""How long connections must and may stand idle: the rule alone, and what it does to connections."""
+"""Tests how long connections must and may be idle before reuse: `ReusePolicy` alone, and in the pool."""
 
 import asyncio
 import os
@@ -24,8 +24,9 @@
 
 
 def test_unsolicited_bytes_from_one_upstream_delay_reuse_for_others_only_slightly() -> None:
-    """An upstream sends bytes that belong to no response, long after the last one. Its own connections are
-    quarantined for twice as long; the others' quarantine only doubles, and all of it decays."""
+    """An upstream repeatedly sends unsolicited bytes long after its last response. Its own reuse delay rises
+    to twice that lateness, the shared one only doubles, and both decay. If the shared delay followed one
+    faulty upstream, the connections to all others would rarely be reused."""
     policy = ReusePolicy(keepalive_s=30.0)
     for _ in range(100):
         policy.on_unsolicited_bytes(b"s-1", 5.0)
@@ -46,8 +47,8 @@
 
 
 def test_idle_limit_recovers_with_successful_reuse_and_over_time() -> None:
-    """Connections were found dead, and the cause is gone. An idle limit that stayed short would cost a new
-    connection for nearly each request from then on."""
+    """Reusing connections failed, and the cause is gone. If the idle limit stayed short, nearly every request
+    would need a new connection from then on."""
     policy = ReusePolicy(keepalive_s=30.0)
     policy.on_reuse_failed(5.0)
     assert 3.0 < policy.idle_limit_s < 5.0 < policy.max_idle_limit_s
@@ -61,8 +62,9 @@
 
 
 def test_reuse_delay_of_an_upstream_is_the_longer_of_its_own_and_the_shared_one() -> None:
-    """One upstream sent bytes a second late. With the shared quarantine alone its next late bytes would
-    answer another client's request; with its own for all, no connection would be reused."""
+    """One upstream sent unsolicited bytes one second late. If only the shared reuse delay applied to it, its
+    next late bytes would answer another client's request. If its own delay applied to all upstreams, no
+    connection would be reused."""
     policy = ReusePolicy(keepalive_s=30.0)
     assert policy.reuse_delay_of(b"s-1") == DEFAULT_REUSE_DELAY_S
     policy.on_unsolicited_bytes(b"s-1", 1.0)
@@ -72,8 +74,8 @@
 
 @socket_test
 async def test_connection_is_not_reused_before_the_reuse_delay_has_passed() -> None:
-    """A second request comes while the only connection is still in quarantine. Sent on it, the request could
-    be answered by a late second response to the first one."""
+    """A second request arrives while the only connection is still within its reuse delay. If it were sent on
+    that connection, a late second response to the first request could answer it."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 1e6
         client = await server.client()
@@ -83,8 +85,8 @@
 
 @socket_test
 async def test_failed_reuse_shortens_the_idle_limit() -> None:
-    """A backend forgets a connection that stands idle, without a word; the next request on it is lost. The
-    connections that have stood idle as long are then closed rather than used."""
+    """A backend aborts a connection that was idle, just as the next request is sent on it, and the request is
+    lost. Connections that have been idle for as long are then closed instead of reused."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         pool = server.pool
         pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
@@ -105,8 +107,9 @@
 
 @pytest.mark.parametrize("is_read", [True, False])
 def test_reuse_delay_exceeds_the_lateness_of_a_second_response(is_read: bool) -> None:
-    """A backend answers a request a second time, three seconds later. The loop reads it, or the look at the
-    socket before the next use shows it. Connections to this backend are then quarantined for longer."""
+    """A backend answers a request a second time, three seconds later. Either the event loop reads the second
+    response, or the check of the socket before reuse detects it. Afterwards connections to this backend have
+    a longer reuse delay."""
 
     @socket_test
     async def run() -> None:
@@ -133,11 +136,11 @@
 
 @pytest.mark.parametrize("stray", [answer(200, b"stale"), b"noise", answer(200, b"stale")[:20]])
 def test_unsolicited_bytes_never_answer_the_next_request(stray: bytes) -> None:
-    """A backend sends more than one response to a request, together with the first or later. The next client
-    must not get it: the connection is closed, and the next request goes out on a new one."""
+    """A backend sends unsolicited bytes, together with the response or later. They must not answer the next
+    client's request: the connection is closed, and the next request is sent on a new connection."""
 
-    async def serve(client: Streams, writer: asyncio.StreamWriter, body: bytes, behind: bytes = b"") -> None:
-        writer.write(answer(200, body) + behind)
+    async def serve(client: Streams, writer: asyncio.StreamWriter, body: bytes, extra: bytes = b"") -> None:
+        writer.write(answer(200, body) + extra)
         assert (await read_message(client[0]))[2] == body
 
     @socket_test
@@ -153,7 +156,7 @@
             idle = pool.idle[b"s-1"][0]
             assert idle.is_reusable()
             os.write(writer.get_extra_info("socket").fileno(), stray)
-            assert not idle.is_reusable()  # it has come, and the loop has not read it yet
+            assert not idle.is_reusable()  # the bytes have arrived, and the event loop has not read them yet
             client[1].write(ask(trace="b1"))
             _, writer = await accept_request(backend, "b1")
             await serve(client, writer, b"third")
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -1,7 +1,8 @@
-"""A connection to a backend that comes up late carries only what may still be sent.
+"""Tests that a slowly established connection to a backend sends its request only if that is still allowed.
 
-While a connection comes up, the request may get its final answer from elsewhere, its endpoint may drain, or
-the time in which it may be sent may pass. Sent after that, it would run twice or against the promise given.
+While the connection is being established, the request may get its final answer, the endpoint may begin to
+drain, or the time until which the request may be sent may pass. If the request were sent after that, it could
+run twice, or run although the proxy has promised that it would not.
 """
 
 import asyncio
@@ -36,7 +37,7 @@
 
 @socket_test
 async def test_hedge_still_connecting_when_the_first_attempt_succeeds_is_not_sent() -> None:
-    """Two attempts run at once, and the second still connects as the first brings the answer."""
+    """Two attempts run at the same time. The second is still connecting when the first gets the response."""
     script = Script(attempt_each(b"s-1", b"s-2"))
     async with (
         Peer() as first,
@@ -62,7 +63,7 @@
 
 @socket_test
 async def test_attempt_still_connecting_when_its_request_ends_is_not_sent() -> None:
-    """The decisions give the request up while its one attempt still connects."""
+    """The decisions fail the request while its only attempt is still connecting."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         delayed = DelayedConnections(server, backend.port)
@@ -79,7 +80,8 @@
 
 @socket_test
 async def test_attempt_still_connecting_to_a_draining_endpoint_is_not_sent() -> None:
-    """An endpoint begins to drain while an attempt connects to it: the attempt goes to another one."""
+    """An endpoint begins to drain while an attempt is connecting to it. The request is sent to another
+    endpoint instead."""
 
     def retry_on_second_endpoint(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.NOT_CONNECTED:
@@ -112,10 +114,8 @@
 
 @socket_test
 async def test_connect_timeout_does_not_end_an_attempt_that_was_already_sent() -> None:
-    """A connection comes up and is used, but the loop says so only after the time to connect is over.
-
-    The timeout must not end the attempt: its request has been written.
-    """
+    """A connection is established and used, but the call that opened it returns only after the connect
+    timeout. The timeout must not end the attempt, because its request has been sent."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         pool = server.pool
@@ -135,9 +135,11 @@
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.OK]
 
 
-@pytest.mark.parametrize("has_timer", [True, False])  # else the proxy stalled, and the timer is not due yet
+# Without the timer, the test simulates a process that was suspended, so that the timer has not fired yet.
+@pytest.mark.parametrize("has_timer", [True, False])
 def test_attempt_is_not_sent_after_its_send_deadline(has_timer: bool) -> None:
-    """An idempotency key holds for a time from the first attempt; this connection takes longer."""
+    """An upstream remembers an idempotency key only for a limited time after the first attempt. This
+    connection is established after that time, so the request could run a second time if it were sent."""
 
     async def run() -> None:
         script = Script(attempt_each(b"s-1", send_within_us=30_000))
@@ -169,7 +171,8 @@
 
 @socket_test
 async def test_attempt_sent_before_its_send_deadline_keeps_its_whole_timeout() -> None:
-    """The bound is for the writing alone: an attempt that is written in time waits for its response."""
+    """The send deadline limits only the sending: an attempt that was sent in time still waits for its
+    response."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 0.0
@@ -180,8 +183,8 @@
         writer.write(answer())
         await read_message(client)
         script.reply = attempt_each(b"s-1", send_within_us=1)
-        to_proxy.write(ask("file", trace="second"))  # at once, on the idle connection
+        to_proxy.write(ask("file", trace="second"))  # sent at once on the idle connection
         await read_message(reader)
-        server.proxy.requests[2].attempts[0].on_send_deadline()  # as its timer comes
+        server.proxy.requests[2].attempts[0].on_send_deadline()  # as when its timer fires
         writer.write(answer())
         assert await read_status(client) == "200"
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -1,4 +1,4 @@
-"""What is read of a response, and the outcome of an attempt that gets it."""
+"""Tests how responses are parsed, and which outcome each of them gives its attempt."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 from yardlane.proxy.response import MAX_INTERIM_RESPONSES, ResponseReader, parse_load_report
 from yardlane.proxy.upstream_state import UpstreamState
 
-CLOSE = b""  # the connection ends
+CLOSE = b""  # the backend closes the connection without a response
 INTERIM = b"HTTP/1.1 102 X\r\n\r\n"
 
 
@@ -55,8 +55,8 @@
     ],
 )
 def test_each_response_has_one_outcome(written: bytes, outcome: Outcome, status: str) -> None:
-    """A backend responds in one of all the ways that are seen, broken ones too. A wrong outcome costs a
-    client its response, or lets a request that may have run be sent a second time."""
+    """A backend responds in one of many ways, valid or malformed. A wrong outcome would cost the client its
+    response, or would allow a retry of a request that may have run."""
 
     @socket_test
     async def run() -> None:
@@ -70,15 +70,15 @@
             [ended] = await script.wait_for(AttemptEnded)
             assert (ended.attempt_index, ended.endpoint_id, ended.outcome) == (0, b"s-1", outcome)
             assert ended.request_ended is (outcome is Outcome.OK)
-            assert backend.accepted.empty()  # nothing is sent again without a decision
+            assert backend.accepted.empty()  # the proxy does not retry unless the decisions say so
 
     run()
 
 
 @socket_test
 async def test_load_report_and_usage_reach_the_decisions() -> None:
-    """A response says how loaded its backend is. Unread, the decisions would know their own share of its load
-    alone, and send to a backend that others keep busy."""
+    """A response reports the load of its backend. Without the report, the decisions would know only their own
+    share of the load, and would send requests to a backend that other gateways keep busy."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
@@ -90,8 +90,8 @@
 
 @socket_test
 async def test_load_metrics_above_their_limits_are_ignored() -> None:
-    """A backend reports figures that no load can reach. Believed, one such report would keep all requests
-    from it until the next one."""
+    """A backend reports implausible metrics. If the decisions used them, a single report would keep all
+    requests away from the backend until its next report."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
@@ -102,8 +102,8 @@
 
 
 def test_readable_metrics_of_a_load_report_are_kept() -> None:
-    """One figure of a report is no number, or has a name that nobody knows. The others still hold; with no
-    figure left there is no report, which is not the same as a load of 0."""
+    """One metric of a report is not a number or has an unknown name. The other metrics are still used. If no
+    valid metric is left, there is no report, which differs from a reported load of 0."""
     assert parse_load_report(b"TEXT util=0.5, depth=nan, queue=4, unknown=1") == LoadReport(
         queued=4.0, utilization=0.5
     )
@@ -111,8 +111,8 @@
 
 
 def test_reader_raises_malformed_response_beyond_its_limits() -> None:
-    """A backend sends interim responses without end, or two responses to one request. The reader says so by
-    its own error, by which the connection knows that the fault is the upstream's."""
+    """A backend sends endless interim responses, or two responses to one request. The reader raises
+    `MalformedResponse`, which tells the connection that the upstream is at fault."""
     reader = ResponseReader()
     reader.feed(INTERIM * MAX_INTERIM_RESPONSES)
     with pytest.raises(MalformedResponse, match="interim responses"):
@@ -127,8 +127,8 @@
 
 @socket_test
 async def test_stalled_response_ends_its_attempt_before_the_deadline() -> None:
-    """A backend hangs in the middle of a response; its client's time is long. Backends write a response at
-    once, so the rest is not waited for until the deadline."""
+    """A backend hangs in the middle of a response, and the client's deadline is far away. Backends write a
+    response in one go, so the proxy does not wait for the rest until the deadline."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         server.pool.stall_timeout_s = 0.02
@@ -140,8 +140,8 @@
 
 @socket_test
 async def test_complete_interim_response_starts_no_stall_timeout() -> None:
-    """A backend sends a whole interim response and takes its time for the final one. Ended as stalled, a
-    request that is only slow would fail, and could not be retried if it must not run twice."""
+    """A backend sends a complete interim response, and the final one only later. If the attempt ended as
+    stalled, a request that is merely slow would fail, and a non-idempotent one could not be retried."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         server.pool.stall_timeout_s = 0.0
         (client, _), (_, writer) = await forward(server, backend)
@@ -155,8 +155,8 @@
 
 @socket_test
 async def test_interim_response_in_two_parts_is_followed_by_the_final_one() -> None:
-    """The network splits an interim response. Taken for the final one, or for a fault, it would cost the
-    client the response that follows."""
+    """The network splits an interim response in two. If the proxy took it for the final response, or for a
+    malformed one, the client would lose the response that follows."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         (client, _), (_, writer) = await forward(server, backend)
         [connection] = server.pool.connections
@@ -170,8 +170,8 @@
 
 @socket_test
 async def test_stall_timer_ends_with_its_response() -> None:
-    """The timer for the rest of a response must end with it: left over, it would end the next request on the
-    connection, which may rightly take longer."""
+    """A response arrives in two parts, which starts the stall timer. If the timer were not cancelled when the
+    response is complete, it would end the next request on the connection, which may rightly take longer."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         pool = server.pool
         pool.reuse_policy.reuse_delay_s = 0.0
@@ -191,8 +191,8 @@
 
 @socket_test
 async def test_connection_is_not_reused_after_connection_close() -> None:
-    """A backend names the response the connection's last one, and closes it a little later. A request sent in
-    between would be lost, and could not be retried where it must not run twice."""
+    """A backend sends `Connection: close` and closes the connection a little later. A request sent in between
+    would be lost, and could not be retried if it is non-idempotent."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 0.0
         client = await server.client()
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""What ends an attempt, by what its connection has sent until then: each attempt has exactly one outcome."""
+"""Tests the outcome of an attempt, depending on how it ends and how much of its request has been sent."""
 
 import asyncio
 import os
@@ -52,23 +52,25 @@
 
 
 async def wait_for_outcomes(script: Script, count: int = 1) -> list[Outcome]:
-    """The outcomes of so many attempts, once they have ended."""
+    """Wait until at least `count` attempts have ended, and return the outcomes of all ended attempts."""
     return [ended.outcome for ended in await script.wait_for(AttemptEnded, count)]
 
 
 async def assert_closed(reader: asyncio.StreamReader) -> None:
-    """The proxy closes or resets the connection and sends nothing before."""
+    """Assert that the proxy closes or resets the connection without sending anything more."""
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
         await reader.readexactly(1)
 
 
 @socket_test
 async def test_refused_connection_ends_the_attempt_as_not_connected() -> None:
-    """A backend's process is gone and its port refuses. Taken for an attempt that may have run, the request
-    could not be retried elsewhere, and a restart would fail requests that others could serve."""
+    """A backend's process has stopped and its port refuses connections. If the attempt were reported as one
+    that may have run, a non-idempotent request could not be retried, and a restart of one backend would fail
+    requests that others could serve."""
     async with Peer() as backend:
         port = backend.port
-    script = Script(send_all)  # nobody listens there any more
+    script = Script(send_all)
+    # The backend's port is no longer open here.
     async with running(script, known=whole_list(member("s-1", port))) as server:
         line, _, _ = await server.call(ask())
         assert line.split()[1] == "502"
@@ -77,8 +79,8 @@
 
 @socket_test
 async def test_connect_timeout_ends_the_attempt_as_not_connected() -> None:
-    """A backend's host drops connection requests: here by a full queue that nobody accepts from. The
-    client's time is long, so that only the connect timeout can end the attempt."""
+    """A backend's host drops connection requests, here because its accept queue is full. The client's
+    deadline is far away, so only the connect timeout can end the attempt."""
     with socket.socket() as listener, ExitStack() as waiting:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -96,8 +98,8 @@
 
 @socket_test
 async def test_attempt_timeout_closes_the_connection() -> None:
-    """A backend does not respond within the attempt's timeout. Were its connection kept, the late response
-    would be read as the answer to the next request."""
+    """A backend does not respond within the attempt's timeout. If the connection stayed open, the late
+    response would be read as the response to the next request."""
 
     def with_timeout(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -115,8 +117,8 @@
 
 @socket_test
 async def test_attempt_ends_at_the_clients_deadline() -> None:
-    """Backend and decisions are silent. The attempt ends with the client's time, and the deadline guard gives
-    the client its one final answer."""
+    """The backend does not respond and the decisions do nothing. The attempt times out at the client's
+    deadline, and the deadline guard sends the client its final answer."""
     script = Script(attempt_each(b"s-1"))
     async with running_with_backend(script) as (server, backend):
         client, to_proxy = await server.client()
@@ -131,8 +133,8 @@
 
 @socket_test
 async def test_first_successful_response_is_final_and_the_other_is_discarded() -> None:
-    """Two attempts run at once. The response that comes second must not reach the client, where it would be
-    taken for the answer to its next request."""
+    """Two attempts run at the same time. The second response must not reach the client, which would take it
+    for the answer to its next request."""
     script = Script(attempt_each(b"s-1", b"s-2"))
     async with (
         Peer() as one,
@@ -160,8 +162,8 @@
 
 @socket_test
 async def test_cancelled_attempt_closes_its_connection() -> None:
-    """The client leaves and the decisions cancel its attempt. Only the closed connection tells the backend
-    so; left open, the backend would go on for nobody, and its response would meet the next request."""
+    """The client disconnects and the decisions cancel its attempt. If the connection stayed open, the backend
+    would not notice the cancellation, and its response would be read as the response to the next request."""
 
     def cancel_on_client_disconnect(event: Event) -> list[Action]:
         return [CancelAttempt(event.request_id, 0)] if isinstance(event, RequestEnded) else send_all(event)
@@ -176,7 +178,7 @@
 
 
 class TimeoutAfterConnect(LoopDouble):
-    """Each connection comes up just as its connect timeout fires."""
+    """An event loop that establishes each connection and then reports a connect timeout."""
 
     async def create_connection(self, *args: Any) -> None:
         await self.loop.create_connection(*args)
@@ -185,8 +187,8 @@
 
 @socket_test
 async def test_connect_timeout_after_the_request_was_sent_is_reported_as_connection_lost() -> None:
-    """The connection comes up, the request is sent, and the failure to connect is reported after that. Taken
-    for one that never ran, the request could run twice."""
+    """The connection is established, the request is sent, and only then does the connect call fail. If the
+    attempt were reported as never run, the request could run twice."""
     ends: list[Outcome] = []
     async with Peer() as backend:
         pool = UpstreamPool(config(), 8, TimeoutAfterConnect(asyncio.get_running_loop()).as_loop())
@@ -199,7 +201,7 @@
     assert ends == [Outcome.CONNECTION_LOST]
 
 
-# How the attempt of a request ends that is sent in part, or whole and unanswered.
+# Ways in which an attempt ends while its request has been sent in part, or completely but not answered.
 
 
 def by_reset(
@@ -242,18 +244,20 @@
         (by_reset, Outcome.NOT_CONNECTED, Outcome.CONNECTION_LOST),
         (by_deadline, Outcome.NOT_CONNECTED, Outcome.TIMED_OUT),
         (by_cancel, Outcome.NOT_SENT, Outcome.CANCELLED),
-        (by_client_disconnect, Outcome.NOT_SENT, Outcome.OK),  # sent whole, it goes on
-        (by_response, Outcome.NOT_CONNECTED, Outcome.OK),  # a new connection has had no other request
+        # If the request was sent completely, the attempt continues.
+        (by_client_disconnect, Outcome.NOT_SENT, Outcome.OK),
+        # On a new connection, the response cannot belong to an earlier request.
+        (by_response, Outcome.NOT_CONNECTED, Outcome.OK),
     ],
 )
 @pytest.mark.parametrize("is_partly_sent", [True, False])
 def test_partly_sent_request_is_reported_as_never_run_and_is_not_completed(
     end: Ending, outcome_if_partly_sent: Outcome, outcome_if_sent: Outcome, is_partly_sent: bool
 ) -> None:
-    """A backend reads slowly, so that a part of a request waits in the proxy as its attempt ends. It is
-    reported as never run, so that it may be sent elsewhere; then its last byte must never be sent either,
-    also when the backend reads on before the connection is closed. The endpoint drains meanwhile, which ends
-    no attempt that has sent a byte."""
+    """A backend reads slowly, so part of a request is still in the proxy when its attempt ends. The request
+    is reported as never run and may be sent elsewhere. Therefore its last byte must not be sent any more,
+    even if the backend continues to read before the connection is closed. The endpoint also begins to drain,
+    which must not end an attempt that has sent any byte."""
 
     async def assert_outcome(script: Script) -> None:
         assert await wait_for_outcomes(script) == [
@@ -276,13 +280,15 @@
                 await script.wait_for(RequestEnded)
                 if not is_partly_sent:
                     backend_end.send(answer())
-            received += read_available(backend_end)  # the kernel has room before the loop runs again
+            # Reading makes room in the kernel's buffer before the event loop runs again.
+            received += read_available(backend_end)
             await assert_outcome(script)
             while is_partly_sent and (part := await server.loop.sock_recv(backend_end, 65_536)):
                 received += part
             head_bytes = received.index(b"\r\n\r\n") + 4
             assert is_partly_sent is (unsent > 0)
-            assert len(received) <= head_bytes + LARGE_REQUEST_BYTES - unsent  # none came after the end
+            # Nothing was sent after the attempt had ended.
+            assert len(received) <= head_bytes + LARGE_REQUEST_BYTES - unsent
 
     run()
 
@@ -291,8 +297,8 @@
 def test_non_idempotent_request_is_retried_only_if_it_was_partly_sent(
     is_partly_sent: bool,
 ) -> None:
-    """A backend resets the connection of a request that is not idempotent. Sent in part, the request has not
-    run and goes to the other backend; sent whole, it may have run, and fails."""
+    """A backend resets the connection of a non-idempotent request. If the request was sent only in part, it
+    has not run and is retried at the other backend. If it was sent completely, it may have run, and fails."""
     not_idempotent = [{**rule, "repeat": "single_shot"} for rule in settings()["profiles"]]
 
     @socket_test
@@ -314,7 +320,7 @@
 
 
 def reset_after_check(connection: UpstreamConnection, writer: asyncio.StreamWriter) -> None:
-    """The backend resets this connection between the look at its socket and the next request."""
+    """Make the backend reset this connection between the check of its socket and the next request."""
     is_reusable = connection.is_reusable
 
     def check_then_reset() -> bool:
@@ -330,8 +336,9 @@
 
 @socket_test
 async def test_request_written_to_a_reset_connection_is_reported_as_not_connected() -> None:
-    """An idle connection is reset after the last look at it, and a request is written to it. Taken for one
-    that may have run, a request that must not run twice would fail, though no backend ever had it."""
+    """An idle connection is reset after the proxy has checked it, and a request is written to it. If the
+    attempt were reported as one that may have run, a non-idempotent request would fail, although no backend
+    ever received it."""
     script = Script(send_all)
     async with running_with_backend(script) as (server, backend):
         pool = server.pool
@@ -346,7 +353,7 @@
 
 
 async def serve_first_request(server: RunningServer, backends: SmallBufferBackends) -> socket.socket:
-    """A first request is served; the backend's end of its connection, which is idle now."""
+    """Serve a first request; return the backend's end of its connection, which is idle afterwards."""
     backends.use_small_buffers(server)
     client, to_proxy = await server.client()
     to_proxy.write(ask())
@@ -359,8 +366,9 @@
 
 @socket_test
 async def test_bytes_sent_before_the_request_arrived_are_not_read_as_its_response() -> None:
-    """A backend's late second response to an earlier request comes on a connection that is used again. The
-    kernel has the new request whole, and the backend has not acknowledged it, so it has not read it."""
+    """A backend sends a late second response to an earlier request on a connection that has been reused. The
+    proxy's kernel has accepted the whole new request, but the backend's kernel has not acknowledged it, so
+    the response cannot belong to it."""
     script = Script(send_all)
     backends = SmallBufferBackends()
     async with running(script, known=backends.known) as server:
@@ -368,7 +376,7 @@
         pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
         backend_end = await serve_first_request(server, backends)
         connection, _ = await backends.send_large_request(server, backend_end)
-        pool.reuse_policy.reuse_delay_s = 1e6  # late bytes may show for as long
+        pool.reuse_policy.reuse_delay_s = 1e6  # makes the check for unacknowledged bytes last as long
         await read_until_request_sent(backend_end, connection)
         backend_end.send(answer(200, b"late"))
         assert await read_status(backends.client) == "502"
--- a/tests/proxy/test_upstream_pool.py
+++ b/tests/proxy/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Which connection an attempt gets, and what becomes of connections to an endpoint that changes."""
+"""Tests which connection an attempt gets, and how the pool closes connections and limits their number."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 @socket_test
 async def test_idle_connection_closed_by_the_backend_is_not_reused() -> None:
-    """A backend closes an idle connection. A request sent on it would be lost, and one that must not run
-    twice would fail for its client."""
+    """A backend closes an idle connection. A request sent on it would be lost, and a non-idempotent request
+    would fail for its client."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         client = await server.client()
         _, writer = await serve_on_new_connection(client, backend, "a1")
@@ -45,8 +45,8 @@
 
 @socket_test
 async def test_attempt_beyond_the_connection_limit_ends_as_not_sent() -> None:
-    """All descriptors for upstreams are in use. That says nothing of the backend: an outcome against it would
-    have it ejected as an outlier."""
+    """All file descriptors for upstreams are in use. This is not the backend's fault: an outcome that counts
+    as its failure would have it ejected as an outlier."""
     script = Script(attempt_each(b"s-1"))
     async with running_with_backend(script) as (server, backend):
         server.pool.max_connections = 1
@@ -60,8 +60,8 @@
 
 @socket_test
 async def test_longest_idle_connection_is_closed_to_make_room_for_another_backend() -> None:
-    """All descriptors for upstreams are taken by idle connections to other backends. If none made room, a
-    request to a new backend would not be sent while nothing is in use."""
+    """Idle connections to other backends hold all file descriptors for upstreams. If none of them were
+    closed, a request to another backend could not be sent although no connection is in use."""
 
     def first_then_second_endpoint(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
@@ -81,8 +81,8 @@
 
 @socket_test
 async def test_attempt_at_an_endpoint_without_an_address_ends_as_not_sent() -> None:
-    """The decisions choose an endpoint whose address could not be read. The attempt ends at once as not sent;
-    were it dropped without an end, its request would wait until the deadline."""
+    """The decisions choose an endpoint whose address could not be parsed. The attempt ends at once as not
+    sent. If it never ended, its request would wait until the deadline."""
     script = Script(lambda event: send_all(event, b"s-2"))
     async with running_with_backend(script) as (server, backend):
         line, _, _ = await server.call(ask())
@@ -93,8 +93,8 @@
 
 @socket_test
 async def test_new_endpoint_at_an_old_address_does_not_reuse_the_old_connections() -> None:
-    """An endpoint is replaced by another one at its address while it has a request. The old connection serves
-    that one and is closed: what it is connected to may still be the old process."""
+    """An endpoint is replaced by another one at the same address while it serves a request. The old
+    connection completes that request and is closed, because it may still lead to the old process."""
 
     def send_to_old_then_new(event: Event) -> list[Action]:
         return send_all(event, b"s-2" if getattr(event, "request_id", 0) > 1 else b"s-1")
@@ -113,8 +113,8 @@
 
 @socket_test
 async def test_closed_connection_leaves_no_reference_cycle() -> None:
-    """Connection, reader and parser refer to each other. Left as a cycle they stay until the collector runs,
-    whose pauses grow with all that waits for it."""
+    """Connection, reader and parser refer to each other. As a reference cycle they would stay in memory until
+    the garbage collector runs, and its pauses grow with the number of objects that it has to collect."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         gc.disable()
         try:
@@ -133,7 +133,8 @@
 
 @socket_test
 async def test_removing_an_endpoint_discards_its_reuse_delay() -> None:
-    """What stands at an address next, or comes back under the same id, is another process."""
+    """Another process may take over the endpoint's address or id. It must not inherit the reuse delay that
+    the removed endpoint caused."""
     pool = UpstreamPool(config(), 8, asyncio.get_running_loop())
     pool.reuse_policy.on_unsolicited_bytes(b"s-1", 5.0)
     pool.reuse_policy.on_unsolicited_bytes(b"s-2", 5.0)
@@ -143,8 +144,9 @@
 
 @socket_test
 async def test_maintenance_closes_expired_idle_connections_and_relaxes_the_bounds() -> None:
-    """Once a second the pool closes what no request would use any more. Left out, idle connections would hold
-    descriptors, and a bound that one bad moment cut would stay so."""
+    """Once a second the pool closes idle connections that are too old to be reused, and relaxes the bounds of
+    the idle time. Otherwise idle connections would hold file descriptors, and a bound that a short fault
+    tightened would stay tight."""
     async with running_with_backend(Script(send_all)) as (server, backend):
         pool = server.pool
         client = await server.client()
--- a/tests/upstream_side.py
+++ b/tests/upstream_side.py
@@ -1,4 +1,4 @@
-"""Set-up that the tests of the upstream side share."""
+"""Helpers shared by the tests of the connections to upstreams."""
 
 from __future__ import annotations
 
@@ -22,14 +22,17 @@
 from yardlane.proxy.upstream_connection import UpstreamConnection
 from yardlane.proxy.upstream_state import UpstreamState
 
-SMALL_SEND_BUFFER_BYTES = 4096  # of the kernel's: far less than `LARGE_REQUEST_BYTES`
+SMALL_SEND_BUFFER_BYTES = 4096  # size of the kernel's buffer, far less than `LARGE_REQUEST_BYTES`
 SMALL_RECEIVE_BUFFER_BYTES = 1024
 LARGE_REQUEST_BYTES = 65_536
-RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER, on, with a time of 0
+RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # a value of SO_LINGER: enabled, with a timeout of 0
 
 
 async def accept_request(backend: Peer, trace: str | None = None) -> Streams:
-    """The next new connection to this backend, once its first request has come whole."""
+    """Return the next new connection to this backend, once its first request has been received completely.
+
+    If `trace` is given, assert that it is the trace id of that request.
+    """
     reader, writer = await backend.connection()
     _, headers, _ = await read_message(reader)
     assert trace is None or headers["x-trace-id"] == trace
@@ -37,7 +40,10 @@
 
 
 async def forward(server: RunningServer, backend: Peer, request: bytes = ask()) -> tuple[Streams, Streams]:
-    """A new client's request, forwarded on a new connection: the client's streams and the backend's."""
+    """Send a request from a new client and wait until the backend receives it on a new connection.
+
+    Return the client's streams and the backend's.
+    """
     client, to_proxy = await server.client()
     to_proxy.write(request)
     return (client, to_proxy), await accept_request(backend)
@@ -46,7 +52,10 @@
 async def serve_on_new_connection(
     client: Streams, backend: Peer, trace: str, response: bytes = answer()
 ) -> Streams:
-    """A further request of this client is forwarded on a new connection, and answered."""
+    """Send another request from this client and serve it on a new connection to the backend.
+
+    Return the backend's streams. Fails (by timeout) if the proxy reuses an existing connection.
+    """
     client_reader, to_proxy = client
     to_proxy.write(ask(trace=trace))
     reader, writer = await accept_request(backend, trace)
@@ -56,25 +65,25 @@
 
 
 async def until_state(connection: UpstreamConnection, state: UpstreamState) -> None:
-    """The loop runs until the connection is in this state."""
+    """Run the event loop until the connection is in this state."""
     await until(lambda: connection.state is state)
 
 
 def unsent_bytes(connection: UpstreamConnection) -> int:
-    """What the kernel has not taken yet."""
+    """Return how many bytes of the request the kernel has not accepted yet."""
     if connection.transport is None:
         return 0
     return connection.transport.get_write_buffer_size()
 
 
 def reset(backend_end: socket.socket) -> None:
-    """Close the connection with a reset."""
+    """Close the backend's end of the connection with a TCP reset."""
     backend_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     backend_end.close()
 
 
 async def read_until_request_sent(backend_end: socket.socket, connection: UpstreamConnection) -> bytes:
-    """What the backend reads until the kernel has taken the whole request."""
+    """Let the backend read until the proxy's kernel has accepted the whole request; return what was read."""
     received = b""
     while unsent_bytes(connection):
         received += await asyncio.get_running_loop().sock_recv(backend_end, SMALL_SEND_BUFFER_BYTES)
@@ -82,7 +91,7 @@
 
 
 def read_available(backend_end: socket.socket) -> bytes:
-    """What has come at the backend so far; the event loop does not run meanwhile."""
+    """Return what the backend has received so far, without letting the event loop run."""
     received = b""
     try:
         while part := backend_end.recv(LARGE_REQUEST_BYTES):
@@ -93,9 +102,10 @@
 
 
 class SmallBufferBackends(LoopDouble):
-    """Backends that read nothing by themselves, and the pool's loop, which connects with small buffers.
+    """Listening backends with small receive buffers, and an event loop that connects with small send buffers.
 
-    The kernel takes a part of a large request, and the rest stays in the transport until the test reads.
+    The backends read only when the test does. The kernel therefore accepts only part of a large request, and
+    the rest stays in the proxy's transport until the test reads.
     """
 
     def __init__(self, count: int = 1) -> None:
@@ -119,13 +129,17 @@
         return await self.loop.create_connection(make_protocol, sock=made)
 
     def use_small_buffers(self, server: RunningServer) -> None:
-        """Connections of this proxy's pool have small buffers from now on."""
+        """Make this server's pool open its new connections with small buffers."""
         server.pool.loop = self.as_loop()
 
     async def send_large_request(
         self, server: RunningServer, backend_end: socket.socket | None = None
     ) -> tuple[UpstreamConnection, socket.socket]:
-        """The connection on which a part of a large request is sent, and the backend's end of it."""
+        """Send a large request from a new client, which the proxy can forward only in part.
+
+        Return the proxy's connection to the backend and the backend's end of it. Pass `backend_end` if the
+        proxy reuses an existing connection.
+        """
         self.use_small_buffers(server)
         self.client, self.to_proxy = await server.client()
         request = ask("file", Content_Length=str(LARGE_REQUEST_BYTES)) + b"x" * LARGE_REQUEST_BYTES
@@ -134,7 +148,7 @@
         return await self.connection_with_unsent_bytes(server), accepted
 
     async def accept(self) -> socket.socket:
-        """The next new connection to any of the backends."""
+        """Return the backend's end of the next new connection to any of the backends."""
         accepts = [self.loop.create_task(self.loop.sock_accept(listener)) for listener in self.listeners]
         done, pending = await asyncio.wait(accepts, return_when=asyncio.FIRST_COMPLETED)
         for accept in pending:
@@ -142,6 +156,6 @@
         return done.pop().result()[0]
 
     async def connection_with_unsent_bytes(self, server: RunningServer) -> UpstreamConnection:
-        """The connection whose request is sent in part."""
+        """Wait for a connection that has sent its request only in part, and return it."""
         await until(lambda: any(unsent_bytes(connection) for connection in server.pool.connections))
         return next(connection for connection in server.pool.connections if unsent_bytes(connection))
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -80,7 +80,7 @@
         next_state = TRANSITIONS[self.state].get(event)
         if next_state is None:
             log.error(
-                "unexpected event %s in state %s of an upstream connection; ignoring it",
+                "unexpected event %s in state %s of an upstream connection",
                 event.name,
                 self.state.name,
             )
