--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -376,7 +376,7 @@
         pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
         backend_end = await serve_first_request(server, backends)
         connection, _ = await backends.send_large_request(server, backend_end)
-        pool.reuse_policy.reuse_delay_s = 1e6  # makes the check for unacknowledged bytes last as long
+        pool.reuse_policy.reuse_delay_s = 1e6  # keeps the check for unacknowledged bytes active
         await read_until_request_sent(backend_end, connection)
         backend_end.send(answer(200, b"late"))
         assert await read_status(backends.client) == "502"
--- a/yardlane/proxy/attempt.py
+++ b/yardlane/proxy/attempt.py
@@ -95,7 +95,7 @@
         return self.connection is not None and self.connection.may_have_run()
 
     def on_send_deadline(self) -> None:
-        """Called at the time by which the last byte must be sent; ends the attempt if it has not been."""
+        """Called at the time by which the last byte must be sent; ends the attempt if it is still unsent."""
         if not self.may_have_run():
             self.finish(Outcome.NOT_CONNECTED)
 
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -72,7 +72,7 @@
         self.stall_timer: asyncio.TimerHandle | None = None
 
     def _apply(self, event: UpstreamEvent) -> bool:
-        """Change the state as `TRANSITIONS` has it; return whether it allows the event in this state.
+        """Change the state as `TRANSITIONS` defines it; return whether the table allows the event.
 
         The state changes nowhere else. An event that the table does not allow is a bug in this program: it
         is logged and changes nothing.
@@ -132,7 +132,10 @@
         return not events
 
     def close(self) -> None:
-        """Close the connection at once. Bytes that have not been sent yet are discarded."""
+        """Close the connection at once.
+
+        Bytes that have not been sent yet are discarded, and the upstream is not told the reason.
+        """
         if self.state is CLOSED:
             return
         is_sending = self.state is SENDING
@@ -199,9 +202,9 @@
         if transport.get_write_buffer_size():
             # With these limits the transport calls `resume_writing` once its buffer is empty.
             transport.set_write_buffer_limits(0)
-        elif (
-            not transport.is_closing()
-        ):  # if it is closing, the write failed or came too late: nothing was sent
+        elif not transport.is_closing():
+            # If the transport were closing, the write would have failed or come too late, and nothing would
+            # have been sent.
             self._apply(UpstreamEvent.REQUEST_SENT)
 
     def resume_writing(self) -> None:
@@ -259,12 +262,11 @@
         has arrived, and whatever it sends from then on acknowledges that byte. So while sent bytes are still
         unacknowledged, the received bytes are not the response to the current request.
 
-        The kernel is asked for unacknowledged bytes only during a time as long as the shared reuse delay,
-        counted from the start of the current request, because the call takes a notable part of an attempt's
-        processor time. The shared delay applies even if this upstream's own delay is longer. Bytes for an
-        earlier request that arrive after this time are therefore read as the response. Before the request,
-        though, the connection was idle for the upstream's own reuse delay, which is twice the lateness that
-        the upstream has shown.
+        The kernel is asked for unacknowledged bytes only for as long as the shared reuse delay after the
+        connection is reused, because the call takes a notable part of an attempt's processor time. The
+        shared delay applies even if this upstream's own delay is longer. Bytes for an earlier request that
+        arrive after this time are therefore read as the response. Before the request, though, the connection
+        was idle for the upstream's own reuse delay, which is twice the lateness that the upstream has shown.
         """
         if self.state is SENDING:
             return True
@@ -289,7 +291,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called when the connection is established; sends the request that it was opened for."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's transport is not declared as a subclass
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
         self.transport = transport
         if self.attempt is not None:
             self.attempt.on_connected()  # may finish the attempt, which closes this connection
@@ -310,7 +312,7 @@
         is_unanswered = self.attempt is not None and self.state is not RECEIVING
         if is_unanswered and self.idle_before_request_s is not None:
             # The connection is assumed to have been closed while it was idle. An upstream that stopped
-            # before it responded cannot be told from that.
+            # before it responded looks the same.
             self.pool.reuse_policy.on_reuse_failed(self.idle_before_request_s)
         self._fail_connection()
 
--- a/yardlane/proxy/upstream_pool.py
+++ b/yardlane/proxy/upstream_pool.py
@@ -32,7 +32,8 @@
         self.reuse_policy = ReusePolicy(config.keepalive_us / US_PER_S)
         self.connections: set[UpstreamConnection] = set()
         # The idle connections of each endpoint. The key is the endpoint id rather than the address, because
-        # another upstream may have taken over the address. The connection that became idle last is last.
+        # another upstream may have taken over the address. Each list is in the order in which the connections
+        # became idle.
         self.idle: dict[bytes, list[UpstreamConnection]] = {}
         loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
 
@@ -57,7 +58,7 @@
         connection.connect_task = self.loop.create_task(connection.connect(self.connect_timeout_s))
 
     def drain_endpoint(self, endpoint_id: bytes) -> None:
-        """Called when the endpoint is draining: end the attempts that still wait for a connection to it.
+        """End the attempts that still wait for a connection to an endpoint that is draining.
 
         An attempt continues if any byte of its request has been sent, because a draining upstream counts a
         request as begun from its first byte.
@@ -72,7 +73,7 @@
                 connection.attempt.finish(Outcome.NOT_CONNECTED)
 
     def remove_endpoint(self, endpoint_id: bytes) -> None:
-        """Called when the endpoint has moved or been removed: stop reusing its connections.
+        """Stop reusing the connections to an endpoint that has moved or been removed.
 
         Idle connections are closed now, attempts that still wait for a connection end, and busy connections
         are closed after the current request.
