--- a/yardlane/decisions/endpoint_record.py
+++ b/yardlane/decisions/endpoint_record.py
@@ -1,4 +1,4 @@
-"""What one gateway knows of one endpoint: state that the rules on endpoints share."""
+"""The state that one gateway keeps for one endpoint, shared by the rules on endpoints."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 
 
 class EndpointRecord:
-    """One endpoint, from its start on: a restart begins a new record.
-
-    `entry` is its newest entry of the endpoint list. `subset_rank` is how many gateways come before this one
-    in the endpoint's order of them (`endpoints.py`). `failure_rates` and `latency_ratio` are averages
-    (`outliers.py`); `sent_work` is what it was sent while warming up, as expected service time in
-    microseconds (`slow_start.py`). `in_flight` counts attempts of this gateway, `remote_in_flight` those of
-    all others by the endpoint's last load report.
+    """The state of one endpoint since its start. An endpoint that restarts gets a new record.
+
+    - `entry`: the endpoint's latest entry in the endpoint list.
+    - `subset_rank`: the position of this gateway in the endpoint's order of the gateways (`endpoints.py`).
+    - `failure_rates`, `latency_ratio`: moving averages (`outliers.py`). `failure_rates` has one rate for each
+      quota plan; the key None is for the rate over all plans.
+    - `sent_work`: the work that this gateway sent to the endpoint during its warm-up, as expected service
+      time in microseconds (`slow_start.py`).
+    - `in_flight`: the attempts of this gateway.
+    - `remote_in_flight`: the attempts of all other gateways, according to the endpoint's last load report.
     """
 
     __slots__ = (
@@ -43,7 +46,7 @@
         self.sent_work = WorkWindow(overload_window_us)
 
     def record_load(self, load: LoadReport, now_us: int) -> None:
-        """Take over a load report; what is not ours of it was sent by other gateways."""
+        """Set `remote_in_flight` to the load that the endpoint reports, less this gateway's own attempts."""
         reported = load.in_flight
         if reported is None:
             reported = (load.queued or 0.0) + (load.utilization or 0.0)
--- a/yardlane/decisions/endpoints.py
+++ b/yardlane/decisions/endpoints.py
@@ -1,13 +1,14 @@
-"""The endpoint list of one gateway, and the subset of it that this gateway uses.
+"""The endpoint list of one gateway, and the subset of the endpoints that this gateway uses.
 
-A gateway that sent to more endpoints than it has requests in a second would have old knowledge of each (its
-attempts in flight, its latency, whether it responds at all), and open a connection for nearly every request.
-So a gateway uses at most `SUBSET_SIZE` of the endpoints that are ready.
+A gateway uses at most `SUBSET_SIZE` of the endpoints that are ready. If it sent to more endpoints than it has
+requests in a second, its knowledge of each endpoint (attempts in flight, latency, whether it responds at all)
+would be out of date, and nearly every request would open a new connection.
 
-The subset is deterministic. Each endpoint has an order of the gateways of its own, made from its id; the
-place of this gateway in it is the endpoint's `subset_rank`. A gateway uses the endpoints in whose order it
-comes first. So each endpoint has about as many users, the gateways need no messages between them, and a
-change of the list moves few other endpoints in or out.
+The subset is deterministic. Each endpoint has its own order of the gateways, which is computed from the
+endpoint's id. `subset_rank` is the position of this gateway in that order, counted from 0. A gateway uses the
+ready endpoints for which its `subset_rank` is lowest. As a result, each endpoint is used by about the same
+number of gateways, the gateways need not exchange messages to agree, and a change of the list replaces few
+other endpoints in a subset.
 """
 
 from __future__ import annotations
@@ -23,9 +24,11 @@
 
 
 class EndpointList:
-    """The endpoints by their ids; `ready` holds those that may get requests, the lowest subset rank first.
+    """The endpoints that one gateway knows, and its subset of them.
 
-    `subset` is the first of `ready`. `gateways_per_endpoint` is how many gateways use one endpoint.
+    `by_id` holds all endpoints. `ready` holds those that may get requests, in ascending order of their
+    `subset_rank`; `subset` holds the first `SUBSET_SIZE` of `ready`. `gateways_per_endpoint` is the mean
+    number of gateways that use one endpoint, rounded up.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -37,7 +40,7 @@
         self._recently_removed: dict[bytes, EndpointRecord] = {}
 
     def apply_update(self, update: EndpointListUpdate) -> None:
-        """Take over an update of the list. What a whole list does not name is removed."""
+        """Apply an update. Unless it is a delta, remove all endpoints that it does not list."""
         if update.kind is not UpdateKind.DELTA:
             self._remove_unlisted({entry.endpoint_id for entry in update.endpoints})
         for entry in update.endpoints:
@@ -52,10 +55,12 @@
             self._remove(endpoint_id)
 
     def _remove(self, endpoint_id: bytes) -> None:
-        """Remove an endpoint, but remember for one window what it was sent while warming up.
+        """Remove an endpoint, but keep its record for a while if work was sent to it during its warm-up.
 
-        A list may lack an endpoint for a moment and name it again with the same start. A new record would
-        then grant it a second budget, and overload it.
+        The record is kept for at least `overload_window_us` after the last attempt. An endpoint may be
+        missing from the list for a moment and then be listed again with the same start time. With a new
+        record, this gateway would spend its share of the warm-up budget a second time, and the endpoint
+        would be overloaded.
         """
         removed = self.by_id.pop(endpoint_id, None)
         if removed is None or removed.sent_work.is_empty():
@@ -85,10 +90,10 @@
         self.gateways_per_endpoint = min(gateway_count, gateways_per_endpoint)
 
     def _subset_rank(self, endpoint_id: bytes) -> int:
-        """How many gateways come before this one in the endpoint's order.
+        """Return the position of this gateway in the endpoint's order of the gateways, from 0.
 
-        The order steps through the ranks by a stride that shares no factor with their count, and so visits
-        each of them once.
+        The positions of gateways with consecutive ranks are `stride` apart, modulo the number of gateways.
+        The stride has no common factor with that number, so no two gateways have the same position.
         """
         count = self.settings.gateway_count
         stride, first = divmod(zlib.crc32(endpoint_id), count)
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -1,22 +1,27 @@
 """Load balancing: which endpoint gets an attempt.
 
-Of the candidates, the endpoint with the least expected cost, in microseconds:
+The load balancer chooses the candidate with the lowest expected cost. The cost is a time in microseconds, and
+the sum of two parts:
 
-- the time until it has finished: the class's mean service time, times its latency ratio, times the attempts
-  that are in flight there and this one, divided by its warm-up factor;
-- and its failure rates, of all requests and of the request's plan, each times the latency objective: a
-  failure costs as much as a response at the end of the objective.
+- The expected time until the endpoint has finished the attempt. This is the mean service time of the request
+  class, times the endpoint's latency ratio, times the number of attempts there (those in flight and the new
+  one), divided by the endpoint's warm-up factor.
+- The expected cost of a failure. This is the sum of two failure rates of the endpoint, over all plans and for
+  the plan of the request, times the latency objective. So a failure costs as much as a response that takes
+  the whole latency objective.
 
-What was learned long ago counts less: latency ratio and failure rates by `outliers.decay_factor`, and the
-in-flight attempts of other gateways, as the endpoint reported them, fade within `LOAD_REPORT_VALID_US`.
+Older observations count less. `outliers.decay_factor` reduces the failure rates and the deviation of the
+latency ratio from 1. The in-flight attempts of other gateways, as the endpoint reported them, are reduced to
+zero within `LOAD_REPORT_VALID_US`.
 
-An endpoint that is warming up is a candidate only while `slow_start.py` admits a request. That is rare, and
-what is not used of its budget is lost. So a request that it will finish well within the objective prefers
-it: without this it would get its first requests only when all others are busy.
+An endpoint that is warming up is a candidate only while `slow_start.py` admits a request. This is rarely the
+case, and the part of the budget that is not used is lost. So the endpoint is preferred for a request that it
+is expected to serve well within the latency objective. Without this preference it would get its first
+requests only when all other endpoints are busy.
 
-Endpoints of another zone have to look faster by `CROSS_ZONE_COST_FACTOR` where crossing zones has a price.
-The costs get some random jitter, as gateways that see the same loads would otherwise all send to the same
-endpoint.
+If sending to another zone has a price, the cost of each endpoint there is multiplied by
+`CROSS_ZONE_COST_FACTOR`. Random jitter is added to all costs. Without it, gateways that see the same loads
+would all send to the same endpoint.
 """
 
 from __future__ import annotations
@@ -34,14 +39,16 @@
 from yardlane.decisions.units import SECOND_US
 
 LOAD_REPORT_VALID_US = SECOND_US
-WARMING_MAX_LATENCY_SHARE = 0.5  # of the objective: what a request there may take to prefer it
+# A warming endpoint is preferred for requests whose expected service time there is below this share of the
+# latency objective.
+WARMING_MAX_LATENCY_SHARE = 0.5
 WARMING_COST_FACTOR = 0.5
 CROSS_ZONE_COST_FACTOR = 1.5
 JITTER_SHARE = 0.05
 
 
 class LoadBalancer:
-    """Chooses endpoints by their expected cost."""
+    """Chooses the endpoint for an attempt by its expected cost."""
 
     __slots__ = ("_prefers_own_zone", "_random", "_service_times", "_settings", "_slow_start")
 
@@ -57,7 +64,7 @@
     def choose(
         self, request: Request, candidates: Iterable[EndpointRecord], now_us: int
     ) -> EndpointRecord | None:
-        """The candidate of the least cost that the request was not sent to yet; None if there is none."""
+        """Return the cheapest candidate that the request was not yet sent to; None if there is none."""
         tried = [attempt.endpoint for attempt in request.attempts]
         plan = request.tenant.plan
         objective_us = self._settings.request_classes[request.class_index].latency_objective_us
@@ -100,8 +107,9 @@
             warm_up_factor < 1.0
             and service_time_us < warm_up_factor * objective_us * WARMING_MAX_LATENCY_SHARE
         ):
-            # This undoes the division by the warm-up factor, so that the endpoint counts as warm, and prefers
-            # it. The failure cost, which was not divided, shrinks as well.
+            # Multiplying by the warm-up factor undoes the division above, so that the endpoint is compared as
+            # if it were warm; WARMING_COST_FACTOR then makes it cheaper than a warm one. The failure cost
+            # was not divided, and is reduced as well.
             cost_us *= warm_up_factor * WARMING_COST_FACTOR
         if self._prefers_own_zone and endpoint.entry.zone != self._settings.zone:
             cost_us *= CROSS_ZONE_COST_FACTOR
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -1,25 +1,30 @@
-"""Outliers: how much worse than others an endpoint is. It weighs in load balancing; none is ejected.
-
-Each endpoint has a failure rate from 0 to 1, of all requests and of each quota plan (an endpoint may be full
-for one plan alone), and a latency ratio: its service times over the means of all endpoints. They are moving
-averages over attempts, which `load_balancing.py` makes costs of. `decay_factor` lets both fade while an
-endpoint is not used, so that it gets requests again and can recover.
-
-What counts:
-- a response: as no failure, of all and of its plan, and with its time;
-- a rejection: as a failure of its plan;
-- any other failure: as a failure of all; but not one that the client or this gateway caused, as a cancelled
-  or unsent attempt, or a timeout sooner than `OVERDUE_MULTIPLE` mean service times, where the request came
-  with little time left;
-- an attempt in flight for `OVERDUE_MULTIPLE` means: as that latency, long before any timeout. It is also a
-  failure, unless the endpoint has responded to another attempt that was in flight meanwhile: then it is
-  slow, not silent.
-
-An attempt that was overdue counts once more when it ends; one that was silent and then times out counts
+"""Outlier detection: how much worse an endpoint performs than the others.
+
+An outlier costs more in load balancing (`load_balancing.py`), but no endpoint is ejected.
+
+Each endpoint has a failure rate over all plans and one for each quota plan (as an endpoint may be full for
+one plan only), from 0 to 1. It also has a latency ratio: its service times relative to the mean service times
+of all endpoints. All of these are moving averages over attempts. `decay_factor` reduces their effect while an
+endpoint is not used, so that the endpoint gets requests again and can recover.
+
+Attempts are counted as follows:
+
+- A response counts as a success, in the rate over all plans and in the rate of its plan, and as a latency
+  sample.
+- A rejection counts as a failure, only in the rate of its plan.
+- Any other failure counts as a failure, only in the rate over all plans. Failures that the client or this
+  gateway caused are not counted: a cancelled or unsent attempt, or a timeout after less than
+  `OVERDUE_MULTIPLE` mean service times, which happens if the request arrived with little time left.
+- An attempt that has been in flight for `OVERDUE_MULTIPLE` mean service times is overdue. It is counted at
+  that moment, long before any timeout: as a latency sample of that size, and in the rate over all plans. In
+  that rate it counts as a failure, or as a success if the endpoint has responded to another attempt since
+  this one was sent: such an endpoint is slow, but it does respond.
+
+An overdue attempt is counted again when it ends. If it was counted as a failure and then times out, it counts
 as two failures.
 
-Nothing counts of an attempt that was in flight while the gateway itself stalled (`timers.py`): responses that
-lay unread would make outliers of all endpoints at once.
+Attempts that were in flight while the gateway itself stalled (`timers.py`) are not counted. Their responses
+were read late, and counting them would make outliers of all endpoints at once.
 """
 
 from __future__ import annotations
@@ -31,25 +36,25 @@
 from yardlane.decisions.timers import Timers
 from yardlane.decisions.units import SECOND_US
 
-FAILURE_SAMPLE_WEIGHT = 0.25  # failures must show fast
+FAILURE_SAMPLE_WEIGHT = 0.25  # large, so that failures take effect after a few attempts
 LATENCY_SAMPLE_WEIGHT = 0.1
 OVERDUE_MULTIPLE = 4.0  # of the mean service time
-DECAY_PER_S = 0.1  # the share of a bad record that a second without use takes away
+DECAY_PER_S = 0.1  # the share that failure rates and latency ratio lose per second without use
 
 
 def decay_factor(unused_us: int) -> float:
-    """The share of an endpoint's record that still counts after it was not used for so long."""
+    """Return the factor for an endpoint's failure rates and excess latency after `unused_us` without use."""
     factor: float = (1.0 - DECAY_PER_S) ** (unused_us / SECOND_US)
     return factor
 
 
 def overdue_after_us(mean_service_time_us: float) -> int:
-    """How long after its start an attempt is overdue."""
+    """Return the time, in microseconds after it was sent, at which an attempt is overdue."""
     return int(OVERDUE_MULTIPLE * mean_service_time_us)
 
 
 class OutlierDetection:
-    """Keeps the failure rates and latency ratios of the endpoints."""
+    """Updates the failure rates and the latency ratios of the endpoints."""
 
     __slots__ = ("_timers",)
 
@@ -59,7 +64,7 @@
     def record_response(
         self, attempt: AttemptRecord, plan: QuotaPlan, elapsed_us: int, mean_service_time_us: float
     ) -> None:
-        """Count an attempt that got a good response."""
+        """Count an attempt that got a successful response."""
         if self._was_in_flight_during_stall(attempt):
             return
         _add_failure_sample(attempt.endpoint, None, 0.0)
@@ -74,7 +79,7 @@
         elapsed_us: int,
         mean_service_time_us: float,
     ) -> None:
-        """Count an attempt that ended without a good response."""
+        """Count an attempt that ended without a successful response."""
         if self._was_in_flight_during_stall(attempt) or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         if outcome is Outcome.TIMED_OUT and elapsed_us < OVERDUE_MULTIPLE * mean_service_time_us:
@@ -82,7 +87,7 @@
         _add_failure_sample(attempt.endpoint, plan if outcome is Outcome.REJECTED else None, 1.0)
 
     def record_overdue(self, attempt: AttemptRecord) -> None:
-        """Count an attempt that is in flight for `OVERDUE_MULTIPLE` mean service times."""
+        """Count an attempt that has been in flight for `OVERDUE_MULTIPLE` mean service times."""
         if self._was_in_flight_during_stall(attempt):
             return
         responded_since = attempt.endpoint.last_success_at_us > attempt.sent_at_us
--- a/yardlane/decisions/service_time.py
+++ b/yardlane/decisions/service_time.py
@@ -1,12 +1,12 @@
-"""Mean service times, as the responses of the endpoints show them. Times are microseconds.
+"""Mean service times, measured from the responses of the endpoints. Times are in microseconds.
 
-There is a mean for each request class and one over all requests. Before any response, a class is taken to
-need `INITIAL_SERVICE_TIME_SHARE` of its latency objective: rather too much than too little, as a warming
-endpoint is sent requests by this figure (`slow_start.py`). A sample counts as at most `MAX_SAMPLE_MULTIPLE`
-means, so that one slow response does not stand for a change.
+There is one mean for each request class, and one over all requests. Before the first response, the mean of a
+class is taken to be `INITIAL_SERVICE_TIME_SHARE` of its latency objective. This is rather too high than too
+low, because the number of requests that a warming endpoint gets depends on it (`slow_start.py`). A sample
+counts as at most `MAX_SAMPLE_MULTIPLE` means, so that one slow response is not taken for a lasting change.
 
-`relative_weight_per_time` compares classes: priority weight / mean service time, relative to the mean of that
-ratio over all arrivals.
+`relative_weight_per_time` compares classes: it is the priority weight divided by the mean service time,
+relative to the mean of that quotient over all arrivals.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 INITIAL_SERVICE_TIME_SHARE = 1 / 6
 SAMPLE_WEIGHT = 0.1
-ARRIVAL_SAMPLE_WEIGHT = SAMPLE_WEIGHT / 10  # so that a short run of one class moves the mean little
+ARRIVAL_SAMPLE_WEIGHT = SAMPLE_WEIGHT / 10  # small, so that a short series of one class moves the mean little
 MAX_SAMPLE_MULTIPLE = 5  # in means of the class
 
 
 class ServiceTimes:
-    """The mean service time of each request class and of all."""
+    """The mean service time of each request class, and the mean over all requests."""
 
     __slots__ = ("_classes", "_mean_weight_per_time", "_overall_sample_weight", "mean_us", "overall_mean_us")
 
@@ -35,21 +35,22 @@
         )
 
     def record_arrival(self, class_index: int) -> None:
-        """Count an arrival of this class in the mean weight per time of all arrivals."""
+        """Count an arrival of this class in the mean weight per time over all arrivals."""
         weight_per_time = self._classes[class_index].priority_weight / self.mean_us[class_index]
         self._mean_weight_per_time += ARRIVAL_SAMPLE_WEIGHT * (weight_per_time - self._mean_weight_per_time)
 
     def relative_weight_per_time(self, class_index: int) -> float:
-        """The priority weight of this class per service time; 1.0 is the mean of all arrivals."""
+        """Return the priority weight of this class per service time; 1.0 is the mean over all arrivals."""
         weight_per_time = self._classes[class_index].priority_weight / self.mean_us[class_index]
         return weight_per_time / self._mean_weight_per_time
 
     def record_response(self, class_index: int, elapsed_us: int) -> None:
-        """Take over the time of a response.
+        """Update the means with the service time of a response.
 
-        The sample weight of the overall mean starts at 1 and becomes 1/2, 1/3 and so on, which makes it the
-        plain mean of the first samples. From `SAMPLE_WEIGHT` on it is a moving average, as the means of the
-        classes are at once.
+        The sample weight of the overall mean is 1/2 for the first response, then 1/3, 1/4 and so on. So at
+        first, the overall mean is the arithmetic mean of its initial value and the samples. Once the weight
+        has fallen to `SAMPLE_WEIGHT`, the overall mean is an exponential moving average, which the means of
+        the classes are from the start.
         """
         mean_us = self.mean_us[class_index]
         sample_us = min(elapsed_us, MAX_SAMPLE_MULTIPLE * mean_us)
