--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -21,11 +21,11 @@
 
 GATEWAY_COUNT = 40
 ENDPOINT_COUNT = 60
-ID_MULTIPLIER = 2654435761  # spreads the numbers over all ids
+ID_MULTIPLIER = 2654435761  # spreads consecutive numbers over the whole range of ids
 
 
 def make_endpoints(count: int = ENDPOINT_COUNT, first: int = 0) -> tuple[Endpoint, ...]:
-    """Endpoints that are warm, with ids as different as real ones."""
+    """Return warm endpoints whose ids differ as much as real ones do."""
     return tuple(
         make_endpoint(0, endpoint_id=b"s-%08x" % (number * ID_MULTIPLIER % 2**32))
         for number in range(first, first + count)
@@ -35,7 +35,7 @@
 def make_endpoint_lists(
     entries: tuple[Endpoint, ...], gateway_count: int = GATEWAY_COUNT
 ) -> list[EndpointList]:
-    """The list of each gateway, after a snapshot of these endpoints."""
+    """Return the endpoint list of each gateway, after a snapshot of these endpoints."""
     lists = [
         EndpointList(make_settings(gateway_count=gateway_count, rank=rank)) for rank in range(gateway_count)
     ]
@@ -49,9 +49,9 @@
 
 
 def test_subsets_of_many_gateways_cover_all_endpoints_evenly() -> None:
-    """Forty gateways used sixty endpoints each. Every second request opened a connection of its own.
+    """If each of 40 gateways used all 60 endpoints, every second request would open a new connection.
 
-    So a gateway uses a subset, and the subsets of all gateways cover the endpoints evenly.
+    So each gateway uses a subset, and the subsets of all gateways together cover the endpoints evenly.
     """
     gateway_counts: Counter[bytes] = Counter()
     for endpoints in make_endpoint_lists(make_endpoints()):
@@ -91,19 +91,20 @@
 
 
 def test_endpoint_removed_and_listed_again_keeps_its_record() -> None:
-    """A list lacked a warming endpoint for a moment. Named again, it got its whole budget once more.
+    """An endpoint list may omit a warming endpoint for a moment and then contain it again.
 
-    What it was sent is remembered for a window, if it comes back with the same start.
+    With a new record, the endpoint would get its whole budget a second time. So its record is kept for a
+    window and used again if the start time is the same.
     """
     [endpoints] = make_endpoint_lists((), gateway_count=1)
     warming = make_endpoint(0, started_at_us=500 * SECOND)
-    named = EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,))
-    endpoints.apply_update(named)
+    update = EndpointListUpdate(UpdateKind.SNAPSHOT, 2, (warming,))
+    endpoints.apply_update(update)
     record = endpoints.by_id[warming.endpoint_id]
     record.sent_work.add(100 * MS, 501 * SECOND)
     endpoints.apply_update(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, ()))
     assert not endpoints.by_id
-    endpoints.apply_update(named)
+    endpoints.apply_update(update)
     assert endpoints.by_id[warming.endpoint_id] is record
 
 
@@ -117,23 +118,23 @@
 
 
 def attempted_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
-    """Where all attempts of the log went."""
+    """Return the ids of the endpoints that the attempts in the log went to."""
     return {action.endpoint_id for _, action in driver.log if isinstance(action, StartAttempt)}
 
 
 def serve_and_collect_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
-    """Where the next sixty requests go, each answered at once."""
-    reached = set()
+    """Send sixty requests, answer each at once, and return the ids of the endpoints that they went to."""
+    endpoint_ids = set()
     for _ in range(60):
         number, actions = driver.ask(quota_plan=FREE)
         for attempt in of_type(StartAttempt, actions):
-            reached.add(attempt.endpoint_id)
+            endpoint_ids.add(attempt.endpoint_id)
             driver.end(number, attempt.endpoint_id)
         driver.run(200 * MS)
-    return reached
+    return endpoint_ids
 
 
-def test_draining_endpoint_is_replaced_in_the_subset() -> None:
+def test_requests_go_to_the_subset_and_a_draining_endpoint_is_replaced() -> None:
     driver = GatewayDriver(endpoints=0, gateway_count=GATEWAY_COUNT)
     driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
     before = subset_ids(driver.gateway.endpoints)
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -9,11 +9,11 @@
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import EndpointListUpdate, LoadReport, UpdateKind
 
-INITIAL_SERVICE_TIME_US = 150 * MS  # the mean service time before any answer
+INITIAL_SERVICE_TIME_US = 150 * MS  # the mean service time that a gateway assumes before any response
 
 
 def serve_and_count_by_endpoint(driver: GatewayDriver, requests: int) -> Counter[bytes]:
-    """The endpoints of so many requests, each answered as fast as is expected at first."""
+    """Serve this many requests, each in the initial mean service time, and count them by endpoint."""
     counts: Counter[bytes] = Counter()
     for _ in range(requests):
         number, actions = driver.ask(quota_plan=FREE)
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,4 +1,4 @@
-"""Which ends of attempts count against an endpoint, and which do not."""
+"""Which attempts raise the failure rates or the latency ratio of an endpoint, and which do not."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 def count_attempts(driver: GatewayDriver, endpoint_id: bytes) -> int:
-    """The attempts of the log at this endpoint."""
+    """Return the number of attempts in the log that went to this endpoint."""
     return sum(
         isinstance(action, StartAttempt) and action.endpoint_id == endpoint_id for _, action in driver.log
     )
 
 
 def test_hanging_endpoint_is_avoided_before_any_timeout() -> None:
-    """One endpoint of four accepts requests and never answers.
+    """One of four endpoints accepts requests and never responds.
 
-    Until the first attempt there times out it would get a quarter of all requests. Overdue attempts count
-    against it long before.
+    If only timeouts counted, it would get a quarter of all requests until the first attempt there times out.
+    Overdue attempts count as failures long before that.
     """
     driver = GatewayDriver(endpoints=4)
     hanging_id = make_endpoint_id(1)
@@ -51,10 +51,10 @@
 
 
 def test_endpoint_that_fails_fast_gets_few_attempts() -> None:
-    """An endpoint refused all connections, and so never had anything in flight.
+    """An endpoint that refuses all connections never has any attempt in flight.
 
-    While the others were busy it looked like the one to finish first, and drew most of the requests. A
-    failure counts as a part of a latency objective lost, so it gets a few attempts only.
+    While the other endpoints are busy, it looks like the fastest one and would get most of the requests. Its
+    failure rates add a part of the latency objective to its cost, so that it gets only a few attempts.
     """
     driver = GatewayDriver(endpoints=4)
     failing_id = make_endpoint_id(2)
@@ -102,10 +102,10 @@
 
 
 def test_attempts_in_flight_during_a_gateway_stall_are_not_counted() -> None:
-    """The gateway's process stood still for two seconds.
+    """A gateway whose process was stopped for two seconds then finds that its attempts have timed out.
 
-    It then found its attempts timed out, and the answers that had come meanwhile looked as late. It counted
-    that against the endpoints, and avoided healthy ones.
+    Responses that arrived in the meantime look just as late. If these attempts were counted, the gateway
+    would avoid healthy endpoints.
     """
     driver = GatewayDriver(endpoints=3, gateway_count=100)
     started = [one for _ in range(2) for one in of_type(StartAttempt, driver.ask(quota_plan=FREE)[1])]
@@ -115,7 +115,7 @@
         return {key: (record.latency_ratio, record.failure_rates.copy()) for key, record in by_id.items()}
 
     before = endpoint_averages()
-    driver.now += 2 * SECOND  # without any turn in between
+    driver.now += 2 * SECOND  # without a turn in between: the gateway stalls
     for attempt in started:
         driver.end(attempt.request_id, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=2 * SECOND)
     assert len(started) > 0
@@ -123,9 +123,10 @@
 
 
 def test_rejections_count_only_for_the_rejected_plan() -> None:
-    """Endpoints rejected requests of one plan, as they were full for it.
+    """An endpoint that is full for one plan rejects the requests of that plan.
 
-    They were then avoided by the requests of all plans, and the remaining endpoints were overloaded.
+    If the rejections counted for all plans, the requests of all plans would avoid the endpoint, and the
+    remaining endpoints would be overloaded.
     """
     driver = GatewayDriver(endpoints=1)
     for _ in range(5):
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints that are warming up are not overloaded by what all gateways together send."""
+"""Slow start: the requests of all gateways together do not overload an endpoint that is warming up."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from yardlane.decisions.settings import Settings
 from yardlane.decisions.slow_start import RESTART_BUDGET_SHARE, USABLE_BUDGET_SHARE, SlowStart
 
-# A budget of many requests, so that little is chance.
+# A budget of many requests, so that random variation has little effect.
 LARGE_BUDGET = {"overload_multiple": 4.0, "overload_window_us": 3 * SECOND}
 SMALL_REQUESTS = Scenario(
     gateway_count=20,
@@ -54,14 +54,14 @@
 
 @dataclass
 class SimulationResult:
-    """What the warming endpoints of all seeds were sent."""
+    """The load on the warming endpoints, over all seeds."""
 
     max_load_ratio: float
-    """The largest work of a window, over what is allowed."""
+    """The largest work of any window, relative to the allowed work."""
     overloaded_share: float
-    """The share of endpoints that were sent more than is allowed."""
+    """The share of endpoints that were sent more work than allowed in any window."""
     used_budget_share: float
-    """The mean share of the budgets that was sent."""
+    """The mean share of its budget that an endpoint was sent."""
 
 
 def simulate(scenario: Scenario, seeds: range) -> SimulationResult:
@@ -78,8 +78,9 @@
     )
 
 
-# The others are run by hand: with two or three gateways, and where the estimate of large requests is far too
-# low, a budget is of one request or two. A single request of over four times the mean work then exceeds it.
+# The other scenarios are only run by hand (see the end of this file). With two or three gateways, and where
+# the estimate for large requests is far too low, a budget is only one or two requests. A single request of
+# more than four times the mean work then exceeds it.
 @pytest.mark.parametrize(
     "title",
     [
@@ -98,11 +99,11 @@
 def test_warming_endpoints_are_not_overloaded(title: str) -> None:
     result = simulate(SCENARIOS[title], range(2))
     assert result.max_load_ratio <= 1.0
-    assert result.used_budget_share >= 0.2  # and it warms up under load
+    assert result.used_budget_share >= 0.2  # the endpoint gets load while it warms up
 
 
 def make_slow_starts(settings: Settings, warming: EndpointListUpdate, started_at_us: int) -> list[SlowStart]:
-    """The slow start of each gateway, all started at this time."""
+    """Return the `SlowStart` of each gateway; all gateways start at `started_at_us`."""
     started = []
     for rank in range(settings.gateway_count):
         endpoints = EndpointList(replace(settings, rank=rank))
@@ -118,7 +119,10 @@
     ("gateway_count", "work_us"), [(1, 1 * MS), (3, 150 * MS), (20, 15 * MS), (60, 150 * MS)]
 )
 def test_admitted_requests_stay_within_the_budget(gateway_count: int, work_us: int, restart: bool) -> None:
-    """Each gateway sends whenever it may; all may restart once, and so spend half of a part more."""
+    """Each gateway sends whenever it is admitted.
+
+    If all gateways restart once, they may send `RESTART_BUDGET_SHARE` of the usable budget in addition.
+    """
     base = make_settings(gateway_count=gateway_count, **LARGE_BUDGET)
     classes = tuple(replace(c, latency_objective_us=6 * work_us) for c in base.request_classes)
     settings = replace(base, request_classes=classes)
@@ -141,9 +145,8 @@
                 sent.append(now)
                 while sent[0] <= now - settings.overload_window_us:
                     sent.popleft()
-                assert (
-                    len(sent) <= budget * (1.0 + RESTART_BUDGET_SHARE * restart) + 1
-                )  # the slot that is open
+                # One more request may come from the time slot that is open.
+                assert len(sent) <= budget * (1.0 + RESTART_BUDGET_SHARE * restart) + 1
 
 
 def test_gateway_sends_at_most_its_share_of_the_budget() -> None:
@@ -163,7 +166,10 @@
 
 
 def attempt_times_of_250_gateways(settings: Settings, new: Endpoint, started_at_us: int) -> list[int]:
-    """When 250 gateways, with five requests a second each for 20 s, send to a new endpoint of sixty."""
+    """Return the times at which 250 gateways send attempts to a new endpoint, which is one of sixty.
+
+    Each gateway gets five requests a second for 20 s.
+    """
     entries = (new, *(make_endpoint(number) for number in range(1, 60)))
     times: list[int] = []
     for rank in range(250):
@@ -178,9 +184,10 @@
 
 
 def test_250_gateways_use_a_warming_endpoint_without_overloading_it() -> None:
-    """Divided by 250 gateways the budget was less than one request, and none of them sent any.
+    """If the budget is divided among 250 gateways, each share is less than one request.
 
-    The endpoint was not used at all until it was warm. Now its users take slots, and one sends in each.
+    Without time slots, no gateway would send to the endpoint before it is warm. With them, one of the
+    gateways sends a request in each time slot.
     """
     settings = make_settings(gateway_count=250)
     started_at_us = 77 * SECOND
@@ -197,7 +204,7 @@
         )
 
 
-if __name__ == "__main__":  # more seeds by hand: how many, and part of a title
+if __name__ == "__main__":  # by hand: number of seeds, and optionally a part of a title
     for title, scenario in SCENARIOS.items():
         if len(sys.argv) < 3 or sys.argv[2] in title:
             result = simulate(scenario, range(int(sys.argv[1])))
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -1,7 +1,8 @@
-"""Gateways, endpoints and clients on a simulated clock, to see what endpoints are sent while they warm up.
+"""A simulation of gateways, endpoints and clients, to see what endpoints are sent while they warm up.
 
-The gateways are real. Each learns of a change at a time of its own; endpoints are of many cores and have no
-queue, so that the budgets of slow start are what bounds the load, not the limit on attempts in flight.
+The gateways are real and run on a simulated clock; each gateway learns of a change after its own delay. The
+endpoints have many cores and no queue. So the load is bounded by the budgets of slow start, and not by the
+limit on attempts in flight.
 """
 
 from __future__ import annotations
@@ -31,37 +32,37 @@
 from yardlane.decisions.settings import Settings
 
 BEGIN_US = 100 * SECOND
-JOIN_US = BEGIN_US + 3 * SECOND  # from here on the endpoints start that the test looks at
+JOIN_US = BEGIN_US + 3 * SECOND  # the warming endpoints start within a second after this time
 DRAIN_US = JOIN_US + SECOND * 3 // 2
 FAILURE_DURATION_US = 2 * MS  # a rejection or a failed connection
 HANG_DURATION_US = 2 * SECOND
-NOTIFICATION_DELAY_US = (20 * MS, 800 * MS)  # how late a gateway learns of a change
-INITIAL_SERVICE_TIME_SHARE = 1 / 6  # of the latency objective: what a gateway takes a request for at first
-BURST_PERIOD_S = (7, 9)  # twice the load
+NOTIFICATION_DELAY_US = (20 * MS, 800 * MS)  # the range of the delay with which a gateway learns of a change
+INITIAL_SERVICE_TIME_SHARE = 1 / 6  # of the latency objective: a gateway's estimate before any response
+BURST_PERIOD_S = (7, 9)  # since the beginning; the load is doubled in this period
 
 
 @dataclass
 class Scenario:
-    """What happens on one simulated day; the seed draws around these figures."""
+    """The parameters of a simulated run; the seed determines the random values that are drawn with them."""
 
     gateway_count: int = 30
     warm_count: int = 8
     warming_count: int = 2
-    warm_endpoints_stay: bool = False  # else they drain, and all requests go to the warming ones
-    warming_endpoints_crashed: bool = False  # they were up and warm before; else they are new
-    restart_share: float = 0.0  # of the gateways, twice
-    partial_list_share: float = 0.0  # of the gateways: their list lacks half of the warm endpoints
-    lists_flap: bool = False  # lists lose the warming endpoints for a moment and name them again
-    work_factor: float = 1.0  # the mean work of a request, in initial estimates
-    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # that of each class, in means of all
-    offered_load: float = 4.0  # offered work, in warm cores for each warming endpoint
-    hang_share: float = 0.05  # of the attempts: never answered in time
+    warm_endpoints_stay: bool = False  # else they drain, and all requests go to the warming endpoints
+    warming_endpoints_crashed: bool = False  # they were warm before and crashed; else they are new
+    restart_share: float = 0.0  # of the gateways that restart, in each of two rounds
+    partial_list_share: float = 0.0  # of the gateways whose list lacks about 60 % of the warm endpoints
+    lists_flap: bool = False  # lists omit the warming endpoints for a moment, several times
+    work_factor: float = 1.0  # the mean work of a request, relative to the initial estimate
+    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # mean work of each class; 1.0 is the mean
+    offered_load: float = 4.0  # offered work per warming endpoint, in cores of a warm endpoint
+    hang_share: float = 0.05  # of the attempts that get no response and time out
     latency_objective_us: int = 900 * MS
     settings: dict[str, float] = field(default_factory=dict)
 
 
 def warm_up_factor(settings: Settings, started_at_us: int, now_us: int) -> float:
-    """The share of its capacity that an endpoint has, by the rule of the settings."""
+    """Return the share of its full capacity that an endpoint has at `now_us` according to the settings."""
     if not started_at_us:
         return 1.0
     share = settings.initial_capacity_share
@@ -69,7 +70,7 @@
 
 
 class SimulatedClock:
-    """The time, and what happens at which time; equal times in the order of their scheduling."""
+    """A clock that makes scheduled calls in the order of their times, and then of their scheduling."""
 
     def __init__(self, now_us: int) -> None:
         self.now_us = now_us
@@ -89,7 +90,10 @@
 
 @dataclass
 class ReceivedAttempt:
-    """One attempt as it reached its endpoint."""
+    """An attempt that reached its endpoint.
+
+    `sender_knew_start` is whether the gateway's endpoint list had the current start time of the endpoint.
+    """
 
     at_us: int
     work_us: float
@@ -98,14 +102,17 @@
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint, and what reached it since its start."""
+    """An endpoint, and the attempts that reached it since its start."""
 
     entry: Endpoint
     is_down: bool = False
     received: list[ReceivedAttempt] = field(default_factory=list)
 
     def warm_up_load(self, settings: Settings, mean_work_us: float, now_us: int) -> tuple[float, float]:
-        """Of all windows the largest work over what is allowed, and all work over the whole budget."""
+        """Return two ratios: the largest work of a window to the allowed work, and all work to the budget.
+
+        Both count only attempts that were sent while the endpoint was warming up.
+        """
         started_at_us = self.entry.started_at_us
         warming = [
             attempt
@@ -122,7 +129,8 @@
             informed_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start)
             factor = warm_up_factor(settings, started_at_us, attempt.at_us)
             allowed = settings.overload_multiple * factor * settings.overload_window_us / mean_work_us
-            if informed_us > total_us * 2 / 3:  # else most of it came from those that could not know
+            # Windows are ignored if a third of the work came from gateways that did not know of the start.
+            if informed_us > total_us * 2 / 3:
                 max_ratio = max(max_ratio, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
         until_us = min(now_us, started_at_us + settings.warm_up_us)
         first_factor = warm_up_factor(settings, started_at_us, started_at_us)
@@ -133,7 +141,7 @@
 
 @dataclass
 class GatewayProcess:
-    """A gateway that may be restarted, and the endpoint list as it was last notified of it."""
+    """A gateway that may be restarted, and the endpoint list that it was last notified of."""
 
     rank: int
     gateway: Gateway
@@ -143,7 +151,7 @@
 
 @dataclass
 class SimulatedAttempt:
-    """One attempt of a request."""
+    """An attempt of a request, until it ends or is cancelled."""
 
     endpoint_id: bytes
     sent_at_us: int
@@ -151,7 +159,7 @@
 
 
 class Simulation:
-    """One day of a scenario."""
+    """A run of a scenario with one seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.random = Random(seed)
@@ -194,7 +202,7 @@
         self.clock.schedule(BEGIN_US, self._send_request)
 
     def warm_up_loads(self) -> list[tuple[float, float]]:
-        """`warm_up_load` of each endpoint that the test looks at."""
+        """Return the `warm_up_load` of each warming endpoint."""
         return [
             self.endpoints[endpoint_id].warm_up_load(self.settings, self.mean_work_us, self.clock.now_us)
             for endpoint_id in self.warming_ids
@@ -203,13 +211,14 @@
     def _new_gateway(self, rank: int) -> Gateway:
         return Gateway(replace(self.settings, rank=rank), self.random.getrandbits(32))
 
-    # What happens to the endpoints and the gateways
+    # Changes of the endpoints and the gateways
 
     def _notify_of_initial_lists(self) -> None:
         for process in self.processes:
             entries = tuple(endpoint.entry for endpoint in self.endpoints.values())
             self._notify(process, entries, UpdateKind.CACHED)
-            if self.random.random() < self.scenario.partial_list_share:  # so it computes other users
+            # A gateway with a partial list computes another number of gateways per endpoint.
+            if self.random.random() < self.scenario.partial_list_share:
                 missing = [
                     endpoint_id
                     for endpoint_id in self.endpoints
@@ -268,7 +277,7 @@
             self._notify(process, entries, UpdateKind.SNAPSHOT)
 
     def _notify_all(self, entry: Endpoint) -> None:
-        """Let each gateway learn of a change at its own time."""
+        """Notify each gateway of a change, with a delay of its own."""
         for process in self.processes:
             at_us = self.clock.now_us + self.random.randrange(*NOTIFICATION_DELAY_US)
             self.clock.schedule(at_us, partial(self._notify, process, (entry,)))
@@ -332,7 +341,7 @@
         )
 
     def _serve(self, process: GatewayProcess, endpoint_id: bytes, work_us: float) -> tuple[float, Outcome]:
-        """How long an attempt takes and how it ends."""
+        """Return the duration of an attempt in microseconds, and its outcome."""
         endpoint = self.endpoints[endpoint_id]
         if endpoint.is_down:
             return float(FAILURE_DURATION_US), Outcome.NOT_CONNECTED
@@ -348,7 +357,7 @@
         return work_us, Outcome.OK
 
     def _draw_work_us(self, request_id: int) -> float:
-        """Work that varies as in the field: its deviation is 0.7 of the mean."""
+        """Return a random amount of work; its standard deviation is 0.7 of the mean, as in production."""
         mean_us = self.mean_work_us * self.scenario.class_factors[request_id % 3]
         return self.random.gammavariate(2.0, mean_us / 2.0)
 
