--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -65,6 +65,7 @@
 
 
 def simulate(scenario: Scenario, seeds: range) -> SimulationResult:
+    """Run the scenario once with each seed."""
     loads: list[tuple[float, float]] = []
     for seed in seeds:
         simulation = Simulation(scenario, seed)
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -1,8 +1,8 @@
 """A simulation of gateways, endpoints and clients, to see what endpoints are sent while they warm up.
 
-The gateways are real and run on a simulated clock; each gateway learns of a change after its own delay. The
-endpoints have many cores and no queue. So the load is bounded by the budgets of slow start, and not by the
-limit on attempts in flight.
+The simulation runs real `Gateway` objects on a simulated clock. Each gateway learns of a change after its own
+delay. The endpoints have many cores and no queue, so that the load is bounded by the budgets of slow start,
+and not by the limit on attempts in flight.
 """
 
 from __future__ import annotations
@@ -49,14 +49,14 @@
     warm_count: int = 8
     warming_count: int = 2
     warm_endpoints_stay: bool = False  # else they drain, and all requests go to the warming endpoints
-    warming_endpoints_crashed: bool = False  # they were warm before and crashed; else they are new
-    restart_share: float = 0.0  # of the gateways that restart, in each of two rounds
-    partial_list_share: float = 0.0  # of the gateways whose list lacks about 60 % of the warm endpoints
+    warming_endpoints_crashed: bool = False  # they were warm, crash and start again; else they are new
+    restart_share: float = 0.0  # the share of gateways that restart, in each of two rounds
+    partial_list_share: float = 0.0  # of the gateways; their lists lack about 60 % of the warm endpoints
     lists_flap: bool = False  # lists omit the warming endpoints for a moment, several times
     work_factor: float = 1.0  # the mean work of a request, relative to the initial estimate
-    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # mean work of each class; 1.0 is the mean
+    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # mean work per class, relative to all
     offered_load: float = 4.0  # offered work per warming endpoint, in cores of a warm endpoint
-    hang_share: float = 0.05  # of the attempts that get no response and time out
+    hang_share: float = 0.05  # the share of attempts that get no response and time out
     latency_objective_us: int = 900 * MS
     settings: dict[str, float] = field(default_factory=dict)
 
@@ -151,7 +151,7 @@
 
 @dataclass
 class SimulatedAttempt:
-    """An attempt of a request, until it ends or is cancelled."""
+    """One attempt of a request."""
 
     endpoint_id: bytes
     sent_at_us: int
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -6,9 +6,9 @@
 - The expected time until the endpoint has finished the attempt. This is the mean service time of the request
   class, times the endpoint's latency ratio, times the number of attempts there (those in flight and the new
   one), divided by the endpoint's warm-up factor.
-- The expected cost of a failure. This is the sum of two failure rates of the endpoint, over all plans and for
-  the plan of the request, times the latency objective. So a failure costs as much as a response that takes
-  the whole latency objective.
+- The expected cost of a failure. This is the latency objective times the sum of two failure rates of the
+  endpoint: the rate over all plans and the rate of the request's plan. So a failure costs as much as a
+  response that takes the whole latency objective.
 
 Older observations count less. `outliers.decay_factor` reduces the failure rates and the deviation of the
 latency ratio from 1. The in-flight attempts of other gateways, as the endpoint reported them, are reduced to
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -39,7 +39,7 @@
 FAILURE_SAMPLE_WEIGHT = 0.25  # large, so that failures take effect after a few attempts
 LATENCY_SAMPLE_WEIGHT = 0.1
 OVERDUE_MULTIPLE = 4.0  # of the mean service time
-DECAY_PER_S = 0.1  # the share that failure rates and latency ratio lose per second without use
+DECAY_PER_S = 0.1  # the share that failure rates and excess latency lose per second without use
 
 
 def decay_factor(unused_us: int) -> float:
--- a/yardlane/decisions/service_time.py
+++ b/yardlane/decisions/service_time.py
@@ -1,8 +1,8 @@
 """Mean service times, measured from the responses of the endpoints. Times are in microseconds.
 
 There is one mean for each request class, and one over all requests. Before the first response, the mean of a
-class is taken to be `INITIAL_SERVICE_TIME_SHARE` of its latency objective. This is rather too high than too
-low, because the number of requests that a warming endpoint gets depends on it (`slow_start.py`). A sample
+class is taken to be `INITIAL_SERVICE_TIME_SHARE` of its latency objective. This estimate errs on the high
+side, because the number of requests that a warming endpoint gets depends on it (`slow_start.py`). A sample
 counts as at most `MAX_SAMPLE_MULTIPLE` means, so that one slow response is not taken for a lasting change.
 
 `relative_weight_per_time` compares classes: it is the priority weight divided by the mean service time,
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -3,9 +3,9 @@
 The capacity of an endpoint that has just started is `initial_capacity_share` of its full capacity, and grows
 linearly to the full capacity over `warm_up_us`. While it warms up, it fails if all gateways together send it,
 within `overload_window_us`, more than `overload_multiple` times the work that it can do in that time. This
-limit is its budget. A warm endpoint is assumed to have one core, so its capacity is 1 us of service
-time per us. Work is service time in microseconds: each request counts as the mean service time that this
-gateway measures, but never as less than `min_request_work_us`.
+limit is its budget. A warm endpoint is assumed to have one core, so its capacity is 1 us of service time per
+us. Work is service time in microseconds: each request counts as the mean service time that this gateway
+measures, but never as less than `min_request_work_us`.
 
 The gateways do not tell each other what they send. So the budget is divided evenly among the gateways whose
 `subset_rank` for the endpoint is below `gateways_per_endpoint`, whatever endpoint list each of them holds:
@@ -129,7 +129,7 @@
     def _time_slots_since_last_own(
         self, endpoint: EndpointRecord, warm_up_factor: float, rounded_work_us: float, now_us: int
     ) -> float:
-        """Return how many time slots ago the last time slot of this gateway started, with the fraction.
+        """Return the number of time slots, with fraction, since this gateway's last time slot started.
 
         Time slots are counted from the endpoint's start, with the mean of its warm-up factor since then.
         """
