--- a/yardlane/decisions/endpoint_record.py
+++ b/yardlane/decisions/endpoint_record.py
@@ -46,7 +46,10 @@
         self.sent_work = WorkWindow(overload_window_us)
 
     def record_load(self, load: LoadReport, now_us: int) -> None:
-        """Set `remote_in_flight` to the load that the endpoint reports, less this gateway's own attempts."""
+        """Set `remote_in_flight` to the reported load, less this gateway's own attempts.
+
+        If the endpoint does not report its requests in flight, its load is `queued` plus `utilization`.
+        """
         reported = load.in_flight
         if reported is None:
             reported = (load.queued or 0.0) + (load.utilization or 0.0)
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -49,7 +49,7 @@
 
 
 def overdue_after_us(mean_service_time_us: float) -> int:
-    """Return the time, in microseconds after it was sent, at which an attempt is overdue."""
+    """Return how many microseconds after it was sent an attempt becomes overdue."""
     return int(OVERDUE_MULTIPLE * mean_service_time_us)
 
 
--- a/yardlane/decisions/service_time.py
+++ b/yardlane/decisions/service_time.py
@@ -16,7 +16,7 @@
 INITIAL_SERVICE_TIME_SHARE = 1 / 6
 SAMPLE_WEIGHT = 0.1
 ARRIVAL_SAMPLE_WEIGHT = SAMPLE_WEIGHT / 10  # small, so that a short series of one class moves the mean little
-MAX_SAMPLE_MULTIPLE = 5  # in means of the class
+MAX_SAMPLE_MULTIPLE = 5  # of the mean service time of the class
 
 
 class ServiceTimes:
