--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -1,22 +1,24 @@
-"""Whether a new request is admitted or rejected (shed load), and how long an admitted one may queue.
-
-**Reject.** A plan with a rate compares the fleet's demand in one decay time with the available capacity: what
-the rate sustains (`sustained_capacity`), and a share of what is left of the burst. With demand D over
-available capacity C, a new request is rejected with the probability 1 - C/D. All gateways compute about the
-same probability, so together they admit about C. The rejections are spread evenly rather than drawn, as drawn
-ones come in runs.
-
-A plan with only a concurrency limit queues what is beyond its bound. But a limit below the number of
-gateways cannot be kept by bounds, since a bound is one request at least; there the same probability keeps
-the sum.
-
-**Queue.** An admitted request queues until the concurrency bound, the hard rate and an endpoint let it go, in
-order of arrival. It is rejected after `max_queueing_time_us`, while its client can still use the answer. But
-if that time ends while the request still waits for the counter's reply, it is not looked at again: it then
-queues until its client is about to give up (`Gateway._on_final_answer_due`).
-
-Demand and capacity are units where the plan has a rate; else slot-seconds, a concurrency slot for the mean
-service time.
+"""Admission control: whether a new request is admitted or rejected, and how long it may queue.
+
+**Rejection.** For a plan with a rate, the fleet's demand in one decay time is compared with the available
+capacity. That is what the rate sustains in this time (`sustained_capacity`) plus a share of the remaining
+burst. If the demand D exceeds the available capacity C, a new request is rejected with the probability
+1 - C/D. All gateways compute about the same probability, so together they admit about C. The rejections are
+spread evenly over the requests instead of being drawn at random, because random rejections come in runs.
+
+For a plan with only a concurrency limit, requests over the gateway's concurrency bound queue and are not
+rejected by this probability. The exception is a limit below the number of gateways. Bounds cannot enforce it,
+because each gateway's bound is at least one request. Such a limit is enforced by the same rejection
+probability.
+
+**Queueing.** An admitted request queues until the concurrency bound, the hard rate and an endpoint allow it
+to be forwarded. The queue is served in order of arrival. A request that has queued for
+`max_queueing_time_us` is rejected, while its client can still use the answer. There is one exception: if this
+time ends while the request still waits for the counter's reply, it is not checked again. It then queues until
+shortly before its deadline (`Gateway._on_final_answer_due`).
+
+Demand and capacity are measured in units if the plan has a rate. Otherwise they are measured in slot-seconds:
+a request counts as one concurrency slot, held for the mean service time.
 """
 
 from __future__ import annotations
@@ -27,26 +29,32 @@
 from yardlane.decisions.tenant import Tenant
 from yardlane.decisions.units import SECOND_US
 
-SUSTAINED_RATE_SHARE = 0.90  # of the rate; the rest of it refills the burst
-# Requests come at random: with a mean of half of a limit of two in flight, all of it is in use a quarter of
-# the time, and a request beyond the limit is worth little.
+SUSTAINED_RATE_SHARE = 0.90  # share of the rate that counts as capacity; the rest refills the burst
+# Target utilization of a concurrency limit below the number of gateways. Requests arrive at random: for a
+# limit of two, a mean of one request in flight already uses both slots a quarter of the time, and a request
+# over the limit is worth little.
 SMALL_LIMIT_UTILIZATION = 0.5
-USABLE_BURST_SHARE = 0.5  # of the burst's rest that counts as capacity: other gateways admit from it as well
-# Of the time that the latency objective leaves beside the service time. A request that queued for all of it
-# would miss the objective whenever it takes longer than the mean, and use capacity for nothing.
+# Share of the remaining burst that counts as capacity: the other gateways admit requests from the same burst.
+USABLE_BURST_SHARE = 0.5
+# Longest time in the queue, as a share of the latency objective minus the mean service time. With the whole
+# difference, a request that takes longer than the mean would miss its objective and waste capacity.
 QUEUEING_OBJECTIVE_SHARE = 0.6
-ENDPOINT_RECHECK_DELAY_US = 20_000  # how soon a queued request looks again for an endpoint
-# Of the time after which the client gives up: a later rejection leaves it no time to send the request again.
+ENDPOINT_RECHECK_DELAY_US = 20_000  # delay until a queue without an available endpoint is checked again
+# Longest time in the queue, as a share of the time until the client's deadline. A later rejection would leave
+# the client no time to send the request again.
 QUEUEING_DEADLINE_SHARE = 0.4
 
 
 def request_demand(plan: QuotaPlan, units: float, service_time_us: float) -> float:
-    """What a request adds to the tenant's demand."""
+    """Return what a request adds to its tenant's demand: units, or slot-seconds for a plan without a rate."""
     return units if plan.rate_per_s else service_time_us / SECOND_US
 
 
 def sustained_capacity(tenant: Tenant, units: float, service_time_us: float) -> float:
-    """What all gateways together may admit of such requests in one decay time; 0 for a plan without quota."""
+    """Return how much demand all gateways together may admit in one decay time, leaving the burst aside.
+
+    It is computed for requests with this cost and mean service time. It is 0 for a plan without a quota.
+    """
     plan = tenant.plan
     decay_s = tenant.demand.decay_us / SECOND_US
     if not plan.rate_per_s:
@@ -57,10 +65,9 @@
 
 
 def decide_admission(tenant: Tenant, units: float, service_time_us: float, now_us: int) -> bool:
-    """Admit (True) or reject a request of this tenant.
+    """Return whether a request of this tenant is admitted (True) or rejected (False).
 
-    This changes the tenant: it refills its buckets, sets its concurrency bound and adds to its admission
-    credit.
+    As a side effect, refill the tenant's token buckets and update its concurrency bound and admission credit.
     """
     plan = tenant.plan
     amount = request_demand(plan, units, service_time_us)
@@ -80,27 +87,31 @@
 
 
 def _admit_by_credit(tenant: Tenant, rejection_probability: float) -> bool:
-    """Add up the probabilities to pass; a request passes whenever they reach the next whole one."""
+    """Return whether to admit a request, so that rejections are spread evenly.
+
+    Each request adds its admission probability to the tenant's credit. A request is admitted when the credit
+    reaches 1, which is then subtracted.
+    """
     admitted, tenant.admission_credit = divmod(tenant.admission_credit + 1.0 - rejection_probability, 1.0)
     return admitted >= 1.0
 
 
 def max_queueing_time_us(request_class: RequestClass, service_time_us: float, time_left_us: int) -> int:
-    """How long a request may queue and still be served within its objective, or rejected in time.
+    """Return how long a request may queue and still meet its latency objective, or be rejected in time.
 
-    0 where the mean service time is the whole objective: what cannot be forwarded at once is then rejected in
-    the same turn.
+    This is 0 if the mean service time is not below the latency objective. A request that cannot be forwarded
+    immediately is then rejected in the same turn.
     """
     within_objective_us = (request_class.latency_objective_us - service_time_us) * QUEUEING_OBJECTIVE_SHARE
     return max(0, int(min(within_objective_us, time_left_us * QUEUEING_DEADLINE_SHARE)))
 
 
 def forwarding_delay_us(tenant: Tenant, missing_units: float, now_us: int) -> int:
-    """When to look again at a queue whose first request lacks units of the hard rate, or an endpoint.
+    """Return the delay until a queue is checked again whose first request could not be forwarded.
 
-    When an endpoint will be free is not known: the queue is looked at again after
-    `ENDPOINT_RECHECK_DELAY_US`. Where units are missing, that delay is added to the time in which
-    they flow in.
+    It is not known when an endpoint becomes available, so without one the queue is checked again after
+    `ENDPOINT_RECHECK_DELAY_US`. If the hard rate lacks units, the time in which its bucket fills by
+    `missing_units` is added to this delay.
     """
     if missing_units <= 0.0:
         return ENDPOINT_RECHECK_DELAY_US
--- a/yardlane/decisions/burst.py
+++ b/yardlane/decisions/burst.py
@@ -1,13 +1,14 @@
-"""What is left of a rate's burst, as this gateway estimates it.
+"""An estimate of how much of a rate's burst is left.
 
-The quota of a plan with a rate is one token bucket for all gateways: it holds `burst` units and fills by
-`rate_per_s` units a second. No gateway sees it. Each keeps a bucket of the same size and takes from it, for
-what it forwards, as much as all gateways together are taken to forward meanwhile: its own units times the
-fleet's demand over the local demand. `admission.py` adds a part of what is left to the capacity.
+The quota of a plan with a rate is one token bucket for all gateways together. It holds `burst` units and
+refills with `rate_per_s` units per second. No gateway can see this bucket, so each gateway estimates it with
+a local bucket of the same size. For each request that it forwards, it takes as many units as all gateways
+together are assumed to forward meanwhile: the request's units times the ratio of the fleet's demand to the
+local demand. `admission.py` adds a share of the remaining units to the capacity.
 
-In a large fleet (`quota.is_large_fleet`) each gateway forwards so little that its own bucket fills up again
-between two of its requests, and all gateways together would pass half a burst over and over. There the bucket
-counts for no more than the burst less the fleet's demand beyond the rate in one decay time.
+In a large fleet (`quota.is_large_fleet`) each gateway forwards so few requests that its own bucket fills up
+again between two of them. All gateways together would then forward half a burst again and again. There, the
+remaining burst is estimated as at most the burst minus the demand that exceeds the rate in one decay time.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
-MAX_FLEET_RATIO = 2.0  # gateway counts by which what is forwarded here is multiplied, at most
-MAX_OVERDRAFT_SHARE = 0.5  # of the burst by which the bucket may be overdrawn: bounds how long it recovers
-MIN_DEMAND = 1e-9  # keeps a ratio finite where the local demand has decayed to nothing
+MAX_FLEET_RATIO = 2.0  # maximum ratio of the fleet's demand to the local demand, in numbers of gateways
+MAX_OVERDRAFT_SHARE = 0.5  # maximum overdraft, as a share of the burst; limits the time to recover
+MIN_DEMAND = 1e-9  # keeps the ratio finite when the local demand has decayed to zero
 
 
 class BurstEstimate:
-    """The bucket of one tenant, in units. Only for a plan with a rate."""
+    """The local bucket that estimates one tenant's remaining burst, in units; for plans with a rate only."""
 
     __slots__ = ("_demand", "_plan", "_refilled_at_us", "_units")
 
@@ -33,20 +34,20 @@
         self._refilled_at_us = now_us
 
     def refill(self, now_us: int) -> None:
-        """Add what the rate has let flow in since the last call."""
+        """Add the units that the rate has supplied since the last call."""
         elapsed_us = now_us - self._refilled_at_us
         self._refilled_at_us = now_us
         self._units = min(self._plan.burst, self._units + self._plan.rate_per_s * elapsed_us / SECOND_US)
 
     def units_left(self, fleet_demand: float) -> float:
-        """Units of the burst that are left while the fleet has this demand."""
+        """Return how many units of the burst are left, given the fleet's demand."""
         if not self._demand.is_in_large_fleet:
             return self._units
         demand_over_rate = max(0.0, fleet_demand - self._plan.rate_per_s * self._demand.decay_us / SECOND_US)
         return min(self._units, max(0.0, self._plan.burst - demand_over_rate))
 
     def take(self, units: float, request_demand: float) -> None:
-        """Take a request's units, and with them what the other gateways forward meanwhile."""
+        """Take a request's units, and those that the other gateways are assumed to forward meanwhile."""
         demand = self._demand
         fleet_ratio = demand.estimate_fleet_demand(request_demand) * demand.local_decay_us
         fleet_ratio /= max(MIN_DEMAND, demand.local_demand * demand.decay_us)
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -1,22 +1,24 @@
-"""A tenant's demand, here and over all gateways, and this gateway's part of a concurrency limit.
+"""A tenant's demand, at this gateway and over all gateways, and this gateway's part of a concurrency limit.
 
-**Demand.** A request of t microseconds ago counts by e^(-t / decay): no interval ends at which all
-gateways would begin again together. The amounts are units where the plan has a rate; else they are
-slot-seconds, a concurrency slot for the mean service time (`admission.request_demand`). Each gateway knows
+**Demand.** Demand is a sum over requests that decays exponentially: a request that arrived t microseconds ago
+has the weight e^(-t / decay time). With fixed intervals instead, all gateways would start again from zero at
+the same time. Demand is measured in units if the plan has a rate, otherwise in slot-seconds: a concurrency
+slot held for the mean service time (`admission.request_demand`). Each gateway knows
 
-- its local demand, which it adds up itself,
-- its unreported demand, the part of it that was not reported to the shared counter yet, and
-- the fleet's demand, the sum over all gateways, by the last reply of the counter (`counter_polling.py`).
+- its local demand, which it sums up itself,
+- its unreported demand, the part that it has not yet reported to the shared counter, and
+- the fleet's demand, the sum over all gateways as of the counter's last reply (`counter_polling.py`).
 
-**Estimate.** Between two totals the fleet's demand is the last total, scaled as the local demand has
-changed since. So a gateway that loses its counter goes on with what it knew, and a burst that starts here
-counts at once. Before the first total, all gateways are taken to get about as much demand as this one;
-otherwise a tenant could pass its whole quota through each gateway of a fleet whose counter is silent.
+**Estimate.** Between two totals, the fleet's demand is estimated as the last total, scaled by the change of
+the local demand since then. So a gateway that loses its counter continues from the last known total, and a
+burst that starts at this gateway counts immediately. Before the first total, all gateways are assumed to get
+about as much demand as this one. Otherwise, in a fleet whose counter does not answer, a tenant could use its
+whole quota at each gateway.
 
-**Concurrency bound.** The demand split of Padala et al. (port allocator; see docs/design.md): while the
-fleet's demand is below the limit, each gateway gets its own demand and an even share of what is left; above
-it, the limit is divided in proportion to demand. It is never below one request, or a tenant could starve
-here.
+**Concurrency bound.** The limit is split by demand as in the port allocator of Padala et al. (see
+docs/design.md). While the fleet's demand is below the limit, each gateway gets its own demand and an even
+share of the remainder. Above it, the limit is divided in proportion to demand. A bound is at least one
+request, because with 0 a tenant could starve at this gateway.
 
 Times are microseconds of the gateway's own clock.
 """
@@ -29,44 +31,53 @@
 from yardlane.decisions.units import NEVER_US, SECOND_US
 
 MAX_TOTAL_AGE_US = 20 * SECOND_US
-"""A total of this age says little of the fleet's demand by now."""
+"""A total of this age or older no longer says much about the fleet's current demand."""
 
 LARGE_FLEET_THRESHOLD = 25
-"""Up to so many gateways report to the counter in one decay time; in a larger fleet each sees little."""
+"""A fleet with more gateways than this is large: each gateway sees few of a tenant's requests.
+
+Up to this size, all gateways together poll a tenant's count at most about this many times in one decay time
+(`counter_polling.py`), unless the demand is near the capacity.
+"""
 
 NO_PERIOD = -1
-BURST_REFILL_TIME_SHARE = 0.4  # of the time in which the rate refills the burst
-MIN_DECAY_TIMEOUTS = 50  # the least decay time, in time-outs of the counter
-MIN_SHORT_DECAY_TIMEOUTS = 10  # where a long one would mislead, see `decay_time_us`
-# What a gateway admits of a quota before the first total, in even shares: more than one, as a gateway that
-# gets somewhat more requests than the others would otherwise reject some within the quota.
+BURST_REFILL_TIME_SHARE = 0.4  # decay time, as a share of the time in which the rate refills the whole burst
+MIN_DECAY_TIMEOUTS = 50  # minimum decay time, in time-outs of the counter
+MIN_SHORT_DECAY_TIMEOUTS = 10  # the same where a long decay time would mislead, see `decay_time_us`
+# How many even shares of a quota a gateway admits before the first total. With a single share, a gateway that
+# gets somewhat more requests than the others would reject requests within the quota.
 EVEN_SHARES_BEFORE_TOTAL = 1.4
-SMOOTHING_REQUESTS = 3.0  # a change of local demand by less than these is chance, and scales the total little
-# The share of its capacity that a tenant is taken to have used when the period of its first total began, as
-# that total covers nothing before. With 0, a burst that began before would count too little and pass; with 1,
-# requests within the quota would be rejected.
+# Smooths the scaling of the total: a change of the local demand by fewer requests than this is likely to be
+# random, so it changes the estimate little.
+SMOOTHING_REQUESTS = 3.0
+# The demand that a tenant is assumed to have had when the period of its first total began, as a share of its
+# capacity. The total covers only that period. With 0, a burst that began before the period would count too
+# little and exceed the quota; with 1, requests within the quota would be rejected.
 ASSUMED_PRIOR_DEMAND_SHARE = 0.5
-# a count never falls: below this share of its last total, the counter has lost it
+# A count never decreases. If a total is below this share of the last one, the counter has lost its count.
 COUNT_LOSS_THRESHOLD = 0.999
-BOUND_TOLERANCE = 1e-4  # slots that rounding may cost before the bound is rounded down
+# In slots. A bound that is below a whole number by less than this is not rounded down, as the difference is
+# likely to be a rounding error.
+BOUND_TOLERANCE = 1e-4
 
 
 def is_large_fleet(gateway_count: int) -> bool:
-    """Whether each gateway sees so few of a tenant's requests that its own demand says little."""
+    """Return whether each gateway sees too few of a tenant's requests for its local demand to say much."""
     return gateway_count > LARGE_FLEET_THRESHOLD
 
 
 def is_limit_below_gateway_count(plan: QuotaPlan, gateway_count: int) -> bool:
-    """Whether even one request at each gateway could exceed the concurrency limit, if the plan has one."""
+    """Return whether the plan has a concurrency limit that one request at each gateway would exceed."""
     return 0 < plan.concurrency_limit < gateway_count
 
 
 def decay_time_us(plan: QuotaPlan, gateway_count: int, counter_timeout_us: int) -> float:
-    """The time constant of the decay: without requests, demand falls to 1/e in it.
+    """Return the time constant of the decay: without requests, demand falls to 1/e in this time.
 
-    It is short for a rate over a large fleet, where each gateway has few requests in the time: a long one
-    saves few polls there, and shows a burst late. For a plan without a rate it is short for a limit below
-    the number of gateways, too, so that the total says what is in flight now.
+    For a plan with a rate, the decay time is short in a large fleet. Each gateway gets few requests in one
+    decay time there, so a long one would save few polls and would show a burst late. For a plan without a
+    rate, it is short if the concurrency limit is below the number of gateways, so that the total reflects
+    what is in flight now.
     """
     burst_us = 0.0
     is_short = is_limit_below_gateway_count(plan, gateway_count)
@@ -78,14 +89,14 @@
 
 
 def even_concurrency_bound(limit: int, gateway_count: int) -> int:
-    """The bound before the first total: an even share. 0 where the plan has no limit."""
+    """Return the bound before the first total, an even share of the limit; 0 if the plan has no limit."""
     if not limit:
         return 0
     return max(1, limit // gateway_count)
 
 
 def split_concurrency_limit(limit: int, gateway_count: int, local_demand: float, fleet_demand: float) -> int:
-    """This gateway's part of a limit on requests in flight; both demands are mean requests in flight."""
+    """Return this gateway's part of a limit on requests in flight; demands are mean requests in flight."""
     if fleet_demand < limit:
         bound = local_demand + (limit - fleet_demand) / gateway_count
     else:
@@ -94,10 +105,11 @@
 
 
 class TenantDemand:
-    """The demand of one tenant: here, not yet reported, and over all gateways.
+    """The demand of one tenant: local, not yet reported, and over all gateways.
 
-    Where each gateway of a large fleet gets few requests, the local demand decays over `local_decay_us`, a
-    longer time than the total's `decay_us`: otherwise it would jump with each request.
+    The local demand decays with `local_decay_us` and the total with `decay_us`. If there are more gateways
+    than the burst has units, or than the concurrency limit, each gateway gets few requests. `local_decay_us`
+    is then longer than `decay_us`, because the local demand would otherwise jump with each request.
     """
 
     __slots__ = (
@@ -135,28 +147,30 @@
         self._carried_over_at_us = 0
 
     def has_total(self) -> bool:
-        """Whether there ever was a total of the counter."""
+        """Return whether the counter has ever returned a total."""
         return self.total_received_at_us >= 0
 
     def has_valid_total(self, now_us: int) -> bool:
-        """Whether the last total is fresh enough to say something of the demand by now."""
+        """Return whether the last total is recent enough to estimate the current demand from."""
         return 0 <= self.total_received_at_us > now_us - MAX_TOTAL_AGE_US
 
     def add(self, amount: float, now_us: int) -> None:
-        """Count a request of this amount."""
+        """Add a request's demand to the local and the unreported demand."""
         self.local_demand = self.local_demand_at(now_us) + amount
         self.unreported_demand += amount
         self.last_request_at_us = now_us
 
     def local_demand_at(self, now_us: int) -> float:
-        """The local demand, decayed until now."""
+        """Return the local demand, decayed to `now_us`."""
         return self.local_demand * math.exp((self.last_request_at_us - now_us) / self.local_decay_us)
 
     def estimate_fleet_demand(self, request_demand: float) -> float:
-        """The last total, scaled as the local demand has changed since; before a total, by even shares.
+        """Return the estimated demand over all gateways.
 
-        Neither is decayed until now: the local demand is as of the last arrival, the total as of its receipt.
-        `request_demand` is the demand of the present request.
+        This is the last total, scaled by the change of the local demand since then. Before the first total,
+        the local demand is extrapolated to all gateways. No value is decayed to the current time: the local
+        demand is as of the last arrival, the total as of its receipt. `request_demand` is the demand of the
+        current request.
         """
         if self.total_received_at_us < 0:
             even_demand = self.local_demand * self.gateway_count * self.decay_us / self.local_decay_us
@@ -167,11 +181,11 @@
     def apply_total(
         self, total: float, period_index: int, period_start_us: int, capacity: float, now_us: int
     ) -> None:
-        """Take in a total of the count of this period; `capacity` is that of one decay time.
+        """Update the fleet's demand from a total of this period's count; `capacity` is per decay time.
 
-        A new period's count starts at zero, and a counter that restarts loses its counts. Either would look
-        as if there had been no demand, and admit far more than the quota. So what was known before is
-        carried along, decaying, and the count is added to it.
+        The count of a new period starts at zero, and a counter that restarts loses its counts. Both would
+        look as if there had been no demand, and far more than the quota would be admitted. So the demand
+        known before is carried over: it decays further, and the new count is added to it.
         """
         if period_index != self._last_period_index or total < self._last_count * COUNT_LOSS_THRESHOLD:
             if self.has_total():
