--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -1,18 +1,20 @@
-"""The limit on the attempts that one gateway has in flight at once, over all endpoints together.
+"""An adaptive limit on the attempts that one gateway has in flight at once, over all endpoints together.
 
-Queues in front of the endpoints cost the latency objective of every request behind them; requests wait in the
-gateway instead, where they can still be rejected. The endpoints do not say how many attempts they can serve
-at once, so the limit is adaptive. A response within `LATE_RESPONSE_SHARE` of its class's latency objective
-widens it, a later one narrows it. The steps get smaller away from `base_limit` and larger towards it, so the
-limit settles where both directions balance: with p the share of late responses, at limit / `base_limit` =
-sqrt((1 - p) / p). That is 1 while half of the responses are late, and 2 while a fifth is.
+A request that queues at an endpoint delays every request behind it, which may then miss its latency
+objective. So requests queue in the gateway instead, where they can still be rejected. The endpoints do not
+report how many attempts they can serve at once, so the limit adapts to response times. A response within
+`LATE_RESPONSE_SHARE` of its class's latency objective raises the limit, a later one lowers it. Steps away
+from `base_limit` get smaller with the distance, and steps towards it get larger. The limit therefore settles
+where both directions balance. If p is the share of late responses, this is the case at
+limit / `base_limit` = sqrt((1 - p) / p): 1 if half of the responses are late, 2 if a fifth of them are.
 
-`base_limit` is `ATTEMPTS_PER_ENDPOINT` for each endpoint that is ready, divided by the number of gateways.
-In a large set that is less than one: there the limit is kept by pacing, an attempt each mean service time /
-limit.
+`base_limit` is `ATTEMPTS_PER_ENDPOINT` for each ready endpoint, divided by the number of gateways. With many
+gateways it can be below 1. A limit below 1 is enforced by pacing: the gateway has at most one attempt in
+flight and sends attempts at least (mean service time / limit) apart.
 
-A class of more priority weight per service time than the mean (`service_time.py`) gets a wider limit, up to
-`MAX_CLASS_LIMIT_RATIO` times as wide, and one of less a narrower one.
+The limit also depends on the request class: a class with a higher priority weight per service time than the
+mean (`service_time.py`) gets a higher limit, at most `MAX_CLASS_LIMIT_RATIO` times as high, and a class with
+a lower one gets a lower limit.
 """
 
 from __future__ import annotations
@@ -20,17 +22,17 @@
 from yardlane.decisions.settings import Settings
 from yardlane.decisions.units import SECOND_US
 
-LATE_RESPONSE_SHARE = 0.35
+LATE_RESPONSE_SHARE = 0.35  # share of the latency objective above which a response is late
 ATTEMPTS_PER_ENDPOINT = 2.0
-MAX_LIMIT_RATIO = 4.0  # of the base limit
-SMALLEST_MAX_LIMIT = 2.0  # attempts
+MAX_LIMIT_RATIO = 4.0  # maximum limit, as a multiple of the base limit
+SMALLEST_MAX_LIMIT = 2.0  # attempts; the maximum limit is not below this
 MIN_LIMIT = 0.1  # attempts
-STEP_SHARE = 0.1
-MAX_CLASS_LIMIT_RATIO = 2.0
+STEP_SHARE = 0.1  # share of the computed step by which one response changes the limit
+MAX_CLASS_LIMIT_RATIO = 2.0  # maximum ratio of a class's limit to the common limit, in either direction
 
 
 class ConcurrencyLimit:
-    """The attempts in flight, and the limit on them."""
+    """The number of attempts in flight, and the adaptive limit on it."""
 
     __slots__ = ("_gateway_count", "base_limit", "in_flight", "last_sent_at_us", "limit")
 
@@ -38,17 +40,18 @@
         self._gateway_count = settings.gateway_count
         self.last_sent_at_us = -SECOND_US
         self.in_flight = 0
-        self.base_limit = 1.0  # until the first endpoint list; `set_endpoint_count` scales both
+        self.base_limit = 1.0  # until the first endpoint list; `set_endpoint_count` scales this and `limit`
         self.limit = MAX_LIMIT_RATIO * self.base_limit
 
     def set_endpoint_count(self, ready_count: int) -> None:
-        """Scale the limit to the number of endpoints that are ready."""
+        """Scale the limit to the number of ready endpoints."""
         base_limit = ATTEMPTS_PER_ENDPOINT * max(1, ready_count) / self._gateway_count
         self.limit = self.limit * base_limit / self.base_limit
         self.base_limit = base_limit
 
     def admits(self, relative_weight_per_time: float, mean_service_time_us: float, now_us: int) -> bool:
-        """Whether an attempt of a class of this weight per time and mean service time may be sent now."""
+        """Return whether an attempt may be sent now, given its class's weight per time and mean service
+        time."""
         class_ratio = max(1.0 / MAX_CLASS_LIMIT_RATIO, relative_weight_per_time)
         limit = self.limit * min(MAX_CLASS_LIMIT_RATIO, class_ratio)
         if self.in_flight >= limit:
@@ -56,16 +59,16 @@
         return limit >= 1.0 or now_us - self.last_sent_at_us >= mean_service_time_us / limit
 
     def record_sent(self, now_us: int) -> None:
-        """Count an attempt that is sent."""
+        """Count an attempt as sent."""
         self.in_flight += 1
         self.last_sent_at_us = now_us
 
     def record_ended(self) -> None:
-        """Count the end of an attempt."""
+        """Count an attempt as ended."""
         self.in_flight -= 1
 
     def record_response(self, elapsed_us: int, latency_objective_us: int) -> None:
-        """Adapt the limit to the time of a response."""
+        """Adapt the limit to the time that a response took."""
         relative_limit = self.limit / self.base_limit
         if elapsed_us > LATE_RESPONSE_SHARE * latency_objective_us:
             step = -min(self.limit, relative_limit)
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -1,23 +1,30 @@
 """This gateway's share of a plan's hard rate, which all gateways together must never exceed.
 
-The hard rate is one token bucket for all gateways: `hard_rate_depth` units, filled by `hard_rate_per_s`
-units a second, and overdrawn by `hard_rate_slack` units at most. Each gateway has a bucket that holds its
-share of the depth and fills with its share of the rate, and forwards a request only from that. So the hard
-rate holds with no word from another gateway or the counter, as long as all shares add up to one at most.
-
-**Depth.** The share of the depth is always even. A gateway may spend its share as soon as the tenant's
-requests reach it, so a share that another gateway used meanwhile would be spent twice.
-
-**Rate.** While the last total is fresh, up to `DEMAND_BASED_SHARE` of the rate follows the demand; otherwise
-a gateway that gets most of a tenant's requests would pass far less than the quota. All shares together must
-not become more than one, while each gateway gets its total at another time. So a share is taken as of the
-last total, never from demand that came since: at the start of a burst each gateway sees its own demand first.
-It returns to the even share as the total ages. And while the fleet's demand is below the quota, less of the
-rate follows it, as demand that the others have not reported yet then weighs more.
-
-**Start.** A gateway that starts may be one that restarts, and its predecessor may have emptied the bucket.
-So it starts with half of the slack and what has flowed in since the process started. The first total shows
-how much demand there is; while that is below half of the hard rate, part of the bucket is granted at once.
+The hard rate is one token bucket for all gateways. It holds `hard_rate_depth` units, refills with
+`hard_rate_per_s` units per second, and may be overdrawn by at most `hard_rate_slack` units. Each gateway has
+a local bucket that holds its share of the depth and fills with its share of the rate. It forwards a request
+only if this bucket has the units. As long as all shares add up to at most 1, the hard rate is kept without
+messages from other gateways or from the counter.
+
+**Depth.** The depth is always shared evenly. A gateway may spend its whole share of the depth as soon as the
+tenant's requests reach it. If this share had been given to another gateway for some time, both would have
+spent it.
+
+**Rate.** While the last total is recent, up to `DEMAND_BASED_SHARE` of the rate is shared in proportion to
+demand. Otherwise a gateway that gets most of a tenant's requests would forward far less than the quota. The
+shares must not add up to more than 1, although the gateways receive their totals at different times. The
+following rules account for that:
+
+- A share is computed from the demand as of the last total and ignores later increases. At the start of a
+  burst, each gateway sees its own increase first.
+- As the total ages, the share returns to the even share.
+- While the fleet's demand is below the quota, a smaller part of the rate is shared by demand, because demand
+  that other gateways have not reported yet has more weight then.
+
+**Start.** A gateway that starts may be a restarted one, and the previous process may have emptied its bucket.
+So the bucket starts with the gateway's share of half of the slack and of what the rate has supplied since the
+process started. The first total shows how much demand there is. If it is below half of the hard rate, a part
+of the bucket is filled immediately.
 """
 
 from __future__ import annotations
@@ -28,28 +35,32 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
-DEMAND_BASED_SHARE = 0.7  # of the rate that follows the demand while the total is fresh
-# A hard rate is taken to be at least twice the quota: in a fleet of so few gateways an even share of it lets
-# a whole quota pass, so that none has to follow the demand.
+DEMAND_BASED_SHARE = 0.7  # share of the rate that is shared by demand while the total is recent
+# A hard rate is assumed to be at least twice the quota's rate. With up to two gateways, an even share of the
+# hard rate is then enough for the whole quota, so no part of it needs to be shared by demand.
 ASSUMED_HARD_RATE_TO_QUOTA_RATIO = 2.0
-INITIAL_SLACK_SHARE = 0.5
-# A first total fills the bucket to this, less the fleet's demand / the hard rate, of its depth.
+INITIAL_SLACK_SHARE = 0.5  # share of the slack that is in the bucket when the process starts
+# The first total fills the bucket to this share of its depth, minus the ratio of the fleet's demand to the
+# hard rate.
 FIRST_TOTAL_FILL_SHARE = 0.5
 MAX_WAIT_US = 1e9
-MIN_UNITS_PER_US = 1e-9  # keeps a wait finite
+MIN_UNITS_PER_US = 1e-9  # keeps the wait finite
 
 
 def compute_even_share(rank: int, first_gateway: int, gateway_count: int, total_gateway_count: int) -> float:
-    """The share of one of the `gateway_count` gateways that serve a tenant, from `first_gateway` on.
+    """Return the even share of the gateway with this rank among those that serve a tenant.
 
-    0 for a gateway that is none of these: a request that came to it in error must not exceed the hard rate.
+    The tenant is served by `gateway_count` gateways from the rank `first_gateway` on, continuing at rank 0
+    after the last one. The share is 0 for any other gateway: a request that reaches it by mistake must not
+    exceed the hard rate.
     """
     serves_tenant = (rank - first_gateway) % total_gateway_count < gateway_count
     return 1.0 / gateway_count if serves_tenant else 0.0
 
 
 class HardRateBucket:
-    """The bucket of one tenant at this gateway, in units; `uptime_us` is since the process started."""
+    """The bucket of one tenant at this gateway, in units; `uptime_us` is the time since the process
+    started."""
 
     __slots__ = (
         "_demand",
@@ -75,7 +86,10 @@
         self._refilled_at_us = now_us
 
     def rate_share(self, now_us: int) -> float:
-        """This gateway's share of the hard rate: even, or by a fresh total nearer its share of the demand."""
+        """Return this gateway's share of the hard rate.
+
+        This is the even share. With a recent total, it is moved towards this gateway's share of the demand.
+        """
         demand = self._demand
         if demand.total_received_at_us < 0 or demand.fleet_demand <= 0.0 or not self._even_share:
             return self._even_share
@@ -89,32 +103,34 @@
         return self._even_share + demand_based_share * (demand_share - self._even_share)
 
     def refill(self, now_us: int) -> None:
-        """Add what this gateway's share of the rate has let flow in since the last call."""
+        """Add the units that this gateway's share of the rate has supplied since the last call."""
         elapsed_us = now_us - self._refilled_at_us
-        if elapsed_us == 0:  # several requests in one turn
+        if elapsed_us == 0:  # another request in the same turn
             return
         self._refilled_at_us = now_us
         filled = self.units + self._plan.hard_rate_per_s * self.rate_share(now_us) * elapsed_us / SECOND_US
         self.units = min(self._plan.hard_rate_depth * self._even_share, filled)
 
     def is_full(self) -> bool:
-        """Whether the bucket held its whole share of the depth when it was last refilled."""
+        """Return whether the bucket holds its whole share of the depth, as of the last refill."""
         return self.units >= self._plan.hard_rate_depth * self._even_share
 
     def take(self, units: float) -> None:
-        """Take a request's units. Only the first attempt takes them: the hard rate counts requests."""
+        """Take a request's units. Call it for the first attempt only: the hard rate counts requests, not
+        attempts."""
         self.units -= units
 
     def time_to_fill_us(self, units: float, now_us: int) -> int:
-        """The time until the bucket has filled by so many units."""
+        """Return the time until the bucket has filled by this many units, at most `MAX_WAIT_US`."""
         units_per_us = self._plan.hard_rate_per_s * self.rate_share(now_us) / SECOND_US
         return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_UNITS_PER_US, units_per_us)))
 
     def grant_on_first_total(self) -> None:
-        """Fill up to half of the bucket, less the share of the hard rate that the fleet's demand takes.
+        """Fill the bucket to half of its depth, less the share of the hard rate that the fleet's demand uses.
 
-        A gateway that starts anew does not know whether its predecessor emptied the bucket. With much demand
-        it probably did, and a full bucket would exceed the hard rate; with little, half of it must be there.
+        A gateway that has just started does not know whether the previous process emptied the bucket. With
+        high demand it probably did, so a full bucket would exceed the hard rate. With low demand, half of the
+        bucket should still be available.
         """
         demand_share = (
             self._demand.fleet_demand * SECOND_US / self._demand.decay_us / self._plan.hard_rate_per_s
