--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -1,4 +1,4 @@
-"""One request that this gateway has taken."""
+"""A request that this gateway has received."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
     from yardlane.decisions.attempt_record import AttemptRecord
     from yardlane.decisions.tenant import Tenant
 
-FINAL_ANSWER_MARGIN_TICKS = 2  # before the client gives up, as a timer may fire a tick late
+FINAL_ANSWER_MARGIN_TICKS = 2  # margin before the deadline, as a timer may fire up to a tick late
 
 
 class Request:
-    """A request, kept until it has its final answer and no attempt of it is in flight.
+    """A request, kept until it has its final answer and has no attempt in flight.
 
-    `class_index` is an index into the settings' classes; `units` is its cost against a rate. The client
-    gives up at `deadline_at_us`; as timers may fire late, its final answer is due by `final_answer_by_us`.
+    `class_index` is an index into the settings' request classes, and `units` is the request's cost against a
+    rate. The client stops waiting at `deadline_at_us`. The final answer is due at `final_answer_by_us`, which
+    is earlier because timers may fire late.
     """
 
     __slots__ = (
@@ -46,18 +47,22 @@
         self.is_queued = False
 
     def first_attempt_that_may_have_run(self) -> AttemptRecord | None:
-        """The first attempt that may have taken effect: an idempotency key counts from it."""
+        """Return the first attempt that may have taken effect, where an idempotency window starts; None if
+        none."""
         for attempt in self.attempts:
             if attempt.may_have_run:
                 return attempt
         return None
 
     def attempt_in_flight(self, index: int) -> AttemptRecord | None:
-        """The attempt of this index, unless it has ended: a second end must not free its slot again."""
+        """Return the attempt with this index; None if there is none or if it has ended.
+
+        This way, a second end of an attempt does not free its slot again.
+        """
         if index < len(self.attempts) and self.attempts[index].is_in_flight:
             return self.attempts[index]
         return None
 
     def has_attempt_in_flight(self) -> bool:
-        """Whether any attempt has not ended."""
+        """Return whether any attempt has not ended."""
         return any(attempt.is_in_flight for attempt in self.attempts)
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -1,11 +1,12 @@
-"""A tenant of one plan at this gateway: its queue, what it has in flight, and its shares of the quota.
+"""A tenant of one plan at this gateway: its queue, its attempts in flight and its share of the quota.
 
-A tenant is kept from its first request until nothing known of it matters any more: it has nothing queued or
-in flight, its last request is older than a total may be (`MAX_TOTAL_AGE_US`), and its share of the hard rate
-is full. Forgotten earlier, it would come back with a new bucket, and the hard rate would be exceeded.
+A tenant is kept from its first request until its state no longer matters. This is when it has nothing queued
+or in flight, its last request is older than a total may be (`MAX_TOTAL_AGE_US`), and its hard rate bucket is
+full. If it were evicted earlier, it would return with a new bucket, and the hard rate would be exceeded.
 
-Which gateways serve the tenant is taken from its first request, and not updated while the tenant is kept. If
-its later requests name others, its quota is divided by the old number until it is forgotten.
+The first request determines which gateways serve the tenant. This is not updated while the tenant is kept. If
+later requests name other gateways, the quota is divided by the old number of gateways until the tenant is
+evicted.
 """
 
 from __future__ import annotations
@@ -24,17 +25,23 @@
 from yardlane.decisions.request import Request
 from yardlane.decisions.settings import Settings
 
-MAX_EVICTIONS_PER_ARRIVAL = 4  # an arrival adds one tenant at most, so idle ones go faster than new ones come
+# An arrival adds at most one tenant, so idle tenants are evicted faster than new ones arrive.
+MAX_EVICTIONS_PER_ARRIVAL = 4
 
 TenantId = tuple[int, int]
-"""The tenant's number and its plan's: a request may name another plan, and must not change this one's."""
+"""The tenant's number and its plan's index.
+
+A request may name another plan than the tenant's earlier requests did. It then belongs to a separate `Tenant`
+and does not change the plan of the existing one.
+"""
 
 
 class Tenant:
     """One tenant's requests and quota at this gateway.
 
-    `admission_credit` is the part of a request that may pass by now (`admission.py`): it starts anywhere from
-    0 to 1, or all gateways would reject their requests together.
+    `admission_credit` is the accumulated fraction of the next request that may be admitted (`admission.py`).
+    It starts at a random value from 0 to 1, because otherwise all gateways would reject requests at the same
+    time.
     """
 
     __slots__ = (
@@ -78,34 +85,38 @@
         self.has_limit_below_gateway_count = is_limit_below_gateway_count(plan, gateway_count)
 
     def refill(self, now_us: int) -> None:
-        """Bring the plan's token buckets up to now."""
+        """Refill the token buckets that the plan has."""
         if self.plan.rate_per_s:
             self.burst.refill(now_us)
         if self.plan.hard_rate_per_s:
             self.hard_rate.refill(now_us)
 
     def has_free_slot(self) -> bool:
-        """Whether the concurrency bound allows one more request in flight."""
+        """Return whether the concurrency bound allows another attempt in flight."""
         return not self.concurrency_bound or self.in_flight < self.concurrency_bound
 
     def missing_units(self, units: float, now_us: int) -> float:
-        """Refill, and return the units that this gateway's share of the hard rate lacks for a request."""
+        """Refill the buckets and return how many units the hard rate bucket lacks for a request of this cost.
+
+        The result is 0 or less if it lacks none.
+        """
         if not self.plan.hard_rate_per_s:
             return 0.0
         self.refill(now_us)
         return units - self.hard_rate.units
 
     def record_first_attempt(self, units: float, request_demand: float) -> None:
-        """Take a forwarded request's units from the token buckets."""
+        """Take a request's units from the token buckets; call it when its first attempt is sent."""
         if self.plan.hard_rate_per_s:
             self.hard_rate.take(units)
         if self.plan.rate_per_s:
             self.burst.take(units, request_demand)
 
     def update_concurrency_bound(self, fleet_demand: float, slot_us_per_demand: float) -> None:
-        """Split the concurrency limit by demand, as mean requests in flight by Little's law.
+        """Set this gateway's part of the concurrency limit according to demand.
 
-        `slot_us_per_demand` is the time for which one unit of demand holds a slot.
+        Little's law converts demand to the mean number of requests in flight. `slot_us_per_demand` is the
+        time in microseconds for which a demand of 1 occupies a slot.
         """
         demand = self.demand
         self.concurrency_bound = split_concurrency_limit(
@@ -116,7 +127,10 @@
         )
 
     def apply_total(self, total: float, period_index: int, capacity: float, now_us: int) -> None:
-        """Take in a total of the shared counter."""
+        """Update the demand from a total of the shared counter.
+
+        The first total may also fill a part of the hard rate bucket.
+        """
         is_first = not self.demand.has_total()
         start_us = self.periods.start_us(period_index)
         self.demand.apply_total(total, period_index, start_us, capacity, now_us)
@@ -124,7 +138,7 @@
             self.hard_rate.grant_on_first_total()
 
     def is_evictable(self, now_us: int) -> bool:
-        """Refill, and return whether nothing that is known of this tenant matters any more."""
+        """Refill the buckets and return whether the tenant's state no longer matters."""
         if now_us - self.demand.last_request_at_us <= MAX_TOTAL_AGE_US or self.in_flight or self.queue:
             return False
         self.refill(now_us)
@@ -132,7 +146,11 @@
 
 
 def evict_idle_tenants(tenants: dict[TenantId, Tenant], now_us: int) -> None:
-    """Forget tenants from the idle end; `tenants` is in the order of last requests, the newest not idle."""
+    """Evict idle tenants, beginning with the one that has been idle longest.
+
+    `tenants` is ordered by the time of the last request. It must not be empty, and its last tenant must not
+    be idle, so that one tenant always remains.
+    """
     for _ in range(MAX_EVICTIONS_PER_ARRIVAL):
         tenant_id, oldest = next(iter(tenants.items()))
         if not oldest.is_evictable(now_us):
