--- a/tests/decisions/quota_scenarios.py
+++ b/tests/decisions/quota_scenarios.py
@@ -1,17 +1,20 @@
-"""What the tests of a tenant's quota share."""
+"""Helpers that the tests of tenants' quotas share."""
 
 from tests.gateway_driver import RATED, SECOND, GatewayDriver
 from yardlane.decisions.tenant import Tenant
 
 
 def tenant_after_request(driver: GatewayDriver, number: int, plan: int) -> Tenant:
-    """A tenant right after a request of it has arrived."""
+    """Send a request of a tenant and return the tenant."""
     driver.ask(tenant=number, quota_plan=plan)
     return driver.gateway.tenants[number, plan]
 
 
 def exceed_rate(driver: GatewayDriver, seconds: int, requests_per_s: int = 40) -> int:
-    """Send a tenant with a rate of 10 far more than that; the number forwarded in the last second."""
+    """Send requests of a tenant with a rate of 10 per second, by default at four times this rate.
+
+    Return how many requests were forwarded in the last second.
+    """
     forwarded = 0
     for _ in range(seconds):
         forwarded = 0
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admit, queue or reject: rates, bursts, and limits below the number of gateways."""
+"""Tests of admission: rates, bursts, queueing, and concurrency limits below the number of gateways."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 @dataclass
 class AttemptInFlight:
-    """An attempt of one gateway of a fleet, and when its answer comes."""
+    """An attempt that a gateway of the fleet has sent, and the time at which its response arrives."""
 
     ends_at_us: int
     driver: GatewayDriver
@@ -32,7 +32,7 @@
 
 
 class LimitedFleet:
-    """Gateways that share a counter and a concurrency limit; their answers all take the same time."""
+    """Gateways that share a counter and a concurrency limit. All responses take the same time."""
 
     def __init__(self, gateway_count: int, concurrency_limit: int, service_us: int) -> None:
         plans = (make_quota_plan(concurrency_limit=concurrency_limit),)
@@ -47,7 +47,7 @@
         self.forwarded = 0
 
     def send_request(self, now_us: int, rank: int, tenant: int) -> None:
-        """A request at one gateway, after the answers that are due by then."""
+        """Deliver the responses that are due by `now_us`, then send a request to one gateway."""
         while self.in_flight and self.in_flight[0].ends_at_us <= now_us:
             ended = self.in_flight.popleft()
             ended.driver.now = ended.ends_at_us
@@ -84,9 +84,9 @@
 @pytest.mark.parametrize(
     ("service_us", "time_left_us", "max_time_us"),
     [
-        (100 * MS, 3 * SECOND, 480 * MS),  # 0.6 of what the objective of 900 ms leaves
-        (100 * MS, SECOND, 400 * MS),  # 0.4 of the client's own time
-        (950 * MS, 3 * SECOND, 0),  # late in any case
+        (100 * MS, 3 * SECOND, 480 * MS),  # 0.6 of the objective of 900 ms minus the service time
+        (100 * MS, SECOND, 400 * MS),  # 0.4 of the time until the client's deadline
+        (950 * MS, 3 * SECOND, 0),  # the service time alone exceeds the objective
     ],
 )
 def test_max_queueing_time_is_limited_by_objective_and_deadline(
@@ -96,7 +96,11 @@
 
 
 def test_demand_over_the_capacity_is_rejected_evenly() -> None:
-    """Rate 10, burst 20: a decay time of two seconds, with capacity for twenty units of all gateways."""
+    """With rate 10 and burst 20, the decay time is two seconds, in which the rate supplies 20 units to the
+    fleet.
+
+    The fleet's demand is almost twice this.
+    """
     driver = GatewayDriver()
     tenant = tenant_after_request(driver, 5, RATED)
     assert tenant.demand.decay_us == 2 * SECOND
@@ -119,7 +123,7 @@
     plans = (make_quota_plan(rate_per_s=10.0, burst=40.0),)
     driver = GatewayDriver(gateway_count=1, quota_plans=plans)
     forwarded = sum(driver.serve(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
-    assert forwarded >= 15  # a burst after a rest passes: the rate alone has capacity for 15
+    assert forwarded >= 15  # a burst after a pause is forwarded: the rate alone has capacity for 15
     for _ in range(200):
         driver.run(20 * MS)
         driver.serve(tenant=3, quota_plan=0, gateway_count=1)
@@ -127,14 +131,17 @@
     for _ in range(500):
         driver.run(20 * MS)
         forwarded += driver.serve(tenant=3, quota_plan=0, gateway_count=1)
-    assert 80 <= forwarded <= 120  # of five times the rate, about the rate passes
+    assert 80 <= forwarded <= 120  # 500 requests at five times the rate: about the rate is forwarded
 
 
 def test_250_gateways_keep_a_concurrency_limit_of_three() -> None:
-    """One slot at each gateway, the least bound, added up to more than every limit below their number."""
+    """The concurrency bounds alone do not enforce a limit below the number of gateways.
+
+    The smallest bound is one slot at each gateway, which adds up to more than such a limit.
+    """
     fleet = LimitedFleet(gateway_count=250, concurrency_limit=3, service_us=100 * MS)
     in_flight: list[int] = []
-    for number in range(3000):  # fifty requests a second of 100 ms: a demand of five
+    for number in range(3000):  # 50 requests per second of 100 ms each: five in flight on average
         fleet.send_request(START_US + number * 20 * MS, rank=number * 97 % 250, tenant=4)
         in_flight.append(len(fleet.in_flight))
     steady = in_flight[1000:]
@@ -142,7 +149,10 @@
 
 
 def test_small_concurrency_limit_follows_current_load() -> None:
-    """With forty gateways a limit of two was kept by a mean over 1.5 s: it was exceeded, or left idle."""
+    """A small concurrency limit is not enforced by the mean demand over too long a time.
+
+    A mean over 1.5 s let 40 gateways exceed a limit of two, or left the limit unused.
+    """
 
     def count_forwarded(interval_us: int) -> int:
         fleet = LimitedFleet(gateway_count=40, concurrency_limit=2, service_us=150 * MS)
@@ -150,5 +160,6 @@
             fleet.send_request(START_US + number * interval_us, rank=number * 7 % 40, tenant=3)
         return fleet.forwarded
 
-    assert count_forwarded(SECOND) >= 118  # one at a time, each long over when the next one comes
-    assert count_forwarded(20 * MS) <= 30  # fifty a second that take 0.15 s each would keep seven in flight
+    assert count_forwarded(SECOND) >= 118  # one at a time: each ends long before the next one arrives
+    # Without a limit, 50 requests per second that take 0.15 s each would keep seven in flight.
+    assert count_forwarded(20 * MS) <= 30
--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on all attempts in flight of one gateway."""
+"""Tests of the adaptive limit on all attempts that one gateway has in flight."""
 
 from tests.gateway_driver import FREE, MS, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
@@ -6,9 +6,10 @@
 
 
 def test_late_responses_lower_the_limit_until_attempts_are_paced() -> None:
-    """With 168 gateways the endpoints were driven to answers that took four seconds.
+    """The limit can fall below one attempt, and attempts are then paced.
 
-    Each gateway had a limit of at least one attempt, too much in all. Below one, attempts are paced.
+    When each of 168 gateways had a limit of at least one attempt, the limits together were too high. The
+    endpoints were overloaded until responses took four seconds.
     """
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     for _ in range(60):
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -1,4 +1,4 @@
-"""When the shared counter is polled, what is reported to it, and the backoff."""
+"""Tests of when the shared counter is polled, what is reported to it, and the backoff."""
 
 import math
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 def count_polls(driver: GatewayDriver, log_start: int = 0) -> int:
-    """The polls of the driver's log from this entry on."""
+    """Return the number of polls in the driver's log, from the entry with index `log_start` on."""
     return len(of_type(AddToCounter, [action for _, action in driver.log[log_start:]]))
 
 
@@ -42,8 +42,10 @@
 
 @pytest.mark.parametrize("failure", [Outcome.REJECTED, Outcome.TIMED_OUT])
 def test_failing_counter_is_polled_less_often(failure: Outcome) -> None:
-    """174 gateways polled for each request, four times what the counter could take, so that it stayed late
-    and no gateway got a total any more.
+    """An overloaded counter gets fewer polls, so that it can recover.
+
+    174 gateways polled for each request, four times as often as the counter could serve. It stayed late, and
+    no gateway received a total again.
     """
     driver = GatewayDriver(gateway_count=250)
     driver.counter_answers = False
@@ -69,7 +71,7 @@
 
 
 def test_demand_is_reported_again_after_a_rejected_poll_but_not_after_a_timeout() -> None:
-    """After a time-out the counter may have added it; reported again, it would count twice."""
+    """After a time-out, the counter may have added the demand; reported again, it would count twice."""
     driver = GatewayDriver()
     driver.counter_answers = False
     driver.counter_failure = Outcome.REJECTED
@@ -87,12 +89,15 @@
             driver.run(20 * MS)
         return driver.gateway.polling.backoff_factor
 
-    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not grow old
+    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not become outdated
     assert backoff_factor(lambda number: False) > 10.0
 
 
 def test_late_counter_is_polled_less_often_until_it_recovers() -> None:
-    """Forty gateways kept a counter just over what it can serve, and over half of all polls timed out."""
+    """A counter that replies late, but before the time-out, causes backoff.
+
+    40 gateways kept a counter just above the rate that it can serve, and over half of all polls timed out.
+    """
     driver = GatewayDriver(gateway_count=2)
 
     def count_polls_with_reply_time(reply_us: int) -> int:
@@ -120,7 +125,8 @@
     driver.gateway.polling.backoff_factor = 1.0
     driver.counter_answers = True
     driver.ask(tenant=9, quota_plan=RATED, gateway_count=2)
-    # 401 units and the weight of the period's end, not those times the backoff of each failed poll.
+    # The poll reports 401 units, weighted by at most e^8 at the end of a period. They must not also be
+    # multiplied by the backoff factor of each failed poll.
     last_poll = of_type(AddToCounter, [action for _, action in driver.log])[-1]
     assert last_poll.amount < 401 * math.exp(8) * 1.01
     assert driver.gateway.tenants[9, RATED].demand.unreported_demand == 0.0
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -1,4 +1,4 @@
-"""A tenant's hard rate, kept by several gateways that share a slow counter, stop and come back."""
+"""Tests of the hard rate over several gateways that share a slow counter and restart."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class CounterEvent:
-    """A poll under way: at `due_us` the counter adds it or, if `elapsed_us` is set, its answer arrives."""
+    """An event of a poll: at `due_us` the counter adds the amount or, if `elapsed_us` is not 0, replies."""
 
     due_us: int
     elapsed_us: int
@@ -33,7 +33,7 @@
 
 @dataclass
 class PendingResponse:
-    """An answer of an endpoint under way to a gateway."""
+    """A response of an endpoint that reaches the gateway at `due_us`."""
 
     due_us: int
     driver: SlowCounterDriver
@@ -41,7 +41,7 @@
 
 
 class SlowCounterDriver(GatewayDriver):
-    """A gateway whose counter is shared and far away; some answers are lost."""
+    """A gateway whose shared counter replies with a delay; some replies are lost."""
 
     def __init__(self, counts: dict[int, float], random: Random, **changes: Any) -> None:
         self.random = random
@@ -59,7 +59,10 @@
         return []
 
     def run_counter(self) -> None:
-        """Half way the counter adds, then its answer arrives."""
+        """Carry out the counter events that are due.
+
+        The counter adds a poll's amount halfway through the poll; the reply arrives at its end.
+        """
         due = [event for event in self.counter_events if event.due_us <= self.now]
         for event in sorted(due, key=lambda event: (event.due_us, event.elapsed_us)):
             self.counter_events.remove(event)
@@ -73,7 +76,10 @@
 
 
 class HardRateSimulation:
-    """One tenant's requests to all gateways, and beside them the bucket as one who saw all would know it."""
+    """One tenant's requests to all gateways, and the hard rate's real bucket.
+
+    No gateway can see this bucket. It takes the units of all requests that the gateways forward.
+    """
 
     def __init__(self, seed: int, gateway_count: int) -> None:
         self.random = Random(seed)
@@ -89,7 +95,7 @@
         self.units_forwarded = 0.0
 
     def start_gateway(self, rank: int) -> SlowCounterDriver:
-        """A gateway with no memory of an earlier process."""
+        """Return a gateway that has no state of an earlier process."""
         return SlowCounterDriver(
             self.counts,
             self.random,
@@ -101,14 +107,14 @@
         )
 
     def stop_gateway(self, rank: int, downtime_us: int = 150 * MS) -> None:
-        """End a gateway's process, to be restarted after this time."""
+        """Stop a gateway's process; it restarts after `downtime_us`."""
         self.pending_responses = [
             response for response in self.pending_responses if response.driver is not self.drivers[rank]
         ]
         self.restart_times_us[rank] = self.now + downtime_us
 
     def step(self, units_per_s: float) -> None:
-        """Let one step of time pass, with requests of about so many units."""
+        """Advance the time by `STEP_US`, with requests of about `units_per_s` units per second."""
         self.now += STEP_US
         filled = self.units_left + PLAN.hard_rate_per_s * STEP_US / SECOND
         self.units_left = min(PLAN.hard_rate_depth, filled)
@@ -130,12 +136,12 @@
             self.record_forwarded(driver)
 
     def send_request(self, driver: SlowCounterDriver, units: float) -> None:
-        """A request at this gateway."""
+        """Send a request of this cost to a gateway."""
         self.units_by_request[driver, driver.next_request] = units
         driver.ask(tenant=4, quota_plan=0, units=units, gateway_count=self.gateway_count, time_left_us=SECOND)
 
     def record_forwarded(self, driver: SlowCounterDriver) -> None:
-        """Take what a gateway forwarded off the true bucket; only a first attempt takes units."""
+        """Take what a gateway forwarded from the real bucket; only a first attempt takes units."""
         for attempt in of_type(StartAttempt, [action for _, action in driver.log]):
             units = self.units_by_request.pop((driver, attempt.request_id), 0.0)
             self.units_left -= units
@@ -147,9 +153,9 @@
 
 
 def simulate_bursts(simulation: HardRateSimulation, stop_every_us: int) -> float:
-    """Three seconds of rest and three of a burst, in turn; the share used of what the hard rate allows.
+    """Alternate 3 s of low load with 3 s of a burst, and return the used share of what the hard rate allows.
 
-    During bursts one gateway after another stops and is back soon, one in `stop_every_us` (0: none).
+    During bursts, the gateways stop one after another, one every `stop_every_us` (0: none), and restart soon.
     """
     while (age_us := simulation.now - START_US) < 20 * SECOND:
         is_burst = age_us // (3 * SECOND) % 2 == 1
@@ -172,17 +178,19 @@
 def test_hard_rate_holds_during_bursts_and_gateway_restarts(
     gateway_count: int, stop_every_us: int, first_seed: int, min_used_share: float
 ) -> None:
-    """Gateways set their shares by totals of different times, and each moved depth as well as rate. All
-    shares together were more than one, and the bucket was overdrawn.
+    """The gateways' shares of the hard rate never add up to more than 1.
+
+    The gateways computed their shares of both depth and rate from totals of different times. The shares added
+    up to more than 1, and the bucket was overdrawn.
     """
     simulations = [HardRateSimulation(seed, gateway_count) for seed in range(first_seed, first_seed + 5)]
     used = sum(simulate_bursts(simulation, stop_every_us) for simulation in simulations) / len(simulations)
     assert min(simulation.min_units_left for simulation in simulations) >= -PLAN.hard_rate_slack
-    assert used >= min_used_share  # not kept by rejecting all
+    assert used >= min_used_share  # the hard rate is not kept by rejecting everything
 
 
 def count_forwarded_at_start(remote_demand: float, counter_answers: bool = True) -> int:
-    """How many of ten requests are forwarded at once right after a start, with a share of ten units."""
+    """Return how many of ten requests are forwarded right after a start, with a share of ten units."""
     plan = make_quota_plan(
         rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
     )
@@ -194,7 +202,10 @@
 
 
 def test_first_total_fills_half_of_the_bucket_unless_demand_is_high() -> None:
-    """Many gateways started with an empty bucket, and a hard rate rejected most of the first seconds."""
+    """A gateway with low demand does not start with an empty bucket.
+
+    When many gateways started with empty buckets, most requests of the first seconds were rejected.
+    """
     assert count_forwarded_at_start(0.0) in (2, 3, 4, 5)
     assert count_forwarded_at_start(1e4) == count_forwarded_at_start(0.0, counter_answers=False) == 0
 
@@ -205,7 +216,10 @@
 
 
 def send_steadily(driver: GatewayDriver, seconds: int, every_us: int) -> int:
-    """One request of one unit every so often, answered by the next one; the number forwarded."""
+    """Send a request of one unit every `every_us`, and return how many requests were forwarded.
+
+    Each one gets its response before the next request.
+    """
     forwarded = 0
     for _ in range(seconds * SECOND // every_us):
         actions = driver.run(every_us)
@@ -218,19 +232,24 @@
 
 
 def test_rate_share_follows_demand_and_returns_to_even_without_totals() -> None:
-    """Of ten gateways a busy one had a tenth of the hard rate, far less than its part of the quota."""
+    """A gateway that gets most of the demand gets more than an even share of the hard rate.
+
+    With even shares only, a busy one of ten gateways had a tenth of the hard rate, far less than its part of
+    the quota.
+    """
     driver = GatewayDriver(gateway_count=10, quota_plans=(TEN_GATEWAYS_PLAN,))
     send_steadily(driver, 4, 200 * MS)
-    assert send_steadily(driver, 10, 200 * MS) > 40  # alone it gets 5 units a second of a quota of 6
+    # This gateway alone gets all requests: 5 units per second, with a quota of 6.
+    assert send_steadily(driver, 10, 200 * MS) > 40
     bucket = driver.gateway.tenants[4, 0].hard_rate
-    assert bucket.rate_share(driver.now) > 0.3  # three even shares
+    assert bucket.rate_share(driver.now) > 0.3  # three times the even share
     driver.counter_answers = False
     driver.run(20 * SECOND)
     assert bucket.rate_share(driver.now) < 0.11
 
 
 def test_hard_rate_holds_when_demand_moves_between_gateways() -> None:
-    """All poll one counter; the demand jumps from one gateway to another, as the busy ones of a fleet do."""
+    """Ten gateways poll one counter, and the gateway with most of the demand changes every 60 requests."""
     plan = TEN_GATEWAYS_PLAN
     drivers = [
         GatewayDriver(gateway_count=10, quota_plans=(plan,), rank=rank, seed=rank) for rank in range(10)
@@ -238,12 +257,12 @@
     for driver in drivers:
         driver.counts = drivers[0].counts
     forwarded_at_us: list[int] = []
-    for step in range(400):  # 20 units a second, over three times the quota
+    for step in range(400):  # 20 units per second, over three times the quota
         busy = drivers[step // 60 % 10]
-        asked = busy if step % 4 else drivers[step % 10]
+        receiver = busy if step % 4 else drivers[step % 10]
         for driver in drivers:
             actions = driver.run(50 * MS)
-            if driver is asked:
+            if driver is receiver:
                 actions += driver.ask(tenant=4, quota_plan=0, gateway_count=10)[1]
             for attempt in of_type(StartAttempt, actions):
                 forwarded_at_us.append(driver.now)
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""A rate that many gateways keep together, each of which sees few of the tenant's requests."""
+"""Tests of a rate that many gateways enforce together while each sees few of the tenant's requests."""
 
 import heapq
 from itertools import count
@@ -28,7 +28,11 @@
 
 
 class SharedRateSimulation:
-    """One tenant's day over all gateways, and its burst as one who saw all would know it."""
+    """One tenant's requests to all gateways, and the real token bucket of its rate.
+
+    No gateway can see this bucket. It takes a unit for each request that the gateways forward within the
+    quota.
+    """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self.rate_per_s = rate_per_s
@@ -47,7 +51,7 @@
         ]
         self.counts: dict[int, float] = {}
         self.order = count()
-        self.events: list[tuple[int, int, int, Event]] = []  # time, order of equal times, rank, event
+        self.events: list[tuple[int, int, int, Event]] = []  # time, order at equal times, rank, event
         self.within_quota = 0
         self.beyond_quota = 0
         endpoints = tuple(make_endpoint(number) for number in range(10))
@@ -55,18 +59,18 @@
             self.schedule(0, rank, EndpointListUpdate(UpdateKind.CACHED, 1, endpoints))
 
     def schedule(self, at_us: int, rank: int, event: Event) -> None:
-        """Let an event happen to a gateway."""
+        """Schedule an event for a gateway."""
         heapq.heappush(self.events, (at_us, next(self.order), rank, event))
 
     def run(self) -> None:
-        """All events, and those that follow from them."""
+        """Handle all scheduled events and those that result from them."""
         while self.events:
             now, _, rank, event = heapq.heappop(self.events)
             for action in self.gateways[rank].handle(now + START_US, [event]):
                 self.carry_out(now, rank, action)
 
     def carry_out(self, now: int, rank: int, action: Action) -> None:
-        """What an action brings about."""
+        """Carry out an action: schedule the event that follows, and count a forwarded request."""
         if isinstance(action, AddToCounter):
             key = action.counter_key
             total = self.counts.get(key, 0.0) + action.amount
@@ -94,17 +98,19 @@
 
 @pytest.mark.parametrize(
     ("rate_per_s", "burst", "normal_load", "spike_load", "max_excess_share"),
-    [  # loads as multiples of the rate; beyond as a share of within
-        (22.0, 44.0, 3.0, 3.0, 0.25),  # several times the rate, all day
-        (22.0, 44.0, 0.5, 5.0, 0.15),  # and for 2.5 s in 20 s
-        (1.3, 5.2, 3.0, 3.0, 0.35),  # so seldom that a gateway has forgotten it by the next request
+    [  # loads are multiples of the rate; the excess is a share of what is within the quota
+        (22.0, 44.0, 3.0, 3.0, 0.25),  # three times the rate all the time
+        (22.0, 44.0, 0.5, 5.0, 0.15),  # five times the rate for 2.5 s in every 20 s
+        (1.3, 5.2, 3.0, 3.0, 0.35),  # so few requests that a gateway has evicted the tenant by the next one
     ],
 )
 def test_large_fleet_forwards_little_beyond_the_rate(
     rate_per_s: float, burst: float, normal_load: float, spike_load: float, max_excess_share: float
 ) -> None:
-    """Each gateway's own estimate of the burst filled up again between two of its requests, so that all
-    together forwarded 0.44 to 0.57 of the quota beyond it.
+    """The gateways of a large fleet do not forward the same burst again and again.
+
+    Each gateway's estimate of the burst filled up again between two of its requests. All gateways together
+    exceeded the quota by 0.44 to 0.57 of it.
     """
     within_quota = 0
     beyond_quota = 0
@@ -123,5 +129,5 @@
         within_quota += simulation.within_quota
         beyond_quota += simulation.beyond_quota
     assert beyond_quota <= max_excess_share * within_quota, (within_quota, beyond_quota)
-    quota = 3 * (burst + rate_per_s * min(1.0, normal_load) * DURATION_S)  # of the three days, about
+    quota = 3 * (burst + rate_per_s * min(1.0, normal_load) * DURATION_S)  # of all three runs, approximately
     assert within_quota >= 0.85 * quota, (within_quota, quota)
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -1,4 +1,4 @@
-"""A tenant's demand here and over all gateways, the concurrency bound, and what holds without a counter."""
+"""Tests of local and fleet demand, of the concurrency bound, and of quotas while the counter fails."""
 
 import math
 
@@ -19,7 +19,7 @@
 
 
 def bound_with_remote_demand(remote_demand: float) -> int:
-    """The bound after requests here, while the other gateways have added so much to the same count."""
+    """Return the bound after local requests, with this demand of other gateways added to each count."""
     driver = GatewayDriver()
     driver.remote_demand = remote_demand
     for _ in range(20):
@@ -91,7 +91,11 @@
 
 
 def test_quota_holds_when_the_counter_stops_answering() -> None:
-    """The chance of rejection was kept for seconds only after the last total; then a burst passed whole."""
+    """A quota holds for longer than a few seconds after the last total.
+
+    The rejection probability was used for only a few seconds after the last total, so a later burst was
+    forwarded completely.
+    """
     driver = GatewayDriver()
     exceed_rate(driver, 6)
     driver.counter_answers = False
@@ -100,7 +104,8 @@
 
 def test_quota_holds_without_a_counter() -> None:
     driver = GatewayDriver(has_shared_counter=False)
-    assert exceed_rate(driver, 10) <= 6  # its even share: the others are taken to get as many requests
+    # This is an even share of the rate: the other gateways are assumed to get as many requests.
+    assert exceed_rate(driver, 10) <= 6
     assert not any(isinstance(action, AddToCounter) for _, action in driver.log)
 
 
@@ -113,11 +118,14 @@
 
 
 def test_quota_holds_in_a_large_fleet_before_the_first_total() -> None:
-    """With the counter overloaded, each of 200 gateways admitted a heavy tenant, again and again."""
+    """Before the first total, the fleet's demand is estimated from the local demand.
+
+    While the counter was overloaded, each of 200 gateways repeatedly admitted a tenant with high demand.
+    """
     driver = GatewayDriver(endpoints=100, gateway_count=200)
     driver.counter_answers = False
     forwarded = 0
     for _ in range(40):
         forwarded += driver.serve(tenant=5, quota_plan=RATED, gateway_count=200)
         driver.run(SECOND)
-    assert 2 <= forwarded <= 8  # an even share of the rate is two
+    assert 2 <= forwarded <= 8  # an even share of the rate over 40 s is two requests
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -1,4 +1,4 @@
-"""What a rejected client learns about when to come back."""
+"""Tests of the `Retry-After` that a rejected client gets."""
 
 from tests.gateway_driver import GatewayDriver, make_quota_plan, of_type
 from yardlane.decisions.actions import Reject
@@ -7,16 +7,20 @@
 
 
 def test_rejection_is_immediate_and_carries_retry_after() -> None:
-    """No rejection said when to come back, so clients came again at once, to be rejected again."""
+    """A rejection tells the client when to retry.
+
+    Without this, clients retried immediately and were rejected again.
+    """
     driver = GatewayDriver(quota_plans=(SMALL_PLAN,))
     for _ in range(40):
         _, actions = driver.ask(quota_plan=0)
         if rejections := of_type(Reject, actions):
             break
-    assert rejections  # in the same turn as the arrival
+    assert rejections  # in the same turn as the request's arrival
     retry_after_us = rejections[0].retry_after_us
     assert 0 < retry_after_us <= driver.settings.max_retry_after_us
-    assert retry_after_us < driver.gateway.service_times.mean_us[0]  # later, the retry could not be in time
+    # After a longer delay, the retry would miss its latency objective.
+    assert retry_after_us < driver.gateway.service_times.mean_us[0]
 
 
 def test_no_retry_after_when_the_settings_disable_it() -> None:
--- a/tests/decisions/test_tenant.py
+++ b/tests/decisions/test_tenant.py
@@ -1,4 +1,4 @@
-"""Which tenants a gateway keeps, and that they are kept apart."""
+"""Tests of which tenants a gateway keeps, and of tenants with several plans."""
 
 from tests.gateway_driver import HARD_RATED, MS, RATED, SECOND, GatewayDriver
 
@@ -11,7 +11,7 @@
     driver.run(21 * SECOND)
     bucket = driver.gateway.tenants[6, HARD_RATED].hard_rate
     bucket.refill(driver.now)
-    bucket.units = -3.0  # below its part for some seconds more
+    bucket.units = -3.0  # it takes some seconds more to fill
     driver.serve(tenant=7, quota_plan=RATED)
     assert set(driver.gateway.tenants) == {(6, HARD_RATED), (5, RATED), (7, RATED)}
     driver.run(19 * SECOND)
@@ -20,14 +20,14 @@
 
 
 def test_tenants_with_a_single_request_do_not_accumulate() -> None:
-    """A tenant that comes again and again must not keep the idle ones behind it from being forgotten."""
+    """A tenant with frequent requests does not prevent the eviction of idle tenants that came after it."""
     driver = GatewayDriver(gateway_count=2)
     driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
     for number in range(2, 1500):
         driver.serve(tenant=number, quota_plan=(RATED, HARD_RATED)[number % 2], gateway_count=2)
         driver.serve(tenant=1, quota_plan=RATED, gateway_count=2)
         driver.run(100 * MS)
-    assert len(driver.gateway.tenants) <= 210  # those of the last 20 s and the regular one
+    assert len(driver.gateway.tenants) <= 210  # those of the last 20 s and the frequent one
     driver.run(10 * SECOND)
     assert not driver.gateway.requests and not len(driver.gateway.polling) and len(driver.gateway.timers) < 10
 
