--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.decisions.quota_scenarios import exceed_rate, tenant_after_request
-from tests.gateway_driver import MS, RATED, SECOND, GatewayDriver, make_settings, of_type
+from tests.gateway_driver import MS, RATE_LIMITED, SECOND, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.counter_polling import CountingPeriods
 from yardlane.decisions.events import Outcome
@@ -14,7 +14,7 @@
 
 def count_polls(driver: GatewayDriver, log_start: int = 0) -> int:
     """Return the number of polls in the driver's log, from the entry with index `log_start` on."""
-    return len(of_type(AddToCounter, [action for _, action in driver.log[log_start:]]))
+    return len(of_type(AddToCounter, [action for _, action in driver.action_log[log_start:]]))
 
 
 def test_periods_are_consecutive_and_have_different_keys() -> None:
@@ -35,7 +35,7 @@
 def test_tenant_with_a_valid_total_is_polled_rarely() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 10)
-    log_start = len(driver.log)
+    log_start = len(driver.action_log)
     exceed_rate(driver, 10)
     assert count_polls(driver, log_start) <= 50  # of 400 requests
 
@@ -48,11 +48,11 @@
     no gateway received a total again.
     """
     driver = GatewayDriver(gateway_count=250)
-    driver.counter_answers = False
+    driver.counter_responds = False
     driver.counter_failure = failure
     for number in range(400):
-        driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
-        driver.run(50 * MS)
+        driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=250)
+        driver.advance(50 * MS)
     assert count_polls(driver) <= 100
 
 
@@ -60,12 +60,12 @@
     driver = GatewayDriver(gateway_count=250)
     driver.gateway.polling.backoff_factor = 4.0
     for number in range(1000):
-        driver.serve(tenant=number, quota_plan=RATED, gateway_count=250)
+        driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=250)
         driver.gateway.polling.backoff_factor = 4.0
-    reported = sum(driver.counts.values())
+    reported = sum(driver.counter_totals.values())
     tenants = driver.gateway.tenants.values()
-    starts = [t.periods.start_us(t.periods.index_at(driver.now)) for t in tenants]
-    ages = [(driver.now - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
+    starts = [t.periods.start_us(t.periods.index_at(driver.now_us)) for t in tenants]
+    ages = [(driver.now_us - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
     mean_weight = sum(math.exp(age) for age in ages) / len(ages)
     assert 0.7 * 1000 < reported / mean_weight < 1.4 * 1000
 
@@ -73,20 +73,20 @@
 def test_demand_is_reported_again_after_a_rejected_poll_but_not_after_a_timeout() -> None:
     """After a time-out, the counter may have added the demand; reported again, it would count twice."""
     driver = GatewayDriver()
-    driver.counter_answers = False
+    driver.counter_responds = False
     driver.counter_failure = Outcome.REJECTED
-    assert tenant_after_request(driver, 5, RATED).demand.unreported_demand == 1.0
+    assert tenant_after_request(driver, 5, RATE_LIMITED).demand.unreported_demand == 1.0
     driver.counter_failure = Outcome.TIMED_OUT
-    assert tenant_after_request(driver, 6, RATED).demand.unreported_demand == 0.0
+    assert tenant_after_request(driver, 6, RATE_LIMITED).demand.unreported_demand == 0.0
 
 
 def test_backoff_stays_low_with_some_failed_polls_and_grows_when_all_fail() -> None:
     def backoff_factor(is_answered: Callable[[int], bool]) -> float:
         driver = GatewayDriver(gateway_count=2)
         for number in range(200):
-            driver.counter_answers = is_answered(number)
-            driver.serve(tenant=number, quota_plan=RATED, gateway_count=2)
-            driver.run(20 * MS)
+            driver.counter_responds = is_answered(number)
+            driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=2)
+            driver.advance(20 * MS)
         return driver.gateway.polling.backoff_factor
 
     assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not become outdated
@@ -101,11 +101,11 @@
     driver = GatewayDriver(gateway_count=2)
 
     def count_polls_with_reply_time(reply_us: int) -> int:
-        driver.counter_answer_us = reply_us
-        log_start = len(driver.log)
+        driver.counter_latency_us = reply_us
+        log_start = len(driver.action_log)
         for number in range(200):
-            driver.serve(tenant=number % 5, quota_plan=RATED, gateway_count=40)
-            driver.run(100 * MS)
+            driver.serve_request(tenant=number % 5, quota_plan=RATE_LIMITED, gateway_count=40)
+            driver.advance(100 * MS)
         return count_polls(driver, log_start)
 
     prompt_polls = count_polls_with_reply_time(MS)
@@ -117,16 +117,16 @@
 
 def test_failed_polls_do_not_multiply_unreported_demand() -> None:
     driver = GatewayDriver(gateway_count=2)
-    driver.counter_answers = False
+    driver.counter_responds = False
     driver.counter_failure = Outcome.NOT_CONNECTED
     for _ in range(400):
-        driver.serve(tenant=9, quota_plan=RATED, gateway_count=2)
-        driver.run(10 * MS)
+        driver.serve_request(tenant=9, quota_plan=RATE_LIMITED, gateway_count=2)
+        driver.advance(10 * MS)
     driver.gateway.polling.backoff_factor = 1.0
-    driver.counter_answers = True
-    driver.ask(tenant=9, quota_plan=RATED, gateway_count=2)
+    driver.counter_responds = True
+    driver.send_request(tenant=9, quota_plan=RATE_LIMITED, gateway_count=2)
     # The poll reports 401 units, weighted by at most e^8 at the end of a period. They must not also be
     # multiplied by the backoff factor of each failed poll.
-    last_poll = of_type(AddToCounter, [action for _, action in driver.log])[-1]
+    last_poll = of_type(AddToCounter, [action for _, action in driver.action_log])[-1]
     assert last_poll.amount < 401 * math.exp(8) * 1.01
-    assert driver.gateway.tenants[9, RATED].demand.unreported_demand == 0.0
+    assert driver.gateway.tenants[9, RATE_LIMITED].demand.unreported_demand == 0.0
