--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -86,8 +86,8 @@
 @pytest.mark.parametrize(
     ("service_us", "time_left_us", "max_time_us"),
     [
-        (100 * MS, 3 * SECOND, 480 * MS),  # 0.6 of the objective of 900 ms minus the service time
-        (100 * MS, SECOND, 400 * MS),  # 0.4 of the time until the client's deadline
+        (100 * MS, 3 * SECOND, 480 * MS),  # 0.6 * (objective of 900 ms - service time)
+        (100 * MS, SECOND, 400 * MS),  # 0.4 * (time until the client's deadline)
         (950 * MS, 3 * SECOND, 0),  # the service time alone exceeds the objective
     ],
 )
@@ -98,10 +98,9 @@
 
 
 def test_demand_over_the_capacity_is_rejected_evenly() -> None:
-    """With rate 10 and burst 20, the decay time is two seconds, in which the rate supplies 20 units to the
-    fleet.
+    """The fleet's demand is almost twice what the rate supplies in one decay time.
 
-    The fleet's demand is almost twice this.
+    With rate 10 and burst 20, the decay time is two seconds, and the rate supplies 20 units in it.
     """
     driver = GatewayDriver()
     tenant = tenant_after_request(driver, 5, RATE_LIMITED)
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -81,10 +81,10 @@
 
 
 def test_backoff_stays_low_with_some_failed_polls_and_grows_when_all_fail() -> None:
-    def backoff_factor(is_answered: Callable[[int], bool]) -> float:
+    def backoff_factor(gets_reply: Callable[[int], bool]) -> float:
         driver = GatewayDriver(gateway_count=2)
         for number in range(200):
-            driver.counter_responds = is_answered(number)
+            driver.counter_responds = gets_reply(number)
             driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=2)
             driver.advance(20 * MS)
         return driver.gateway.polling.backoff_factor
@@ -100,18 +100,18 @@
     """
     driver = GatewayDriver(gateway_count=2)
 
-    def count_polls_with_reply_time(reply_us: int) -> int:
-        driver.counter_latency_us = reply_us
+    def count_polls_with_latency(latency_us: int) -> int:
+        driver.counter_latency_us = latency_us
         log_start = len(driver.action_log)
         for number in range(200):
             driver.serve_request(tenant=number % 5, quota_plan=RATE_LIMITED, gateway_count=40)
             driver.advance(100 * MS)
         return count_polls(driver, log_start)
 
-    prompt_polls = count_polls_with_reply_time(MS)
-    assert count_polls_with_reply_time(make_settings().counter_timeout_us * 3 // 4) < prompt_polls / 2
-    count_polls_with_reply_time(MS)
-    assert count_polls_with_reply_time(MS) >= prompt_polls * 0.8
+    prompt_polls = count_polls_with_latency(MS)
+    assert count_polls_with_latency(make_settings().counter_timeout_us * 3 // 4) < prompt_polls / 2
+    count_polls_with_latency(MS)
+    assert count_polls_with_latency(MS) >= prompt_polls * 0.8
     assert driver.gateway.polling.backoff_factor < 1.01
 
 
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -92,7 +92,7 @@
     def __init__(self, seed: int, gateway_count: int) -> None:
         self.random = Random(seed)
         self.gateway_count = gateway_count
-        self.now = START_US
+        self.now_us = START_US
         self.counts: dict[int, float] = {}
         self.drivers = [self.start_gateway(rank) for rank in range(gateway_count)]
         self.restart_times_us: dict[int, int] = {}
@@ -109,7 +109,7 @@
             self.random,
             rank=rank,
             seed=self.random.randrange(2**32),
-            start_us=self.now,
+            start_us=self.now_us,
             gateway_count=self.gateway_count,
             quota_plans=(PLAN,),
         )
@@ -119,25 +119,25 @@
         self.pending_responses = [
             response for response in self.pending_responses if response.driver is not self.drivers[rank]
         ]
-        self.restart_times_us[rank] = self.now + downtime_us
+        self.restart_times_us[rank] = self.now_us + downtime_us
 
     def step(self, units_per_s: float) -> None:
         """Advance the time by `STEP_US`, with requests of about `units_per_s` units per second."""
-        self.now += STEP_US
+        self.now_us += STEP_US
         filled = self.units_left + PLAN.hard_rate_per_s * STEP_US / SECOND
         self.units_left = min(PLAN.hard_rate_depth, filled)
-        for rank in [rank for rank, at_us in self.restart_times_us.items() if at_us <= self.now]:
+        for rank in [rank for rank, at_us in self.restart_times_us.items() if at_us <= self.now_us]:
             del self.restart_times_us[rank]
             self.drivers[rank] = self.start_gateway(rank)
         running = [d for rank, d in enumerate(self.drivers) if rank not in self.restart_times_us]
         for driver in running:
-            driver.advance(self.now - driver.now_us)
+            driver.advance(self.now_us - driver.now_us)
         while self.random.random() < units_per_s * STEP_US / SECOND / 1.5:
             self.send_request(self.random.choices(running)[0], self.random.choice((1.0, 2.0)))
         for driver in running:
             driver.run_counter()
             for response in [
-                r for r in self.pending_responses if r.driver is driver and r.due_us <= self.now
+                r for r in self.pending_responses if r.driver is driver and r.due_us <= self.now_us
             ]:
                 self.pending_responses.remove(response)
                 driver.end_attempt(response.attempt.request_id, response.attempt.endpoint_id, attempt_index=0)
@@ -157,7 +157,7 @@
             self.units_left -= units
             self.units_forwarded += units
             self.min_units_left = min(self.min_units_left, self.units_left)
-            response_at_us = self.now + self.random.choice((40, 80, 150)) * MS
+            response_at_us = self.now_us + self.random.choice((40, 80, 150)) * MS
             self.pending_responses.append(PendingResponse(response_at_us, driver, attempt))
         driver.action_log.clear()
 
@@ -167,7 +167,7 @@
 
     During bursts, the gateways stop one after another, one every `stop_every_us` (0: none), and restart soon.
     """
-    while (age_us := simulation.now - START_US) < 20 * SECOND:
+    while (age_us := simulation.now_us - START_US) < 20 * SECOND:
         is_burst = age_us // (3 * SECOND) % 2 == 1
         if is_burst and stop_every_us and age_us % stop_every_us == 0:
             simulation.stop_gateway(age_us // stop_every_us % simulation.gateway_count)
@@ -199,13 +199,13 @@
     assert used >= min_used_share  # the hard rate is not kept by rejecting everything
 
 
-def count_forwarded_at_start(remote_demand: float, counter_answers: bool = True) -> int:
+def count_forwarded_at_start(remote_demand: float, counter_responds: bool = True) -> int:
     """Return how many of ten requests are forwarded right after a start, with a share of ten units."""
     plan = make_quota_plan(
         rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
     )
     driver = GatewayDriver(quota_plans=(plan,))
-    driver.counter_responds = counter_answers
+    driver.counter_responds = counter_responds
     driver.remote_demand = remote_demand
     forwarded = [of_type(StartAttempt, driver.send_request(tenant=4, quota_plan=0)[1]) for _ in range(10)]
     return sum(bool(attempts) for attempts in forwarded)
@@ -217,7 +217,7 @@
     When many gateways started with empty buckets, most requests of the first seconds were rejected.
     """
     assert count_forwarded_at_start(0.0) in (2, 3, 4, 5)
-    assert count_forwarded_at_start(1e4) == count_forwarded_at_start(0.0, counter_answers=False) == 0
+    assert count_forwarded_at_start(1e4) == count_forwarded_at_start(0.0, counter_responds=False) == 0
 
 
 TEN_GATEWAYS_PLAN = make_quota_plan(
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -23,7 +23,7 @@
 GATEWAYS = 100
 DURATION_S = 30
 START_US = 77 * SECOND
-COUNTER_ANSWER_US = MS
+COUNTER_LATENCY_US = MS
 SERVICE_US = 50 * MS
 
 
@@ -65,29 +65,29 @@
     def run(self) -> None:
         """Handle all scheduled events and those that result from them."""
         while self.events:
-            now, _, rank, event = heapq.heappop(self.events)
-            for action in self.gateways[rank].handle(now + START_US, [event]):
-                self.carry_out(now, rank, action)
+            now_us, _, rank, event = heapq.heappop(self.events)
+            for action in self.gateways[rank].handle(now_us + START_US, [event]):
+                self.carry_out(now_us, rank, action)
 
-    def carry_out(self, now: int, rank: int, action: Action) -> None:
+    def carry_out(self, now_us: int, rank: int, action: Action) -> None:
         """Carry out an action: schedule the event that follows, and count a forwarded request."""
         if isinstance(action, AddToCounter):
             key = action.counter_key
             total = self.counts.get(key, 0.0) + action.amount
             self.counts[key] = total
-            result = CounterResult(key, Outcome.OK, total, COUNTER_ANSWER_US)
-            self.schedule(now + COUNTER_ANSWER_US, rank, result)
+            result = CounterResult(key, Outcome.OK, total, COUNTER_LATENCY_US)
+            self.schedule(now_us + COUNTER_LATENCY_US, rank, result)
         elif isinstance(action, SetTimer):
-            self.schedule(now + max(1, action.delay_us), rank, TimerFired(action.token))
+            self.schedule(now_us + max(1, action.delay_us), rank, TimerFired(action.token))
         elif isinstance(action, StartAttempt):
-            self.record_forwarded(now)
+            self.record_forwarded(now_us)
             ended = AttemptEnded(action.request_id, 0, action.endpoint_id, Outcome.OK, SERVICE_US, True)
-            self.schedule(now + SERVICE_US, rank, ended)
+            self.schedule(now_us + SERVICE_US, rank, ended)
 
-    def record_forwarded(self, now: int) -> None:
+    def record_forwarded(self, now_us: int) -> None:
         """Count a forwarded request as within or beyond the quota."""
-        inflow = self.rate_per_s * (now - self.refilled_at_us) / SECOND
-        self.refilled_at_us = now
+        inflow = self.rate_per_s * (now_us - self.refilled_at_us) / SECOND
+        self.refilled_at_us = now_us
         self.units_left = min(self.burst, self.units_left + inflow)
         if self.units_left >= 1.0:
             self.units_left -= 1.0
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -93,7 +93,7 @@
     assert demand.fleet_demand == pytest.approx(1.0 + 12.0 * math.exp(-4.0))
 
 
-def test_quota_holds_when_the_counter_stops_answering() -> None:
+def test_quota_holds_when_the_counter_stops_replying() -> None:
     """A quota holds for longer than a few seconds after the last total.
 
     The rejection probability was used for only a few seconds after the last total, so a later burst was
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -28,7 +28,7 @@
 SMALLEST_MAX_LIMIT = 2.0  # attempts; the maximum limit is not below this
 MIN_LIMIT = 0.1  # attempts
 STEP_SHARE = 0.1  # share of the computed step by which one response changes the limit
-MAX_CLASS_LIMIT_RATIO = 2.0  # maximum ratio of a class's limit to the common limit, in either direction
+MAX_CLASS_LIMIT_RATIO = 2.0  # a class's limit is at most this many times `limit`, and at least 1 / this
 
 
 class ConcurrencyLimit:
@@ -50,8 +50,7 @@
         self.base_limit = base_limit
 
     def admits(self, relative_weight_per_time: float, mean_service_time_us: float, now_us: int) -> bool:
-        """Return whether an attempt may be sent now, given its class's weight per time and mean service
-        time."""
+        """Return whether an attempt may be sent now; its class has this relative weight and service time."""
         class_ratio = max(1.0 / MAX_CLASS_LIMIT_RATIO, relative_weight_per_time)
         limit = self.limit * min(MAX_CLASS_LIMIT_RATIO, class_ratio)
         if self.in_flight >= limit:
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -152,8 +152,10 @@
         return interval_us
 
     def start(self, request: Request, now_us: int) -> AddToCounter:
-        """Return the call that reports the tenant's unreported demand; the request now waits for its
-        result."""
+        """Start a poll for a request, which then waits for the result.
+
+        Return the call that reports all unreported demand of the request's tenant.
+        """
         demand = request.tenant.demand
         periods = request.tenant.periods
         index = periods.index_at(now_us)
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -6,11 +6,11 @@
 only if this bucket has the units. As long as all shares add up to at most 1, the hard rate is kept without
 messages from other gateways or from the counter.
 
-**Depth.** The depth is always shared evenly. A gateway may spend its whole share of the depth as soon as the
+**Depth.** The depth is always split evenly. A gateway may spend its whole share of the depth as soon as the
 tenant's requests reach it. If this share had been given to another gateway for some time, both would have
 spent it.
 
-**Rate.** While the last total is recent, up to `DEMAND_BASED_SHARE` of the rate is shared in proportion to
+**Rate.** While the last total is recent, up to `DEMAND_BASED_SHARE` of the rate is split in proportion to
 demand. Otherwise a gateway that gets most of a tenant's requests would forward far less than the quota. The
 shares must not add up to more than 1, although the gateways receive their totals at different times. The
 following rules account for that:
@@ -18,7 +18,7 @@
 - A share is computed from the demand as of the last total and ignores later increases. At the start of a
   burst, each gateway sees its own increase first.
 - As the total ages, the share returns to the even share.
-- While the fleet's demand is below the quota, a smaller part of the rate is shared by demand, because demand
+- While the fleet's demand is below the quota, a smaller part of the rate is split by demand, because demand
   that other gateways have not reported yet has more weight then.
 
 **Start.** A gateway that starts may be a restarted one, and the previous process may have emptied its bucket.
@@ -35,9 +35,9 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
-DEMAND_BASED_SHARE = 0.7  # share of the rate that is shared by demand while the total is recent
+DEMAND_BASED_SHARE = 0.7  # maximum part of the rate that is split by demand while the total is recent
 # A hard rate is assumed to be at least twice the quota's rate. With up to two gateways, an even share of the
-# hard rate is then enough for the whole quota, so no part of it needs to be shared by demand.
+# hard rate is then enough for the whole quota, so no part of it needs to be split by demand.
 ASSUMED_HARD_RATE_TO_QUOTA_RATIO = 2.0
 INITIAL_SLACK_SHARE = 0.5  # share of the slack that is in the bucket when the process starts
 # The first total fills the bucket to this share of its depth, minus the ratio of the fleet's demand to the
@@ -59,8 +59,10 @@
 
 
 class HardRateBucket:
-    """The bucket of one tenant at this gateway, in units; `uptime_us` is the time since the process
-    started."""
+    """The bucket of one tenant at this gateway, in units.
+
+    `uptime_us` is the time since the gateway's process started.
+    """
 
     __slots__ = (
         "_demand",
@@ -116,8 +118,10 @@
         return self.units >= self._plan.hard_rate_depth * self._even_share
 
     def take(self, units: float) -> None:
-        """Take a request's units. Call it for the first attempt only: the hard rate counts requests, not
-        attempts."""
+        """Take a request's units.
+
+        Call this for the first attempt only: the hard rate counts requests, not attempts.
+        """
         self.units -= units
 
     def time_to_fill_us(self, units: float, now_us: int) -> int:
--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -47,8 +47,10 @@
         self.is_queued = False
 
     def first_attempt_that_may_have_run(self) -> AttemptRecord | None:
-        """Return the first attempt that may have taken effect, where an idempotency window starts; None if
-        none."""
+        """Return the first attempt that may have taken effect, or None.
+
+        The window of an idempotency key starts with this attempt.
+        """
         for attempt in self.attempts:
             if attempt.may_have_run:
                 return attempt
