--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -152,7 +152,7 @@
 
 
 def test_small_concurrency_limit_follows_current_load() -> None:
-    """A small concurrency limit is not enforced by the mean demand over too long a time.
+    """A small concurrency limit follows what is in flight now, not a mean over a longer time.
 
     A mean over 1.5 s let 40 gateways exceed a limit of two, or left the limit unused.
     """
--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -12,10 +12,10 @@
 probability.
 
 **Queueing.** An admitted request queues until the concurrency bound, the hard rate and an endpoint allow it
-to be forwarded. The queue is served in order of arrival. A request that has queued for
-`max_queueing_time_us` is rejected, while its client can still use the answer. There is one exception: if this
-time ends while the request still waits for the counter's reply, it is not checked again. It then queues until
-shortly before its deadline (`Gateway._on_final_answer_due`).
+to be forwarded. The queue is served in order of arrival. A request that has queued for `max_queueing_time_us`
+is rejected, while its client can still use the answer. There is one exception: if this time ends while the
+request still waits for the counter's reply, and the request is then admitted, it may queue until shortly
+before its deadline (`Gateway._on_final_answer_due`).
 
 Demand and capacity are measured in units if the plan has a rate. Otherwise they are measured in slot-seconds:
 a request counts as one concurrency slot, held for the mean service time.
