--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -194,7 +194,7 @@
     [
         (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
         (frame(init(text=b"rank=1")), "discovery is missing"),
-        (frame(init(text=SETTINGS_TEXT.replace(b"rank=0", b"rank=x"))), "rank is no number"),
+        (frame(init(text=SETTINGS_TEXT.replace(b"rank=0", b"rank=x"))), "rank is not a number"),
         (frame(record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
         (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
     ],
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
     """The file is JSON that the parser gives up on. That is a fault of the file like any other."""
     path = tmp_path / "config.json"
     path.write_text("[" * 100_000)
-    with pytest.raises(ConfigError, match="no JSON"):
+    with pytest.raises(ConfigError, match="invalid JSON"):
         load_config({"EDGE_CONFIG": str(path)})
 
 
@@ -49,7 +49,7 @@
 def test_invalid_address_raises_config_error(text: object) -> None:
     """An address is mistyped: no port, a port out of range, digits that are not ASCII. The start must end
     with one line that names the value, not with a traceback."""
-    with pytest.raises(ConfigError, match=r"here is .*wanted host:port"):
+    with pytest.raises(ConfigError, match=r"here is .*must be host:port"):
         parse_address(text, "here")
 
 
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize(
     ("configuration", "message"),
     [
-        ({}, "settings are missing"),
+        ({}, "settings is missing or not a JSON object"),
         ({"settings": {"rank": 0}}, "discovery is missing"),
         ({"settings": settings_dict(rank=7)}, "rank is 7"),
         ({"settings": settings_dict(), "listen": "nowhere"}, "listen is 'nowhere'"),
@@ -65,8 +65,8 @@
             {"settings": settings_dict(), "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "xyz"},
             "seed is",
         ),
-        ([], "wanted an object"),
-        ({"settings": settings_dict(), "limits": [256]}, "limits are [256]"),
+        ([], "must contain a JSON object"),
+        ({"settings": settings_dict(), "limits": [256]}, "limits is [256]"),
         ({"settings": settings_dict(), "limits": {"sockets": -5}}, "limits.sockets is -5"),
         ({"settings": settings_dict(), "limits": {"sockets": "many"}}, "limits.sockets is 'many'"),
         ({"settings": settings_dict(packages=[{"refill": "nan"}])}, "packages.0.refill is not finite"),
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -22,13 +22,17 @@
     ("replaced", "by", "message"),
     [
         (b"rank=0\n", b"", "setting rank is missing"),
-        (b"rank=0", b"rank=x", "setting rank is no number: 'x'"),
+        (b"rank=0", b"rank=x", "setting rank is not a number: 'x'"),
         (b"rank=0", b"rank=inf", "setting rank is not finite: 'inf'"),
-        (b"max_attempts=3", b"max_attempts=0", "setting permissions.max_attempts is 0: wanted more than 0"),
+        (
+            b"max_attempts=3",
+            b"max_attempts=0",
+            "setting permissions.max_attempts is 0: must be greater than 0",
+        ),
         (b"cancel=true", b"cancel=yes", "setting permissions.cancel is neither true nor false: 'yes'"),
         (b"repeat=free", b"repeat=often", "setting profiles.0.repeat has an unknown value: 'often'"),
         (b"discovery=pushed", b"discovery", "settings line 1 has no '=': 'discovery'"),
-        (b"something.new=7", b"something.new=\xff", "settings are not UTF-8 at byte"),
+        (b"something.new=7", b"something.new=\xff", "settings text is not valid UTF-8 at byte"),
     ],
 )
 def test_invalid_settings_text_raises_settings_error(replaced: bytes, by: bytes, message: str) -> None:
@@ -42,5 +46,5 @@
     reader = SettingsReader({"here": "7", "empty": ""})
     assert reader.integer("here", "3") == 7
     assert reader.integer("missing", "3") == 3
-    with pytest.raises(SettingsError, match="setting empty is no number"):
+    with pytest.raises(SettingsError, match="setting empty is not a number"):
         reader.integer("empty", "3")
--- a/yardlane/__main__.py
+++ b/yardlane/__main__.py
@@ -1,7 +1,9 @@
-"""The front door's command: `python -m yardlane`, configured by `EDGE_CONFIG` and its environment.
+"""The command `python -m yardlane`, which runs a front door.
 
-Exit codes: 0 after a graceful shutdown, 1 where it cannot listen, 2 for a configuration that cannot be used.
-An error of these is one plain line on standard error.
+The environment variable `EDGE_CONFIG` names its configuration file; other variables may override values.
+
+Exit codes: 0 after a graceful shutdown, 1 if the process cannot listen, 2 if the configuration is invalid.
+For 1 and 2, one line on standard error describes the error.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 
 
 async def serve(config: Config) -> int:
-    """Serve until the shutdown has ended; the exit code."""
+    """Serve until the graceful shutdown has ended, and return the exit code."""
     try:
         gateway = Gateway(config.settings, config.seed)
         await Server(config, asyncio.get_running_loop(), gateway).run()
@@ -37,8 +39,8 @@
 
 
 def main() -> int:
-    """Read the configuration and serve; the exit code."""
-    # Until the server handles SIGHUP, its default action would end the process.
+    """Load the configuration, serve, and return the exit code."""
+    # The default action of SIGHUP would terminate the process before the server installs its handler.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     log.configure()
     try:
--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -1,8 +1,8 @@
-"""From the environment and the JSON file that it names to `Config`.
+"""Loads `Config` from the JSON configuration file and the environment variables that override it.
 
-This is the one place that knows the names in that file. The names inside its `settings` are known by
-`yardlane.settings_reader`, all but those that the proxy alone uses: `parse_config` reads these itself.
-Whatever is wrong raises ConfigError, whose text names the value.
+All names of the configuration file are defined here, except those inside its `settings` object. These are
+read by `yardlane.settings_reader`, apart from the few that only the proxy uses, which `parse_config` reads.
+An invalid configuration raises ConfigError with a message that names the value.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 DEFAULT_CONNECT_TIMEOUT_US = "250000"
 DEFAULT_KEEPALIVE_US = "30000000"
 
-# The key in the file, and the variable that overrides it. `EDGE_NAME` and `name` are accepted and not read.
+# Keys of the configuration file, and the environment variables that override them.
+# `EDGE_NAME` and the key `name` are accepted but not read.
 ENVIRONMENT_OVERRIDES = {
     "listen": "EDGE_LISTEN",
     "discovery": "EDGE_DISCOVERY",
@@ -32,31 +33,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a front door is configured with."""
+    """The configuration of a front door."""
 
     listen: Address
     discovery: Address
     counter: Address | None
     seed: int
     descriptors: int
-    """How many file descriptors the process may hold."""
+    """The maximum number of file descriptors that the process may hold."""
     cached_endpoint_list: object | None
-    """The endpoint list as an earlier process had it, in discovery's JSON."""
+    """The endpoint list that an earlier process had, as decoded JSON in discovery's format, or None."""
     settings: Settings
     request_class_names: tuple[str, ...]
-    """In the order of the settings, whose indices stand for them; so are the three below."""
+    """Ordered by index in the settings, like the three fields below."""
     quota_plan_names: tuple[str, ...]
     zones: tuple[str, ...]
     hardware_kinds: tuple[str, ...]
     connect_timeout_us: int
     keepalive_us: int
-    """How long an upstream keeps an idle connection."""
+    """How long an upstream keeps an idle connection open."""
 
 
 def load_config(environ: Mapping[str, str], is_reload: bool = False) -> Config:
-    """Read the file that `EDGE_CONFIG` names; the variables of `ENVIRONMENT_OVERRIDES` override it.
+    """Load the file that `EDGE_CONFIG` names, and apply the variables of `ENVIRONMENT_OVERRIDES`.
 
-    On a reload its discovery overrides `EDGE_DISCOVERY`, which still has the address of the start.
+    On a reload, discovery's address in the file takes precedence over `EDGE_DISCOVERY`, which still has its
+    value from the start of the process. Raises ConfigError if the configuration is invalid.
     """
     path = environ.get("EDGE_CONFIG", "")
     if not path:
@@ -75,16 +77,19 @@
 
 
 def parse_config(document: Mapping[str, Any]) -> Config:
-    """The configuration from its JSON object. ConfigError, or SettingsError for its settings."""
+    """Return the configuration for a decoded JSON object.
+
+    Raises SettingsError if its settings are invalid, and ConfigError if any other value is.
+    """
     settings_json = document.get("settings")
     if not isinstance(settings_json, dict):
-        raise ConfigError("settings are missing")
+        raise ConfigError("settings is missing or not a JSON object")
     values = dict(flatten(settings_json))
     settings, _ = read_settings(values)
     reader = SettingsReader(values)
     counter = document.get("counter")
     if settings.has_shared_counter and not counter:
-        raise ConfigError("counter is missing, though the settings tell of one")
+        raise ConfigError("counter is missing, but settings.family_info.shared_counter is true")
     descriptors = _parse_descriptors(document.get("limits") or {})
     seed = _parse_seed(document.get("seed") or "0")
     return Config(
@@ -107,19 +112,22 @@
 
 
 def parse_address(text: object, name: str) -> Address:
-    """`host:port` in its two parts. ConfigError calls the value by its `name`."""
+    """Return host and port of a `host:port` text.
+
+    Raises ConfigError if the text is invalid; `name` is what the message calls the value.
+    """
     host, _, port_text = str(text).rpartition(":")
     port = _parse_port(port_text)
     if not host or port is None:
-        raise ConfigError(f"{name} is {text!r}: wanted host:port")
+        raise ConfigError(f"{name} is {text!r}: must be host:port with a port from 1 to {MAX_PORT}")
     return host, port
 
 
 def flatten(value: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Nested JSON as the paths and texts of the settings text.
+    """Yield the paths and values that nested JSON has in the settings text.
 
-    A list of objects gets a count and a number for each, as in `profiles.count` and `profiles.0.name`; any
-    other list is joined by commas.
+    A list of objects becomes a count and one numbered path per object, as in `profiles.count` and
+    `profiles.0.name`. The items of any other list are joined by commas.
     """
     if isinstance(value, dict):
         for key, inner in value.items():
@@ -141,9 +149,9 @@
     except OSError as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"EDGE_CONFIG: {path}: no JSON: {error}") from None
+        raise ConfigError(f"EDGE_CONFIG: {path}: invalid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError(f"EDGE_CONFIG: {path}: wanted an object")
+        raise ConfigError(f"EDGE_CONFIG: {path}: must contain a JSON object")
     return document
 
 
@@ -152,21 +160,21 @@
         return None
     try:
         port = int(text)
-    except ValueError:  # more digits than int() takes
+    except ValueError:  # more digits than int() accepts
         return None
     return port if 0 < port <= MAX_PORT else None
 
 
 def _parse_descriptors(limits: object) -> int:
     if not isinstance(limits, dict):
-        raise ConfigError(f"limits are {limits!r}: wanted an object")
+        raise ConfigError(f"limits is {limits!r}: must be a JSON object")
     value = limits.get("sockets") or DEFAULT_DESCRIPTORS
     try:
         descriptors = int(value)
     except (ValueError, TypeError, OverflowError):
-        raise ConfigError(f"limits.sockets is {value!r}: wanted a number") from None
+        raise ConfigError(f"limits.sockets is {value!r}: must be an integer") from None
     if descriptors <= 0:
-        raise ConfigError(f"limits.sockets is {descriptors}: wanted more than 0")
+        raise ConfigError(f"limits.sockets is {descriptors}: must be greater than 0")
     return descriptors
 
 
@@ -174,7 +182,7 @@
     try:
         return int(str(value), 16)
     except ValueError:
-        raise ConfigError(f"seed is {value!r}: wanted hex digits") from None
+        raise ConfigError(f"seed is {value!r}: must be a hexadecimal number") from None
 
 
 def _read_names(reader: SettingsReader, path: str, count: int) -> tuple[str, ...]:
--- a/yardlane/descriptors.py
+++ b/yardlane/descriptors.py
@@ -1,9 +1,10 @@
-"""How the process divides its file descriptors between client and upstream connections.
+"""Divides the file descriptors of the process between client and upstream connections.
 
-A process without a free descriptor can accept nobody and connect nowhere. If clients could take all of them,
-discovery and the upstreams would be shut out for as long as the clients stay. So each kind of connection has
-a limit, and with what the process itself needs the limits stay under the descriptors that it may hold (but
-see `connection_limits` for a process that may hold next to none).
+A process without a free descriptor can neither accept nor open a connection. If client connections could use
+all descriptors, the process could not connect to discovery or an upstream until clients disconnect. Clients
+and upstreams therefore have a connection limit each. Together with the descriptors that the process itself
+needs, the limits do not exceed the descriptors that it may hold, unless it may hold very few
+(see `connection_limits`).
 """
 
 from __future__ import annotations
@@ -14,25 +15,27 @@
 
 log = logging.getLogger("yardlane.descriptors")
 
-# The loop, signals, the listener and the standard streams; discovery and counter, each twice while they move;
-# and connections that are being closed, which hold their descriptor until the end of the loop's turn.
+# Reserved for the event loop, signals, the listener and the standard streams; for discovery and the counter,
+# each of which has two connections while its address changes; and for connections that are being closed,
+# which hold their descriptor until the end of the event loop iteration.
 RESERVED_DESCRIPTORS = 40
-# Under this there is no use in a limit: it would serve nobody.
+# With fewer connections in all, the front door could not serve its clients.
 MIN_CONNECTIONS = 16
 
 
 class ConnectionLimits(NamedTuple):
-    """The most connections of each kind at a time."""
+    """The maximum numbers of simultaneous connections."""
 
     clients: int
     upstreams: int
 
 
 def connection_limits(descriptors: int) -> ConnectionLimits:
-    """Even halves: requests come from a third of all, and each of them may need an upstream connection.
+    """Return the connection limits for a process that may hold `descriptors` file descriptors.
 
-    Under `RESERVED_DESCRIPTORS + MIN_CONNECTIONS` descriptors the limits are those of `MIN_CONNECTIONS`, so
-    they may add up to more than there are: the process can then run out of descriptors.
+    Clients and upstreams get one half each: requests come from a third of all connections, and each request
+    may need an upstream connection. With fewer than `RESERVED_DESCRIPTORS + MIN_CONNECTIONS` descriptors, the
+    limits still add up to `MIN_CONNECTIONS`, so the process may run out of descriptors.
     """
     connections = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
     clients = connections // 2
@@ -40,12 +43,12 @@
 
 
 def usable_descriptors(configured: int) -> int:
-    """The configured number, or less where the process's own limit (`ulimit -n`) is lower."""
+    """Return the configured number, or the process's own limit (`ulimit -n`) if that is lower."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed == resource.RLIM_INFINITY or configured <= allowed:
         return configured
     log.warning(
-        "limits.sockets is %d, but this process may hold %d descriptors: using the lower limit",
+        "limits.sockets is %d, but this process may hold %d descriptors (ulimit -n): using the lower limit",
         configured,
         allowed,
     )
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -1,34 +1,35 @@
-"""The typed errors of this package."""
+"""The exception classes of this package."""
 
 
 class YardlaneError(Exception):
-    """The base of all errors that this package raises itself; the text says what is wrong and where."""
+    """Base class of all errors of this package. The message says what is wrong and where."""
 
     def one_line(self) -> str:
-        """The text without line breaks, which a value that it quotes may bring in."""
+        """Return the message on one line. Values that it quotes may contain line breaks."""
         return " ".join(str(self).split())
 
 
 class SettingsError(YardlaneError):
-    """Settings that cannot be read, or hold a value that cannot be."""
+    """Settings are missing, cannot be parsed, or have a value out of range."""
 
 
 class ConfigError(YardlaneError):
-    """A configuration that cannot be used; the text says where and why."""
+    """The configuration is invalid. The message names the value and the reason."""
 
 
 class CodecError(YardlaneError):
-    """Input that does not follow the simulator's wire."""
+    """Input does not follow the simulator's wire format."""
 
 
 class MalformedResponse(YardlaneError):
-    """An upstream's bytes are no HTTP response, or one that exceeds a limit; the fault is the upstream's."""
+    """An upstream sent bytes that are not an HTTP response, or a response that exceeds a limit."""
 
 
 class ClientProtocolError(YardlaneError):
-    """A client broke the protocol; the fault is the client's. `status` and `text` make up its response.
+    """A client violated the protocol.
 
-    `header_lines` holds whole header lines for that response, each with its line end.
+    `status`, `text` (the body) and `header_lines` make up the response to the client. `header_lines` contains
+    complete header lines, each with its line ending.
     """
 
     def __init__(self, status: int, text: str, header_lines: bytes = b"") -> None:
@@ -39,34 +40,37 @@
 
 
 class InvalidRequest(ClientProtocolError):
-    """A well-framed request that is not accepted (400, 405 or 409). Its connection stays usable."""
+    """A correctly framed request is not accepted (status 400, 405 or 409). Its connection stays usable."""
 
 
 class FatalRequestError(ClientProtocolError):
-    """Bytes that are not HTTP, break a limit or come too slowly. The connection ends after the response."""
+    """A client sent bytes that are not HTTP, exceeded a limit, or sent a request too slowly.
+
+    The connection closes after the error response.
+    """
 
 
 class DiscoveryError(YardlaneError):
-    """A poll of discovery that brought no endpoint list, though the connection held."""
+    """A poll of discovery returned no endpoint list, although the connection did not fail."""
 
 
 class DiscoveryUnreachable(YardlaneError):
-    """No connection to discovery came up, or it ended or timed out before the response was whole.
+    """The connection to discovery could not be set up, or ended or timed out before a complete response.
 
-    It says nothing about the list: the version that we have still holds.
+    This says nothing about the endpoint list, so the version that this process has is still valid.
     """
 
 
 class MalformedEndpointList(DiscoveryError):
-    """A response that cannot be read as an endpoint list, or does not follow the one before."""
+    """A response is not an endpoint list, or does not follow from the previous list."""
 
 
 class MalformedEndpoint(YardlaneError):
-    """One entry of an endpoint list, or a value in it, that cannot be read."""
+    """An entry of an endpoint list, or a value in an entry, cannot be parsed."""
 
 
 class MalformedCounterReply(YardlaneError):
-    """A line of the counter that does not answer the call whose turn it is."""
+    """A line from the counter is not a reply to the oldest call that waits for one."""
 
     def __init__(self, line: bytes) -> None:
         super().__init__(f"malformed reply {line!r}")
--- a/yardlane/log.py
+++ b/yardlane/log.py
@@ -1,4 +1,4 @@
-"""The log of the process: its format, and a limit on its lines a second."""
+"""Configures logging: the format of the log, and a limit on the number of lines per second."""
 
 from __future__ import annotations
 
@@ -10,11 +10,10 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets `LINES_PER_S` lines pass in each second and drops the others; the next line that is written says
-    how many were dropped.
+    """Passes `LINES_PER_S` lines in each second and drops the others.
 
-    It guards against a flood of failures, each with its line: writing them would take the processor that the
-    requests need.
+    The first line of a later second says how many lines were dropped. Without this limit, a flood of failures
+    that log a line each would take CPU time from the requests.
     """
 
     def __init__(self) -> None:
@@ -24,7 +23,7 @@
         self.dropped_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is written."""
+        """Return whether to write the line; add the number of dropped lines to the first line of a second."""
         second = int(time.monotonic())
         if second != self.current_second:
             if self.dropped_count:
@@ -40,7 +39,7 @@
 
 
 def configure() -> None:
-    """Log to standard error, at most `LINES_PER_S` lines a second."""
+    """Set up logging to standard error, with at most `LINES_PER_S` lines per second."""
     logging.basicConfig(
         stream=sys.stderr,
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -1,4 +1,4 @@
-"""The process: its parts put together, its signals, and its graceful shutdown."""
+"""The server of one front door process: its components, its signal handlers and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,29 +22,32 @@
 
 log = logging.getLogger("yardlane.server")
 
-# By the protocol, new connections come for up to 0.4 s after SIGTERM.
+# The protocol allows clients to open new connections for up to 0.4 s after SIGTERM.
 ACCEPT_AFTER_SIGTERM_S = 0.5
-# How long the first request of a connection that was accepted last may take to arrive.
+# How long to wait, after the listener has closed, for first requests on connections that it accepted.
 FIRST_REQUEST_WAIT_S = 0.3
-# The platform sends SIGKILL no earlier after SIGTERM than
+# The time from SIGTERM to the platform's SIGKILL is at least
 # min(longest deadline, LONGEST_COUNTED_DEADLINE_US) + KILL_MARGIN_US.
 LONGEST_COUNTED_DEADLINE_US = 3_000_000
 KILL_MARGIN_US = 700_000
-# Kept free before SIGKILL, to write the last responses.
+# The time reserved before SIGKILL for writing the last responses.
 WRITE_RESERVE_US = 300_000
 SHUTDOWN_POLL_INTERVAL_S = 0.01
-# How long connections whose last response is being written may take to close.
+# How long to wait for connections to close while their last response is being written.
 CLOSE_WAIT_S = 0.15
 
 
 def shutdown_timeout_us(settings: Settings) -> int:
-    """Microseconds from SIGTERM until every request must be answered, so that SIGKILL finds none open."""
+    """Return the time from SIGTERM in microseconds within which all requests must be answered.
+
+    SIGKILL follows later, so it interrupts no open request.
+    """
     longest_us = max(request_class.deadline_us for request_class in settings.request_classes)
     return max(0, min(longest_us, LONGEST_COUNTED_DEADLINE_US) + KILL_MARGIN_US - WRITE_RESERVE_US)
 
 
 class Server:
-    """One front door, from its start to the end of its graceful shutdown."""
+    """Runs one front door from its start to the end of its graceful shutdown."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
         limits = connection_limits(usable_descriptors(config.descriptors))
@@ -57,32 +60,38 @@
         self.shutdown_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Listen for clients and watch the endpoint list. OSError where the address cannot be listened on."""
+        """Listen for clients and watch the endpoint list.
+
+        Raises OSError if the configured address cannot be listened on.
+        """
         self.discovery.load_cached()
         self.clients.listen()
         self.discovery.start()
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then until the graceful shutdown has ended."""
+        """Serve until SIGTERM or SIGINT arrives and the graceful shutdown that follows has ended."""
         self.loop.add_signal_handler(signal.SIGTERM, self.shut_down)
         self.loop.add_signal_handler(signal.SIGINT, self.shut_down)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.start()
-        # What the start allocated lives as long as the process: later collections need not visit it.
+        # The objects allocated at startup live as long as the process, so the garbage collector can skip them.
         gc.collect()
         gc.freeze()
         await self.stopped.wait()
         self.discovery.stop()
 
     def reload(self) -> None:
-        """Read the configuration again: discovery and the counter may have another address."""
+        """Reload the configuration and apply the addresses of discovery and the counter.
+
+        Keep the old configuration if the new one is invalid.
+        """
         try:
             config = load_config(os.environ, is_reload=True)
         except ConfigError as error:
-            log.error("keeping the old configuration: %s", error.one_line())
+            log.error("reload failed, keeping the old configuration: %s", error.one_line())
             return
         log.info(
-            "configuration read again: discovery %s:%d, counter %s:%d",
+            "configuration reloaded: discovery %s:%d, counter %s:%d",
             *config.discovery,
             *(config.counter or ("none", 0)),
         )
@@ -90,7 +99,7 @@
         self.proxy.move_counter(config.counter)
 
     def shut_down(self) -> None:
-        """Begin the graceful shutdown: answer what is open and what still arrives, then stop."""
+        """Start the graceful shutdown, unless it has started: answer open and new requests, then stop."""
         if self.shutdown_task is not None:
             return
         self.clients.is_draining = True
@@ -98,12 +107,13 @@
         self.shutdown_task = self.loop.create_task(self._shut_down())
 
     async def _shut_down(self) -> None:
-        """Accept for a while, close what is idle, and stop once nothing is pending or the time is over.
+        """Keep accepting for a while, close idle connections, and stop once no work is pending or time is up.
 
-        A client may have connected just before it learned that we drain. Were the listener closed at
-        SIGTERM, its connection would be reset; were connections without a request closed with the idle ones,
-        its first request would be lost. So accepting goes on for `ACCEPT_AFTER_SIGTERM_S`, and the last
-        connection has `FIRST_REQUEST_WAIT_S` more to send one.
+        A client may connect just before it learns that this front door is draining. If the listener closed
+        at SIGTERM, that connection would be reset. If connections without a request were closed together
+        with the idle ones, the client's first request would be lost. The listener therefore accepts for
+        another `ACCEPT_AFTER_SIGTERM_S`, and the connections that it accepted then have
+        `FIRST_REQUEST_WAIT_S` to send a first request.
         """
         try:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -1,12 +1,15 @@
-"""The settings text to `Settings`: the one place that knows the names and values that it has for them.
+"""Reads `Settings` from the settings text.
 
-All but the proxy's own: `yardlane.config` reads connect_timeout_us and keepalive_us of `permissions`, and the
-names of `profiles` and `packages`, through `SettingsReader`, and `zones` and `kinds` from the nested JSON.
+The settings text has one line `path=value` for each setting. The front door's configuration has the same
+settings as nested JSON, which `yardlane.config` flattens to the same paths.
 
-The text is a line a setting, `path=value`. The front door's configuration has the same settings as nested
-JSON, which `yardlane.config` flattens to the same paths. Whatever is wrong raises SettingsError. Its text
-names the path for a value that is missing or cannot be read, and the field of `Settings` for one that is out
-of its range (`gateway_count is 0`, where the path is `peers_total`).
+All external names and values of the settings are defined here, except those that only the proxy uses.
+`yardlane.config` reads these itself: `permissions.connect_timeout_us`, `permissions.keepalive_us` and the
+names of `profiles` and `packages` through `SettingsReader`, and `zones` and `kinds` from the nested JSON.
+
+Invalid settings raise SettingsError. The message names the path of a value that is missing or cannot be
+parsed, but the field of `Settings` for a value that is out of range: for the path `peers_total` it is
+`gateway_count is 0`.
 """
 
 from __future__ import annotations
@@ -24,7 +27,7 @@
     "depth": "queued",
     "load_share": "utilization",
 }
-"""The columns of a load report that are read: their names in the settings, and their `LoadReport` fields."""
+"""The load report columns that are read: their names in the settings, and their fields in `LoadReport`."""
 
 IDEMPOTENCY = {
     "free": Idempotency.IDEMPOTENT,
@@ -48,49 +51,53 @@
 
 
 class SettingsReader:
-    """Typed look-ups by path. Each takes the text of a default; a setting that has none must be there."""
+    """Looks up typed values by path.
+
+    Each method takes an optional default in text form, which is used if the setting is missing. All raise
+    SettingsError if the setting is missing without a default, or if its value cannot be parsed.
+    """
 
     def __init__(self, values: dict[str, str]) -> None:
         self.values = values
 
     def text(self, path: str, default: str | None = None) -> str:
-        """The value as it stands."""
+        """Return the value unparsed."""
         value = self.values.get(path, default)
         if value is None:
             raise SettingsError(f"setting {path} is missing")
         return value
 
     def number(self, path: str, default: str | None = None) -> float:
-        """A finite number: any other would spoil every sum and comparison that it enters."""
+        """Return a finite number. Infinities and NaN are refused, as they invalidate sums and comparisons."""
         text = self.text(path, default)
         try:
             number = float(text)
         except ValueError:
-            raise SettingsError(f"setting {path} is no number: {text!r}") from None
+            raise SettingsError(f"setting {path} is not a number: {text!r}") from None
         if not math.isfinite(number):
             raise SettingsError(f"setting {path} is not finite: {text!r}")
         return number
 
     def integer(self, path: str, default: str | None = None) -> int:
-        """A number in any notation that `number` reads, such as `1e6`; a fraction is cut off, not refused."""
+        """Return the integer part of a number in any notation that `number` accepts, such as `1e6`."""
         return int(self.number(path, default))
 
     def positive_integer(self, path: str, default: str | None = None) -> int:
-        """An integer over 0."""
+        """Return an integer greater than 0."""
         number = self.integer(path, default)
         if number <= 0:
-            raise SettingsError(f"setting {path} is {number}: wanted more than 0")
+            raise SettingsError(f"setting {path} is {number}: must be greater than 0")
         return number
 
     def flag(self, path: str, default: str | None = None) -> bool:
-        """`true` or `false`."""
+        """Return True for `true`, and False for `false`."""
         text = self.text(path, default)
         if text not in FLAG_VALUES:
             raise SettingsError(f"setting {path} is neither true nor false: {text!r}")
         return FLAG_VALUES[text]
 
     def one_of(self, path: str, choices: dict[str, T], default: str | None = None) -> T:
-        """What the table has for the value."""
+        """Return the item of `choices` for the value."""
         text = self.text(path, default)
         if text not in choices:
             raise SettingsError(f"setting {path} has an unknown value: {text!r}")
@@ -98,11 +105,14 @@
 
 
 def parse_settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
-    """Settings, and the names of the load report's columns in their order."""
+    """Return the settings in a settings text, and the column names of the load report in their order.
+
+    Raises SettingsError if the text is invalid.
+    """
     try:
         lines = text.decode("utf-8").split("\n")
     except UnicodeDecodeError as error:
-        raise SettingsError(f"settings are not UTF-8 at byte {error.start}") from None
+        raise SettingsError(f"settings text is not valid UTF-8 at byte {error.start}") from None
     values: dict[str, str] = {}
     for line_number, raw_line in enumerate(lines, 1):
         line = raw_line.strip()
@@ -116,7 +126,10 @@
 
 
 def read_settings(values: dict[str, str]) -> tuple[Settings, tuple[str, ...]]:
-    """The same from values by their paths."""
+    """Return the settings, and the column names of the load report, from text values by path.
+
+    Raises SettingsError if a value is missing or invalid.
+    """
     reader = SettingsReader(values)
     endpoint_list_is_pushed = reader.one_of("discovery", DISCOVERY_MODES)
     columns = tuple(column for column in reader.text("report.columns", "").split(",") if column)
--- a/yardlane/units.py
+++ b/yardlane/units.py
@@ -1,4 +1,7 @@
-"""Units of time that the edges convert between. The decisions have their own, as they import nothing."""
+"""Conversion factors between units of time, for all parts of the package except the decisions.
+
+The decisions import nothing from the rest of the package but its errors, so they define their own units.
+"""
 
 MS_PER_S = 1_000
 US_PER_MS = 1_000
