--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,13 @@
-"""The tests that KNOWN-RED.txt names may fail; each of them must run and fail, and all others must pass.
+"""Pytest hooks that tolerate the failures of the tests listed in KNOWN-RED.txt.
 
-An entry is one line of the file, at the root: `TEST | COMMAND AND SEED | SEEN | ISSUE`. TEST is the whole
-id as pytest prints it (with the brackets of one that is parametrised), SEEN what its failure looked like,
-and ISSUE where that is followed up. Blank lines are passed over; three entries at most. Without the file
-all tests count.
+Every listed test must run and fail, and all other tests must pass. The file is in the root directory of the
+repository. Each line is one entry, `TEST | COMMAND AND SEED | SEEN | ISSUE`: TEST is the complete test id as
+pytest prints it, including the brackets of a parametrized test. SEEN describes the failure, and ISSUE says
+where it is being followed up. Blank lines are ignored, and at most three entries are allowed. Without the
+file, every failure counts.
 
-A listed test is run like any other. A failure of its body shows as xfailed; a pass, a skip or an error
-around it fails the run.
+A listed test runs like any other. A failure of its body is reported as xfailed. If it passes, is skipped, or
+has an error in its setup or teardown, the run fails.
 """
 
 from __future__ import annotations
@@ -39,15 +40,18 @@
 
 
 def parse_entry(line: str) -> KnownFailure:
-    """The entry that a line holds; UsageError, which ends pytest with one line, where it is malformed."""
+    """Return the entry in a line.
+
+    Raises UsageError, which makes pytest exit with a one-line message, if the line is malformed.
+    """
     fields = [field.strip() for field in line.split("|")]
     if len(fields) != len(ENTRY_FORMAT.split("|")) or not all(fields):
-        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: wanted {ENTRY_FORMAT}: {line}")
+        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: expected {ENTRY_FORMAT}: {line}")
     return KnownFailure(*fields)
 
 
 def parse_known_red(text: str) -> dict[str, KnownFailure]:
-    """Each listed test's id and its entry; UsageError where the list is malformed."""
+    """Return the entries by test id. Raises UsageError if the list is malformed."""
     entries: dict[str, KnownFailure] = {}
     for line in filter(None, map(str.strip, text.splitlines())):
         entry = parse_entry(line)
@@ -56,19 +60,22 @@
         entries[entry.test_id] = entry
     if len(entries) > MAX_ENTRIES:
         raise pytest.UsageError(
-            f"{KNOWN_RED_FILE.name}: {len(entries)} tests, at most {MAX_ENTRIES} may be listed"
+            f"{KNOWN_RED_FILE.name}: {len(entries)} tests listed, at most {MAX_ENTRIES} allowed"
         )
     return entries
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list before anything runs."""
+    """Read KNOWN-RED.txt before any test runs."""
     text = KNOWN_RED_FILE.read_text(errors="replace") if KNOWN_RED_FILE.exists() else ""
     config.stash[KNOWN_FAILURES] = parse_known_red(text)
 
 
 def pytest_collection_finish(session: pytest.Session) -> None:
-    """What is listed must be among what will run; where collecting failed, pytest ends by that."""
+    """Raise UsageError if a listed test is not part of this run.
+
+    A failed collection may have lost listed tests and ends the run anyway, so the list is not checked then.
+    """
     missing = session.config.stash[KNOWN_FAILURES].keys() - {item.nodeid for item in session.items}
     if missing and not session.testsfailed:
         raise pytest.UsageError(
@@ -76,15 +83,17 @@
         )
 
 
-@pytest.hookimpl(wrapper=True, tryfirst=True)  # outermost: after marks have had their say
+@pytest.hookimpl(
+    wrapper=True, tryfirst=True
+)  # outermost, so it sees reports after marks such as xfail have been applied
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Turn the failure of a listed test into xfailed, and any other end of it into a failure."""
+    """Report the failure of a listed test as xfailed, and any other result of it as failed."""
     report = yield
     entry = item.config.stash[KNOWN_FAILURES].get(item.nodeid)
     if entry is None:
         return report
     if report.when == "call" and report.failed:
-        report.outcome = "skipped"  # which pytest counts as xfailed
+        report.outcome = "skipped"  # pytest counts it as xfailed, as `wasxfail` is set
         report.wasxfail = str(entry)
     elif report.when == "call" or report.skipped:
         report.longrepr = f"{KNOWN_RED_FILE.name} lists it, but it did not fail: {report.outcome}"
@@ -95,7 +104,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Name each listed test that failed."""
+    """Print the entry of each listed test that failed as expected."""
     known_failures = terminalreporter.config.stash[KNOWN_FAILURES]
     for report in terminalreporter.getreports("xfailed"):
         if report.nodeid in known_failures:
--- a/tests/front_door_process.py
+++ b/tests/front_door_process.py
@@ -1,4 +1,4 @@
-"""The front door as a process of its own."""
+"""Starts the front door in a separate process."""
 
 import asyncio
 import json
@@ -12,9 +12,9 @@
 async def start_process(
     config_path: Path, configuration: object, descriptors: int = 0
 ) -> asyncio.subprocess.Process:
-    """The command with a configuration file, written to `config_path`.
+    """Write the configuration to `config_path`, and start the front door with it.
 
-    It may hold so many file descriptors; 0 for as many as the test itself.
+    The process may hold `descriptors` file descriptors; 0 leaves it the limit of the test process.
     """
     config_path.write_text(json.dumps(configuration))
     limit = f"ulimit -n {descriptors} && " if descriptors else ""
@@ -29,6 +29,6 @@
 
 
 async def free_port() -> int:
-    """A port of 127.0.0.1 that nobody listens on."""
+    """Return a port of 127.0.0.1 on which no process listens."""
     async with FakeServer() as server:
         return server.port
--- a/tests/gateway_driver.py
+++ b/tests/gateway_driver.py
@@ -1,4 +1,4 @@
-"""Settings, events and a gateway with its clock, for tests of the decisions."""
+"""Test settings, endpoints, and a driver that runs one gateway with a simulated clock and counter."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 A = TypeVar("A")
 MS = 1_000
 SECOND = 1_000_000
+# Indices of `CLASSES` and `PLANS`.
 IDEMPOTENT, KEYED, NON_IDEMPOTENT = 0, 1, 2
 UNLIMITED, RATE_LIMITED, CONCURRENCY_LIMITED, HARD_RATE_LIMITED = 0, 1, 2, 3
 
@@ -32,6 +33,7 @@
 def make_request_class(
     idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ZONE, **changes: Any
 ) -> RequestClass:
+    """Return a request class with test values, except for `changes`."""
     base = RequestClass(
         latency_objective_us=900 * MS,
         deadline_us=3 * SECOND,
@@ -44,6 +46,7 @@
 
 
 def make_quota_plan(**changes: Any) -> QuotaPlan:
+    """Return a quota plan without limits, except for `changes`."""
     base = QuotaPlan(
         rate_per_s=0.0,
         burst=0.0,
@@ -69,6 +72,7 @@
 
 
 def make_settings(**changes: Any) -> Settings:
+    """Return settings with test values, except for `changes`."""
     base = Settings(
         gateway_count=3,
         rank=0,
@@ -96,21 +100,23 @@
 
 
 def make_endpoint_id(number: int) -> bytes:
+    """Return the id of the endpoint with this number."""
     return bytes((10, 1, 0, number)) + b"\x50\x00"
 
 
 def make_endpoint(number: int, state: EndpointState = EndpointState.READY, **changes: Any) -> Endpoint:
+    """Return an endpoint list entry with test values, except for `changes`."""
     base = Endpoint(make_endpoint_id(number), state, 0, 1.0, 0, 0, 0)
     return replace(base, **changes)
 
 
 def of_type(kind: type[A], actions: list[Action]) -> list[A]:
-    """The actions of this kind."""
+    """Return the actions of type `kind`."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 class GatewayDriver:
-    """Drives one gateway: keeps its clock and timer, answers for the counter, and logs its actions."""
+    """Drives one gateway: simulates its clock, timers and shared counter, and logs its actions."""
 
     def __init__(
         self, endpoints: int = 4, seed: int = 5, start_us: int = 77 * SECOND, **changes: Any
@@ -123,15 +129,15 @@
         self.counter_totals: dict[int, float] = {}
         self.counter_responds = True
         self.counter_latency_us = MS
-        self.counter_failure = Outcome.TIMED_OUT  # while it does not answer
-        self.remote_demand = 0.0  # what other gateways add to each count before it is read
+        self.counter_failure = Outcome.TIMED_OUT  # the outcome of a call while the counter does not respond
+        self.remote_demand = 0.0  # what other gateways have added to each total at the start
         self.next_request_id = 1
         self.attempt_counts: dict[int, int] = {}
         entries = tuple(make_endpoint(number) for number in range(endpoints))
         self.deliver(EndpointListUpdate(UpdateKind.CACHED, 1, entries))
 
     def deliver(self, *events: Event) -> list[Action]:
-        """A turn with these events; its actions, and those of the counter's answers."""
+        """Pass events to the gateway in one turn, reply to its counter calls, and return all actions."""
         actions = self.gateway.handle(self.now_us, list(events))
         for action in actions:
             self.action_log.append((self.now_us, action))
@@ -153,7 +159,7 @@
         return self.deliver(CounterResult(call.counter_key, Outcome.OK, total, self.counter_latency_us))
 
     def advance(self, duration_us: int) -> list[Action]:
-        """Let time pass; only timers fire."""
+        """Advance the clock, firing the timers that become due, and return the actions of the gateway."""
         log_start = len(self.action_log)
         end_us = self.now_us + duration_us
         while self.timers_us and min(self.timers_us) <= end_us:
@@ -173,7 +179,7 @@
         first_gateway: int = 0,
         gateway_count: int = 3,
     ) -> tuple[int, list[Action]]:
-        """A new request: its number, and the actions of the same turn."""
+        """Deliver a new request; return its request id and the actions of that turn."""
         number = self.next_request_id
         self.next_request_id += 1
         if time_left_us is None:
@@ -193,7 +199,7 @@
         request_ended: bool | None = None,
         load: LoadReport | None = None,
     ) -> list[Action]:
-        """The end of an attempt, the last one if none is named."""
+        """End an attempt, by default the last one of the request, and return the resulting actions."""
         if attempt_index is None:
             attempt_index = self.attempt_counts[request_id] - 1
         if request_ended is None:
@@ -205,7 +211,7 @@
         )
 
     def serve_request(self, **request: Any) -> bool:
-        """A new request that is answered at once if it is sent; whether it was."""
+        """Deliver a new request and complete its first attempt immediately; return whether there was one."""
         number, actions = self.send_request(**request)
         sent = of_type(StartAttempt, actions)
         if sent:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""The whole program between fake peers on loopback sockets: backends, discovery, counter, clients."""
+"""Runs the whole program against fake backends, discovery, counter and clients on loopback sockets."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 E = TypeVar("E")
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
-TEST_TIMEOUT_S = 20.0  # s for a whole test; only a test that hangs runs into it
+TEST_TIMEOUT_S = 20.0  # for a whole test; only a test that hangs reaches it
 
 
 def settings_dict(**changes: Any) -> dict[str, Any]:
-    """The settings text as a map, by its names on the wire."""
+    """Return the settings as nested JSON in the format of the configuration file, with changes applied."""
     base: dict[str, Any] = {
         "discovery": "pushed",
         "peers_total": 1,
@@ -101,7 +101,7 @@
 
 
 def make_config(**changes: Any) -> Config:
-    """A process's configuration, which listens on a free port."""
+    """Return a configuration that listens on a free port; `changes` are keys of the configuration file."""
     base: dict[str, Any] = {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -113,12 +113,12 @@
     base.update(changes)
     config = parse_config(base)
     fields = {field: getattr(config, field) for field in Config.__slots__}
-    fields["listen"] = ("127.0.0.1", 0)  # the kernel picks a port, and the test asks which
+    fields["listen"] = ("127.0.0.1", 0)  # the kernel picks a port; `ClientServer.port` returns it
     return Config(**fields)
 
 
 def member_dict(name: str, port: int, **changes: Any) -> dict[str, Any]:
-    """An entry of the endpoint list as discovery writes it."""
+    """Return an entry of the endpoint list in discovery's JSON format."""
     return {
         "id": name,
         "host_port": f"127.0.0.1:{port}",
@@ -133,15 +133,18 @@
 
 
 def endpoint_list_dict(*members: dict[str, Any], revision: int = 1) -> dict[str, Any]:
-    """A snapshot of the endpoint list as discovery writes it."""
+    """Return a complete endpoint list in discovery's JSON format."""
     return {"revision": revision, "complete": True, "members": list(members)}
 
 
 class FakeServer:
-    """A server at a free port of 127.0.0.1, whose connections the test takes and serves by hand."""
+    """A server on a free port of 127.0.0.1. The test accepts its connections and serves them itself.
+
+    Connections are refused until the context is entered.
+    """
 
     def __init__(self) -> None:
-        self.sock = socket.socket()  # bound at once: connections are refused until it listens
+        self.sock = socket.socket()  # bound immediately, so that the port is known before it listens
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(("127.0.0.1", 0))
         self.accepted: asyncio.Queue[Streams] = asyncio.Queue()
@@ -167,18 +170,18 @@
         return int(self.sock.getsockname()[1])
 
     async def accept_connection(self) -> Streams:
-        """The next new connection."""
+        """Return the next new connection, once there is one."""
         return await self.accepted.get()
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Let the loop run until the condition holds; the time for a whole test bounds this too."""
+    """Let the event loop run until the condition holds. The only time limit is that of the whole test."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers and body of one HTTP message."""
+    """Return first line, headers (by lower-case name) and body of the next HTTP message."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     fields = [line.partition(":") for line in head[1:] if line]
     headers = {name.strip().lower(): value.strip() for name, _, value in fields}
@@ -187,12 +190,15 @@
 
 
 def make_response(status: int = 200, body: bytes = b"done", extra: str = "") -> bytes:
-    """A response; `extra` holds whole header lines, each with its line end."""
+    """Return an HTTP response. `extra` contains complete header lines, each with its line ending."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
 def make_request(kind: str = "look", trace: str = "ab12", **changes: str | None) -> bytes:
-    """A client's request; a header set to None is left out."""
+    """Return a client's request of class `kind` with trace id `trace`.
+
+    `changes` are headers, with `_` in place of `-`. A header set to None is omitted.
+    """
     headers: dict[str, str | None] = {
         "X-Trace-Id": trace,
         "X-Qos": kind,
@@ -209,12 +215,14 @@
 
 
 class RunningServer(Server):
-    """The whole program in this test's loop; it counts the requests that have not ended yet."""
+    """Runs the whole program in the test's event loop and counts the requests that have not ended."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
         super().__init__(config, loop, decider)
         self.writers: list[asyncio.StreamWriter] = []
-        self.open_request_count = 0  # each request ends exactly once: fewer ends leave it above 0, more below
+        # Each request must end exactly once. At the end the count is above 0 if a request has not ended, and
+        # below 0 if one has ended twice.
+        self.open_request_count = 0
         handle_request = self.proxy.handle_request
         end = self.proxy._end
 
@@ -230,20 +238,20 @@
         self.proxy._end = count_end  # type: ignore[method-assign]
 
     async def connect_client(self) -> Streams:
-        """A new client's connection."""
+        """Open a connection of a new client."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.clients.port())
         self.writers.append(writer)
         return reader, writer
 
     async def fetch(self, request: bytes) -> tuple[str, dict[str, str], bytes]:
-        """The answer to one request on a new connection."""
+        """Send a request on a new connection, and return first line, headers and body of the response."""
         reader, writer = await self.connect_client()
         writer.write(request)
         return await read_message(reader)
 
 
 class EventLoopWrapper:
-    """A loop that does as `loop` does, but for what a subclass defines."""
+    """Forwards everything to an event loop, except the methods that a subclass overrides."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -252,19 +260,23 @@
         return getattr(self.loop, name)
 
     def as_loop(self) -> asyncio.AbstractEventLoop:
-        """This, for what takes a loop."""
+        """Return this object typed as an event loop."""
         return cast(asyncio.AbstractEventLoop, self)
 
 
 class DelayedConnectLoop(EventLoopWrapper):
-    """The pool's loop; connections to one backend are made, and known to be, only when the test says so."""
+    """Replaces the event loop of the upstream pool, and delays connections to the backend on `port`.
+
+    They are opened once `may_connect` is set. `create_connection` returns once `may_return` is set.
+    """
 
     def __init__(self, server: RunningServer, port: int) -> None:
         super().__init__(server.pool.loop)
         self.port = port
         self.connect_requested = asyncio.Event()
         self.may_connect = asyncio.Event()
-        self.may_return = asyncio.Event()  # set, unless a test withholds what is known of a connection made
+        # Set by default. A test replaces it to delay the moment at which the pool learns of a connection.
+        self.may_return = asyncio.Event()
         self.may_return.set()
         server.pool.loop = self.as_loop()
 
@@ -281,7 +293,7 @@
 
 @asynccontextmanager
 async def running_server(decider: Decider | None = None, **changes: Any) -> AsyncIterator[RunningServer]:
-    """The whole program, without its signals; nobody need listen at discovery's address."""
+    """Run the whole program without its signal handlers. Discovery need not be reachable."""
     config = make_config(**changes)
     loop = asyncio.get_running_loop()
     server = RunningServer(config, loop, decider or Gateway(config.settings, config.seed))
@@ -296,7 +308,7 @@
 
 
 def uvloop_test(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
-    """Run a test on the program's own kind of loop."""
+    """Turn an async test into one that runs on uvloop, as the program does, with a time limit."""
 
     def run() -> None:
         async def limited() -> None:
@@ -310,12 +322,12 @@
 
 
 def encode_json(value: object) -> bytes:
-    """A body of discovery's."""
+    """Return a value as JSON, for the body of a discovery response."""
     return json.dumps(value).encode()
 
 
 class ScriptedDecider:
-    """A decider that does as the test says: `reply` turns each event into actions."""
+    """A decider that calls `reply` for the actions of each event, and records all events."""
 
     def __init__(self, reply: Callable[[Event], list[Action]]) -> None:
         self.reply = reply
@@ -324,7 +336,7 @@
         self.events_received = asyncio.Event()
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """The actions for all events, in order."""
+        """Return the actions for all events, in order."""
         self.actions = []
         for event in events:
             self.actions += self._handle_event(event)
@@ -336,7 +348,7 @@
         return self.reply(event)
 
     async def wait_for(self, kind: type[E], count: int = 1) -> list[E]:
-        """Once so many events of this kind have come: all of them."""
+        """Wait for `count` events of type `kind`, and return all events of this type so far."""
         while True:
             found: list[E] = [event for event in self.received_events if isinstance(event, kind)]
             if len(found) >= count:
@@ -346,7 +358,7 @@
 
 
 def forward_all(event: Event, endpoint_id: bytes = b"s-1") -> list[Action]:
-    """Each request gets one attempt, and fails unless that brings a good response."""
+    """Start one attempt for each request, and fail the request if the attempt does not succeed."""
     if isinstance(event, RequestArrived):
         return [StartAttempt(event.request_id, endpoint_id)]
     if isinstance(event, AttemptEnded) and not event.request_ended:
@@ -355,17 +367,17 @@
 
 
 def leave_pending(_: Event) -> list[Action]:
-    """Requests stay pending."""
+    """Decide nothing, so that all requests stay pending."""
     return []
 
 
 def reject_all(event: Event) -> list[Action]:
-    """Requests are rejected at once."""
+    """Reject each request immediately."""
     return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
 
 def attempt_at_each(*endpoints: bytes, send_within_us: int = 0) -> Callable[[Event], list[Action]]:
-    """Requests get one attempt at each endpoint, and no decision after that."""
+    """Return a `reply` that starts one attempt at each endpoint for each request, and nothing more."""
 
     def reply(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
@@ -381,7 +393,7 @@
 async def running_server_with_backend(
     decider: Decider | None = None, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
-    """A proxy whose endpoint list holds one backend, `s-1`."""
+    """Run the whole program with one backend, `s-1`, in its endpoint list."""
     async with (
         FakeServer() as backend,
         running_server(
@@ -392,13 +404,13 @@
 
 
 async def read_status(reader: asyncio.StreamReader) -> str:
-    """The status of the next message."""
+    """Return the status code of the next response."""
     line, _, _ = await read_message(reader)
     return line.split()[1]
 
 
 async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
-    """What still comes on a connection, until it is closed or reset."""
+    """Return all bytes that arrive until the connection is closed or reset."""
     with suppress(ConnectionError):
         return await reader.read()
     return b""
--- a/tests/settings_text.py
+++ b/tests/settings_text.py
@@ -1,4 +1,4 @@
-"""The settings text of one instance, with a setting that nobody knows."""
+"""A valid settings text for one gateway, which includes an unknown setting."""
 
 SETTINGS_TEXT = b"""discovery=pushed
 peers_total=2
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""From the environment and the configuration file to `Config`."""
+"""Loading `Config` from the configuration file and the environment."""
 
 import json
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def test_too_deeply_nested_json_raises_config_error(tmp_path: Path) -> None:
-    """The file is JSON that the parser gives up on. That is a fault of the file like any other."""
+    """Deep nesting makes the JSON parser raise RecursionError, which must be reported as an invalid file."""
     path = tmp_path / "config.json"
     path.write_text("[" * 100_000)
     with pytest.raises(ConfigError, match="invalid JSON"):
@@ -19,7 +19,7 @@
 
 
 def test_environment_variables_override_the_file(tmp_path: Path) -> None:
-    """Each variable that is set goes before its key in the file; the others leave the file as it is."""
+    """A variable that is set overrides its key in the file. All other keys keep the file's values."""
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings_dict()})
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("is_reload", [False, True])
 def test_discovery_address_of_the_file_wins_only_on_reload(is_reload: bool, tmp_path: Path) -> None:
-    """Discovery moves: the file names its new address, the environment still has that of the start."""
+    """Discovery moves: the file has its new address, but the environment still has the one from the start."""
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings_dict()})
@@ -47,8 +47,10 @@
     "text", ["", "x", ":9", "x:", "x:0", "x:65536", "x:-1", "x:\u0663", "x:" + "9" * 5000, None, ["x:9"]]
 )
 def test_invalid_address_raises_config_error(text: object) -> None:
-    """An address is mistyped: no port, a port out of range, digits that are not ASCII. The start must end
-    with one line that names the value, not with a traceback."""
+    """An address has no port, a port out of range, or digits that are not ASCII.
+
+    The error must name the value, so that the process can exit with one line instead of a traceback.
+    """
     with pytest.raises(ConfigError, match=r"here is .*must be host:port"):
         parse_address(text, "here")
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,7 @@
-"""CI passes over the tests that KNOWN-RED.txt names, and nothing else: small projects, run by `.ci/run`."""
+"""CI tolerates failures of the tests that KNOWN-RED.txt lists, and no others.
+
+Each test runs `.ci/run` in a small temporary project.
+"""
 
 import os
 import subprocess
@@ -36,7 +39,11 @@
 def run_ci(
     path: Path, listed: str | None, only: str = WITHOUT_FIXTURE_ERRORS, tests: str = TESTS
 ) -> tuple[int, str]:
-    """Exit code and output of `.ci/run` in a project of these tests, where pip, ruff and mypy do nothing."""
+    """Run `.ci/run` in a project that consists of `tests`; return its exit code and output.
+
+    `listed` is the content of KNOWN-RED.txt, or None for no such file. `only` selects tests, as pytest's `-k`
+    does. The project's pip, ruff and mypy do nothing.
+    """
     for file in (".ci/run", "tests/conftest.py"):
         (path / file).parent.mkdir(exist_ok=True)
         (path / file).write_text((ROOT / file).read_text())
@@ -62,12 +69,12 @@
 
 
 def last_line(output: str) -> str:
+    """Return the last line of an output."""
     return output.strip().splitlines()[-1]
 
 
 def test_failing_listed_test_passes_ci_and_is_reported(tmp_path: Path) -> None:
-    """A test that is listed fails, as expected. CI passes, but its end names the entry, so that a known fault
-    is not forgotten."""
+    """A listed test fails, as expected. CI passes, but prints the entry as a reminder of the known fault."""
     code, output = run_ci(tmp_path, f"\n{FAILING} | pytest, seed 5 | the clock | #7\n\n")
     assert code == 0, output
     assert last_line(output).startswith("2 passed, 1 skipped, 2 deselected, 2 xfailed in "), output
@@ -76,16 +83,20 @@
 
 @pytest.mark.parametrize("listed", [None, "", "tests/test_some.py::test_expected | pytest | seen | #1\n"])
 def test_failing_unlisted_test_fails_ci(tmp_path: Path, listed: str | None) -> None:
-    """A test fails that the list does not name: there is no list, an empty one, or one of other tests. CI
-    must fail, or the list would hide any fault."""
+    """A test fails that is not listed: there is no list, or it is empty, or it only has other tests.
+
+    CI must fail, as otherwise the list would hide new faults.
+    """
     code, output = run_ci(tmp_path, listed)
     assert code == 1 and f"FAILED {FAILING}" in output, output
 
 
 @pytest.mark.parametrize("name", ["test_good", "test_failing[2]", "test_skipped", "test_expected"])
 def test_listed_test_that_does_not_fail_fails_ci(tmp_path: Path, name: str) -> None:
-    """A listed test passes again, or does not run. Left on the list, it would hide the next fault that it
-    finds: CI fails until the entry is gone."""
+    """A listed test passes again, or is skipped. If it stayed on the list, its next failure would be hidden.
+
+    CI must therefore fail until the entry is removed.
+    """
     code, output = run_ci(
         tmp_path, f"{FAILING} | pytest | seen | #1\ntests/test_some.py::{name} | pytest | seen | #1\n"
     )
@@ -95,8 +106,10 @@
 
 @pytest.mark.parametrize("name", [SETUP_ERROR, TEARDOWN_ERROR])
 def test_fixture_error_of_listed_test_fails_ci(tmp_path: Path, name: str) -> None:
-    """A fixture of a listed test breaks, before or after it. That is another fault than the one that is
-    known, so CI reports it."""
+    """A fixture of a listed test raises during setup or teardown.
+
+    This is not the known failure of the test, so CI must report it.
+    """
     code, output = run_ci(tmp_path, f"{name} | pytest | seen | #1\n", name.rpartition("_")[2])
     assert code == 1 and f"ERROR {name}" in output, output
 
@@ -108,8 +121,10 @@
 def test_run_without_collected_tests_fails_ci(
     tmp_path: Path, listed: str | None, tests: str, expected_code: int
 ) -> None:
-    """No test is found, or a file of tests cannot be imported. Nothing has failed then, and still CI must not
-    pass: nothing was checked."""
+    """No test is found, or a test file cannot be imported.
+
+    No test has failed, but nothing was checked either, so CI must not pass.
+    """
     code, output = run_ci(tmp_path, listed, tests=tests)
     assert code == expected_code, output
 
@@ -122,19 +137,21 @@
             "no such test in this run: tests/test_some.py::test_failing",
         ),
         ("tests/test_some.py::test_unready | pytest | seen | #1", "no such test in this run"),  # not selected
-        (f"{FAILING} | seen", f"wanted {ENTRY_FORMAT}"),
-        (f"{FAILING} | seen | #1", f"wanted {ENTRY_FORMAT}"),
-        (f"{FAILING} | pytest | seen | ", f"wanted {ENTRY_FORMAT}"),
-        (f"{FAILING} | pytest |  | #1", f"wanted {ENTRY_FORMAT}"),
-        (f"{FAILING} |  | seen | #1", f"wanted {ENTRY_FORMAT}"),
-        (f"{FAILING} | pytest | seen | #1 | more", f"wanted {ENTRY_FORMAT}"),
+        (f"{FAILING} | seen", f"expected {ENTRY_FORMAT}"),
+        (f"{FAILING} | seen | #1", f"expected {ENTRY_FORMAT}"),
+        (f"{FAILING} | pytest | seen | ", f"expected {ENTRY_FORMAT}"),
+        (f"{FAILING} | pytest |  | #1", f"expected {ENTRY_FORMAT}"),
+        (f"{FAILING} |  | seen | #1", f"expected {ENTRY_FORMAT}"),
+        (f"{FAILING} | pytest | seen | #1 | more", f"expected {ENTRY_FORMAT}"),
         (f"{FAILING} | pytest | a | #1\n{FAILING} | pytest | b | #2", "listed twice"),
-        ("\n".join(f"a.py::test_{n} | pytest | seen | #1" for n in range(4)), "4 tests, at most 3"),
+        ("\n".join(f"a.py::test_{n} | pytest | seen | #1" for n in range(4)), "4 tests listed, at most 3"),
     ],
 )
 def test_malformed_list_fails_ci_with_one_line(tmp_path: Path, listed: str, reason: str) -> None:
-    """An entry is incomplete, stands twice, names no test or is one too many. CI says so in one line and runs
-    nothing, as it could not tell which failures are known."""
+    """An entry is incomplete, duplicated or one too many, or names no test of this run.
+
+    CI must report this in one line and run no test, as it cannot tell which failures are known.
+    """
     code, output = run_ci(tmp_path, listed)
     assert code != 0 and "Traceback" not in output, output
     assert last_line(output).startswith("ERROR: KNOWN-RED.txt: ") and reason in last_line(output), output
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""What is promised of the files."""
+"""Tests of the source files, their imports, the deploy file and the names on the documentation pages."""
 
 import ast
 import os
@@ -26,7 +26,12 @@
     "docs/measurements.md",
 ]
 FILE_ENDINGS = (".py", ".md", ".json", ".toml", ".txt")
-EXTERNAL_FILES = {"connection_pool.py", "connection.py", "http11.py", "commands.py"}  # in DEVELOPERS.md
+EXTERNAL_FILES = {
+    "connection_pool.py",
+    "connection.py",
+    "http11.py",
+    "commands.py",
+}  # of other projects, named in DEVELOPERS.md
 DECISION_LIBRARIES = {
     "__future__",
     "abc",
@@ -41,7 +46,7 @@
     "typing",
     "zlib",
 }
-# What each part of the package may import of the others: imports point down only.
+# The parts of the package that each part may import. Imports must only go to lower layers.
 MAY_IMPORT = {
     "decisions": {"decisions", "errors"},
     "proxy": {"proxy", "decisions", "errors", "config", "settings_reader", "descriptors", "log", "units"},
@@ -59,12 +64,13 @@
 
 
 def imported_names(path: Path) -> set[str]:
+    """Return the modules that a file imports, and the names that it imports from modules of the package."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             found |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0, f"{path}: a relative import"
+            assert node.level == 0, f"{path} has a relative import in line {node.lineno}"
             found.add(node.module or "")
             if node.module in ("yardlane", *(f"yardlane.{part}" for part in MAY_IMPORT)):
                 found |= {f"{node.module}.{alias.name}" for alias in node.names}
@@ -72,7 +78,7 @@
 
 
 def layer_of(path: Path) -> str:
-    """The part of the package that a module belongs to: its folder, or itself at the top."""
+    """Return the part of the package that a module belongs to: its subpackage, or itself at the top level."""
     return path.relative_to(PACKAGE).with_suffix("").parts[0]
 
 
@@ -88,7 +94,7 @@
 
 
 def defined_names() -> set[str]:
-    """`Class.name` of each method and field, and `module.name` of each function, class and constant."""
+    """Return `Class.name` of each method and field, `module.name` of each function, class and constant."""
     names: set[str] = set()
     for path in MODULES:
         tree = ast.parse(path.read_text())
@@ -109,7 +115,10 @@
 
 @pytest.mark.parametrize("page", PAGES)
 def test_files_and_names_on_a_page_exist(page: str) -> None:
-    """At night a page that sends its reader to a file or function of an earlier version costs the time."""
+    """A page names a file or function that was renamed or removed.
+
+    An engineer who follows the page during an incident would lose time searching for it.
+    """
     text = (ROOT / page).read_text()
     referenced_files = set(re.findall(r"`(?:yardlane/)?((?:\w+/)*\w+\.py)`", text))
     files = [*MODULES, *(ROOT / "tests").rglob("*.py")]
@@ -141,7 +150,7 @@
 
 
 def test_deploy_file_lists_every_other_front_door_module_as_node() -> None:
-    """A module of the front door that the deploy file does not list would not be looked at as one."""
+    """A front door module is missing in the deploy file, so it is not treated as part of the front door."""
     listed = [ROOT / path for path in DEPLOY["node"]]
     assert all(path.exists() for path in listed)
     elsewhere = {PACKAGE / "decisions", PACKAGE / "simulator"}
@@ -158,7 +167,7 @@
 
 
 def test_only_entry_points_import_the_gateway() -> None:
-    """Only who assembles a program knows the gateway: the proxy and the codec know its interface alone."""
+    """Only modules that assemble a program import `Gateway`; the proxy and the codec use its interface."""
     importers = {path for path in MODULES if "yardlane.decisions.gateway" in imported_names(path)}
     assert importers <= {PACKAGE / "__main__.py", PACKAGE / "server.py", PACKAGE / "simulator" / "adapter.py"}
     for name in ("events", "actions", "decider"):
@@ -173,7 +182,7 @@
     build = DEPLOY["build"].rpartition("&& ")[2].replace(".venv/bin/python", sys.executable)
     subprocess.run(build, shell=True, cwd=tmp_path, check=True)
     for source in tmp_path.rglob("*.py"):
-        os.utime(source, (1, 1))  # a copy of the root, or a fresh checkout
+        os.utime(source, (1, 1))  # as in a copy of the directory, or a fresh checkout
     import_log = subprocess.run(
         [sys.executable, "-v", "-c", "import yardlane.__main__"],
         cwd=tmp_path,
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log under a flood of lines."""
+"""The rate limit of the log."""
 
 import logging
 
@@ -8,8 +8,10 @@
 
 
 def test_lines_over_the_rate_limit_are_dropped_and_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each of a flood of failures logs a line. Only the first ones of a second are written, as writing them
-    all would take the processor from the requests; the next second says how many were dropped."""
+    """A flood of failures logs a line each, and writing all of them would take CPU time from the requests.
+
+    Only the first lines of a second are written. The next second reports how many were dropped.
+    """
     now_s = 100.0
     monkeypatch.setattr("yardlane.log.time.monotonic", lambda: now_s)
     rate_limit_filter = RateLimitFilter()
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command: its exit codes, and one plain line for what is wrong."""
+"""The exit codes of `python -m yardlane` and its one-line error messages."""
 
 import asyncio
 import signal
@@ -11,8 +11,10 @@
 
 
 def test_sigterm_exits_with_code_0(tmp_path: Path) -> None:
-    """SIGTERM comes while nothing is open. The process ends by itself with 0: any other code would have its
-    supervisor report a crash at every planned restart."""
+    """SIGTERM arrives while no request is open, and the process must exit with 0.
+
+    With any other code, its supervisor would report a crash at each planned restart.
+    """
 
     async def run() -> None:
         async with FakeServer() as discovery:
@@ -26,7 +28,7 @@
                     "known": endpoint_list_dict(member_dict("s-1", 9)),
                 },
             )
-            await discovery.accept_connection()  # it has started, and listens
+            await discovery.accept_connection()  # the process has started, and listens
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
             assert process.returncode == 0, errors
@@ -35,14 +37,14 @@
 
 
 async def run_until_exit(path: Path, configuration: object) -> tuple[int | None, str]:
-    """The exit code, and what was written to standard error."""
+    """Run a front door until it exits; return its exit code and its standard error output."""
     process = await start_process(path, configuration)
     _, errors = await process.communicate()
     return process.returncode, errors.decode()
 
 
 def test_unavailable_listen_address_exits_with_code_1(tmp_path: Path) -> None:
-    """The address to listen on is not one of this machine's. The process must not go on without clients."""
+    """The listen address is not local to this machine. The process must exit, as it cannot serve clients."""
     configuration = {
         "listen": "203.0.113.1:80",
         "discovery": "127.0.0.1:9",
@@ -84,7 +86,9 @@
     ],
 )
 def test_invalid_configuration_exits_with_code_2(configuration: object, message: str, tmp_path: Path) -> None:
-    """A value of the configuration is missing or wrong. Whoever starts the process sees which, in one line,
-    and the process does not run with another value."""
+    """A value in the configuration is missing or invalid.
+
+    One line must name the value, and the process must exit instead of running with another value.
+    """
     code, errors = asyncio.run(run_until_exit(tmp_path / "config.json", configuration))
     assert code == 2 and errors.count("\n") == 1 and message in errors
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The embedding example of the README runs as it is printed."""
+"""The Python examples in the README run without changes."""
 
 import re
 from pathlib import Path
--- a/tests/test_settings_reader.py
+++ b/tests/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""The settings text to typed settings: every fault names its setting."""
+"""Reading settings from the settings text; errors name the setting."""
 
 import pytest
 
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -55,7 +55,7 @@
 
 
 class DiscoveryUnreachable(YardlaneError):
-    """The connection to discovery could not be set up, or ended or timed out before a complete response.
+    """The connection to discovery timed out or ended before a complete response arrived.
 
     This says nothing about the endpoint list, so the version that this process has is still valid.
     """
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -74,7 +74,7 @@
         self.loop.add_signal_handler(signal.SIGINT, self.shut_down)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.start()
-        # The objects allocated at startup live as long as the process, so the garbage collector can skip them.
+        # Objects allocated at startup live as long as the process; the garbage collector need not visit them.
         gc.collect()
         gc.freeze()
         await self.stopped.wait()
