--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -83,9 +83,8 @@
         )
 
 
-@pytest.hookimpl(
-    wrapper=True, tryfirst=True
-)  # outermost, so it sees reports after marks such as xfail have been applied
+# `tryfirst` makes this the outermost wrapper: it sees reports to which marks such as xfail have been applied.
+@pytest.hookimpl(wrapper=True, tryfirst=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
     """Report the failure of a listed test as xfailed, and any other result of it as failed."""
     report = yield
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -144,7 +144,8 @@
     """
 
     def __init__(self) -> None:
-        self.sock = socket.socket()  # bound immediately, so that the port is known before it listens
+        # Bound before it listens, so that the port is known and refuses connections until then.
+        self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(("127.0.0.1", 0))
         self.accepted: asyncio.Queue[Streams] = asyncio.Queue()
@@ -167,6 +168,7 @@
 
     @property
     def port(self) -> int:
+        """Return the port that the server is bound to."""
         return int(self.sock.getsockname()[1])
 
     async def accept_connection(self) -> Streams:
@@ -189,13 +191,13 @@
     return head[0], headers, body
 
 
-def make_response(status: int = 200, body: bytes = b"done", extra: str = "") -> bytes:
-    """Return an HTTP response. `extra` contains complete header lines, each with its line ending."""
-    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
+def make_response(status: int = 200, body: bytes = b"done", header_lines: str = "") -> bytes:
+    """Return an HTTP response. `header_lines` contains complete header lines, each with its line ending."""
+    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{header_lines}\r\n".encode() + body
 
 
 def make_request(kind: str = "look", trace: str = "ab12", **changes: str | None) -> bytes:
-    """Return a client's request of class `kind` with trace id `trace`.
+    """Return a client's request of request class `kind` with trace id `trace`.
 
     `changes` are headers, with `_` in place of `-`. A header set to None is omitted.
     """
@@ -251,7 +253,7 @@
 
 
 class EventLoopWrapper:
-    """Forwards everything to an event loop, except the methods that a subclass overrides."""
+    """Wraps an event loop: forwards all its attributes, except those that a subclass defines."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -335,7 +337,7 @@
         self.actions: list[Action] = []
         self.events_received = asyncio.Event()
 
-    def handle(self, now: int, events: list[Event]) -> list[Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Return the actions for all events, in order."""
         self.actions = []
         for event in events:
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -49,7 +49,9 @@
 
 Leave = Callable[[asyncio.StreamWriter], None]
 
-NEVER_RAN = make_response(503, extra="X-Never-Ran: 1\r\n")  # the request may be sent to another endpoint
+NEVER_RAN = make_response(
+    503, header_lines="X-Never-Ran: 1\r\n"
+)  # the request may be sent to another endpoint
 ONE_AT_A_TIME = settings_dict(packages=[{**settings_dict()["packages"][0], "concurrency": 1}])
 
 
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -60,9 +60,9 @@
     script = ScriptedDecider(leave_pending)
     handle = script.handle
 
-    def record(now: int, events: list[Event]) -> list[Action]:
+    def record(now_us: int, events: list[Event]) -> list[Action]:
         batches.append(list(events))
-        return handle(now, events)
+        return handle(now_us, events)
 
     script.handle = record  # type: ignore[method-assign]
     decisions, _ = loop_round(script)
@@ -113,13 +113,13 @@
         self.is_after_events = is_after_events
         self.has_raised = False
 
-    def handle(self, now: int, events: list[Event]) -> list[Action]:
+    def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         if not self.has_raised:
             self.has_raised = True
             if self.is_after_events:
-                super().handle(now, events)
+                super().handle(now_us, events)
             raise RuntimeError("a fault outside the events")
-        return super().handle(now, events)
+        return super().handle(now_us, events)
 
 
 @uvloop_test
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -186,9 +186,9 @@
         handled_at_us: dict[type[Event], int] = {}
         handle = script.handle
 
-        def record_time(now: int, events: list[Event]) -> list[Action]:
-            handled_at_us.update({type(event): now for event in events})
-            return handle(now, events)
+        def record_time(now_us: int, events: list[Event]) -> list[Action]:
+            handled_at_us.update({type(event): now_us for event in events})
+            return handle(now_us, events)
 
         script.handle = record_time  # type: ignore[method-assign]
         await script.wait_for(TimerFired)
--- a/tests/proxy/test_response.py
+++ b/tests/proxy/test_response.py
@@ -31,11 +31,11 @@
         (make_response(200, b"yes"), Outcome.OK, "200"),
         (make_response(500), Outcome.ERROR, "502"),
         (make_response(404), Outcome.ERROR, "502"),
-        (make_response(503, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
-        (make_response(504, extra="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (make_response(503, header_lines="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
+        (make_response(504, header_lines="X-Never-Ran: 1\r\n"), Outcome.REJECTED, "502"),
         (make_response(503), Outcome.ERROR, "502"),
-        (make_response(503, extra="X-Never-Ran: 0\r\n"), Outcome.ERROR, "502"),
-        (make_response(500, extra="X-Never-Ran: 1\r\n"), Outcome.ERROR, "502"),
+        (make_response(503, header_lines="X-Never-Ran: 0\r\n"), Outcome.ERROR, "502"),
+        (make_response(500, header_lines="X-Never-Ran: 1\r\n"), Outcome.ERROR, "502"),
         (CLOSE, Outcome.CONNECTION_LOST, "502"),
         (make_response(200, b"yes")[:-1] + CLOSE, Outcome.CONNECTION_LOST, "502"),
         (b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n" + b"x" * 99_999, Outcome.CONNECTION_LOST, "502"),
@@ -48,7 +48,9 @@
         (make_response(200, b"yes") + b"\x00\xffnoise", Outcome.OK, "200"),
         (make_response(200, b"yes", "Connection: close\r\n") + b"noise", Outcome.OK, "200"),
         (
-            make_response(extra="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"),
+            make_response(
+                header_lines="Endpoint-Load-Metrics: TEXT depth=x, , =3\r\nUsage-Percent: many\r\n"
+            ),
             Outcome.OK,
             "200",
         ),
@@ -83,7 +85,7 @@
     async with running_server_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=8.5, load_share=0.25, depth=3\r\n"
-        writer.write(make_response(extra=load_report + "Usage-Percent: 140\r\n"))
+        writer.write(make_response(header_lines=load_report + "Usage-Percent: 140\r\n"))
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.usage_percent, ended.load) == (140, LoadReport(queued=3.0, utilization=0.25))
 
@@ -96,7 +98,7 @@
     async with running_server_with_backend(script) as (server, backend):
         _, (_, writer) = await forward(server, backend)
         load_report = "Endpoint-Load-Metrics: TEXT mean_ms=1e8, load_share=100000000, depth=1e8, tps=-1\r\n"
-        writer.write(make_response(extra=load_report))
+        writer.write(make_response(header_lines=load_report))
         [ended] = await script.wait_for(AttemptEnded)
         assert (ended.outcome, ended.load) == (Outcome.OK, None)
 
@@ -196,6 +198,8 @@
     async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 0.0
         client = await server.connect_client()
-        await serve_on_new_connection(client, backend, "a1", make_response(extra="Connection: close\r\n"))
+        await serve_on_new_connection(
+            client, backend, "a1", make_response(header_lines="Connection: close\r\n")
+        )
         assert not server.pool.connections
         await serve_on_new_connection(client, backend, "a2")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -26,12 +26,8 @@
     "docs/measurements.md",
 ]
 FILE_ENDINGS = (".py", ".md", ".json", ".toml", ".txt")
-EXTERNAL_FILES = {
-    "connection_pool.py",
-    "connection.py",
-    "http11.py",
-    "commands.py",
-}  # of other projects, named in DEVELOPERS.md
+# Files of other projects, which DEVELOPERS.md names.
+EXTERNAL_FILES = {"connection_pool.py", "connection.py", "http11.py", "commands.py"}
 DECISION_LIBRARIES = {
     "__future__",
     "abc",
--- a/yardlane/errors.py
+++ b/yardlane/errors.py
@@ -5,7 +5,7 @@
     """Base class of all errors of this package. The message says what is wrong and where."""
 
     def one_line(self) -> str:
-        """Return the message on one line. Values that it quotes may contain line breaks."""
+        """Return the message on one line: values that it quotes may contain line breaks."""
         return " ".join(str(self).split())
 
 
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -38,7 +38,7 @@
 
 
 def shutdown_timeout_us(settings: Settings) -> int:
-    """Return the time from SIGTERM in microseconds within which all requests must be answered.
+    """Return the time in microseconds after SIGTERM by which all requests must be answered.
 
     SIGKILL follows later, so it interrupts no open request.
     """
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -38,6 +38,7 @@
     "pushed": True,
     "on_request": False,
 }
+"""The values of the setting `discovery`, and whether discovery pushes the endpoint list with each."""
 DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
