--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -5,9 +5,9 @@
 from collections import Counter
 
 from tests.gateway_driver import (
-    FREE,
     MS,
     SECOND,
+    UNLIMITED,
     GatewayDriver,
     make_endpoint,
     make_endpoint_id,
@@ -119,29 +119,29 @@
 
 def attempted_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
     """Return the ids of the endpoints that the attempts in the log went to."""
-    return {action.endpoint_id for _, action in driver.log if isinstance(action, StartAttempt)}
+    return {action.endpoint_id for _, action in driver.action_log if isinstance(action, StartAttempt)}
 
 
 def serve_and_collect_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
     """Send sixty requests, answer each at once, and return the ids of the endpoints that they went to."""
     endpoint_ids = set()
     for _ in range(60):
-        number, actions = driver.ask(quota_plan=FREE)
+        number, actions = driver.send_request(quota_plan=UNLIMITED)
         for attempt in of_type(StartAttempt, actions):
             endpoint_ids.add(attempt.endpoint_id)
-            driver.end(number, attempt.endpoint_id)
-        driver.run(200 * MS)
+            driver.end_attempt(number, attempt.endpoint_id)
+        driver.advance(200 * MS)
     return endpoint_ids
 
 
 def test_requests_go_to_the_subset_and_a_draining_endpoint_is_replaced() -> None:
     driver = GatewayDriver(endpoints=0, gateway_count=GATEWAY_COUNT)
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 1, make_endpoints()))
     before = subset_ids(driver.gateway.endpoints)
     assert serve_and_collect_endpoint_ids(driver) <= before
     first_id = driver.gateway.endpoints.subset[0].entry.endpoint_id
     draining = make_endpoint(0, endpoint_id=first_id, state=EndpointState.DRAINING)
-    driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
+    driver.deliver(EndpointListUpdate(UpdateKind.DELTA, 2, (draining,)))
     assert len(driver.gateway.endpoints.subset) == SUBSET_SIZE
     assert first_id not in serve_and_collect_endpoint_ids(driver)
 
@@ -150,13 +150,13 @@
     driver = GatewayDriver(endpoints=4)
     draining = make_endpoint(0, EndpointState.DRAINING)
     removed = make_endpoint(1, EndpointState.REMOVED)
-    driver.give(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
+    driver.deliver(EndpointListUpdate(UpdateKind.DELTA, 2, (draining, removed)))
     for _ in range(6):
-        driver.ask()
+        driver.send_request()
     assert attempted_endpoint_ids(driver) == {make_endpoint_id(2), make_endpoint_id(3)}
-    driver.run(4 * SECOND)
-    driver.log.clear()
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, (make_endpoint(3),)))
+    driver.advance(4 * SECOND)
+    driver.action_log.clear()
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 3, (make_endpoint(3),)))
     for _ in range(30):
-        driver.serve()
+        driver.serve_request()
     assert attempted_endpoint_ids(driver) <= {make_endpoint_id(3)}
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -1,12 +1,16 @@
-"""Whatever happens in whatever order, the rules hold that no decision may ever break.
-
-A random run gives a gateway a legal order of events; each action is checked as it comes:
-
-- a request gets one final answer, in time, and nothing is sent for it afterwards;
-- a non-idempotent request is sent again only if it never ran; one with an idempotency key within its window
-  and in the zone of the first attempt that may have run; a rejection promises no more than that;
-- attempts go only to endpoints that are ready, and there is no hedged request where it is not allowed;
-- the hard rate is never exceeded.
+"""Property tests: the decisions keep these invariants for any valid sequence of events.
+
+Each random run passes a valid sequence of events to a gateway and checks every action:
+
+- Each request ends, and gets at most one final answer from the gateway, which is in time. No attempt is sent
+  for the request afterwards.
+- A non-idempotent request is sent again only if no earlier attempt may have run.
+- If a request with an idempotency key may have run, it is sent again only within its idempotency window and
+  only to the zone of the first attempt that may have run. Its deduplication scope is the zone.
+- A request that may have run is rejected only if it is idempotent.
+- Attempts are sent only to endpoints that are ready.
+- No hedged request is sent if the settings do not allow hedging.
+- The hard rate is never exceeded.
 """
 
 from __future__ import annotations
@@ -18,7 +22,7 @@
 
 from tests.gateway_driver import (
     CLASSES,
-    HARD_RATED,
+    HARD_RATE_LIMITED,
     IDEMPOTENT,
     MS,
     PLANS,
@@ -30,40 +34,41 @@
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, Outcome, RequestEnded, UpdateKind
 from yardlane.decisions.settings import Idempotency
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
-FAILURES = (*NEVER_RAN, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
-ZONES = 3
-ENDPOINTS = 6
-MOVES = 150
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+FAILURES = (*NEVER_RAN_OUTCOMES, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+ZONE_COUNT = 3
+ENDPOINT_COUNT = 6
+STEPS = 150
+# READY is repeated so that it is drawn more often.
 STATES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
 @dataclass
 class SentAttempt:
-    """One attempt, as the test saw it."""
+    """An attempt that the gateway started, as far as the test has observed it."""
 
     sent_at_us: int
     endpoint_id: bytes
-    in_flight: bool = True
+    is_in_flight: bool = True
     may_have_run: bool = True
 
 
 @dataclass
 class RequestHistory:
-    """One request, as the test saw it."""
+    """A request and its attempts, as far as the test has observed them."""
 
     request_class: int
     plan: int
     gives_up_at_us: int
     attempts: list[SentAttempt] = field(default_factory=list)
-    is_over: bool = False
+    has_ended: bool = False
 
-    def first_that_may_have_run(self) -> SentAttempt | None:
+    def first_attempt_that_may_have_run(self) -> SentAttempt | None:
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
-class RuleChecker:
-    """Checks every action of a gateway against the rules."""
+class InvariantChecker:
+    """Checks every action of a gateway against the invariants."""
 
     def __init__(self, driver: GatewayDriver) -> None:
         self.driver = driver
@@ -71,42 +76,43 @@
         self.requests: dict[int, RequestHistory] = {}
         self.endpoint_states: dict[bytes, EndpointState] = {}
         self.endpoint_zones: dict[bytes, int] = {}
-        # This gateway's part of the hard rate's token bucket: a third, as there are three gateways.
-        self.hard_rate_units = PLANS[HARD_RATED].hard_rate_slack / 3
-        self.hard_rate_at_us = driver.now
+        # The units in this gateway's share of the hard rate's token bucket. As there are three gateways, the
+        # share is a third.
+        self.hard_rate_units = PLANS[HARD_RATE_LIMITED].hard_rate_slack / 3
+        self.hard_rate_refilled_at_us = driver.now_us
 
     def check_new_actions(self) -> None:
-        new_actions = self.driver.log[self.checked_count :]
-        self.checked_count = len(self.driver.log)
+        new_actions = self.driver.action_log[self.checked_count :]
+        self.checked_count = len(self.driver.action_log)
         for at_us, action in new_actions:
             if isinstance(action, StartAttempt):
                 self._check_attempt(at_us, action)
             elif isinstance(action, Reject | Fail):
-                self._check_answer(at_us, action)
+                self._check_final_answer(at_us, action)
 
-    def _check_answer(self, at_us: int, answer: Reject | Fail) -> None:
+    def _check_final_answer(self, at_us: int, answer: Reject | Fail) -> None:
         request = self.requests[answer.request_id]
-        assert not request.is_over
+        assert not request.has_ended
         assert at_us <= request.gives_up_at_us + self.driver.settings.answer_grace_us
         idempotency = CLASSES[request.request_class].idempotency
         if isinstance(answer, Reject) and idempotency is not Idempotency.IDEMPOTENT:
-            assert request.first_that_may_have_run() is None
-        request.is_over = True
+            assert request.first_attempt_that_may_have_run() is None
+        request.has_ended = True
 
     def _check_attempt(self, at_us: int, action: StartAttempt) -> None:
         request = self.requests[action.request_id]
-        assert not request.is_over
-        first = request.first_that_may_have_run()
+        assert not request.has_ended
+        first = request.first_attempt_that_may_have_run()
         if first is not None:
-            self._check_repeat(at_us, action.endpoint_id, request, first)
+            self._check_retry(at_us, action.endpoint_id, request, first)
         if not self.driver.settings.may_hedge:
-            assert not any(attempt.in_flight for attempt in request.attempts)
+            assert not any(attempt.is_in_flight for attempt in request.attempts)
         assert self.endpoint_states[action.endpoint_id] is EndpointState.READY
-        if request.plan == HARD_RATED and not request.attempts:
+        if request.plan == HARD_RATE_LIMITED and not request.attempts:
             self._check_hard_rate(at_us)
         request.attempts.append(SentAttempt(at_us, action.endpoint_id))
 
-    def _check_repeat(
+    def _check_retry(
         self, at_us: int, endpoint_id: bytes, request: RequestHistory, first: SentAttempt
     ) -> None:
         request_class = CLASSES[request.request_class]
@@ -116,79 +122,85 @@
             assert at_us - first.sent_at_us < request_class.idempotency_window_us
 
     def _check_hard_rate(self, at_us: int) -> None:
-        depth = PLANS[HARD_RATED].hard_rate_depth / 3
-        units_per_s = PLANS[HARD_RATED].hard_rate_per_s / 3
-        filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_at_us) / SECOND
+        depth = PLANS[HARD_RATE_LIMITED].hard_rate_depth / 3
+        units_per_s = PLANS[HARD_RATE_LIMITED].hard_rate_per_s / 3
+        filled = self.hard_rate_units + units_per_s * (at_us - self.hard_rate_refilled_at_us) / SECOND
         self.hard_rate_units = min(depth, filled) - 1.0
-        self.hard_rate_at_us = at_us
+        self.hard_rate_refilled_at_us = at_us
         assert self.hard_rate_units >= -1e-6
 
 
 class RandomRun:
-    """Gives a gateway random events that are legal where it stands."""
+    """Passes random events to a gateway, each of which is valid in the gateway's current state."""
 
     def __init__(self, seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
         self.random = Random(seed)
         self.driver = GatewayDriver(endpoints=0, may_hedge=may_hedge, has_shared_counter=has_shared_counter)
-        self.checker = RuleChecker(self.driver)
-        self.update_endpoints(UpdateKind.SNAPSHOT, range(ENDPOINTS))
+        self.checker = InvariantChecker(self.driver)
+        self.update_endpoints(UpdateKind.SNAPSHOT, range(ENDPOINT_COUNT))
 
-    def move(self) -> None:
+    def step(self) -> None:
         choice = self.random.random()
         in_flight = sorted(
-            (number, index)
-            for number, request in self.checker.requests.items()
-            for index, attempt in enumerate(request.attempts)
-            if attempt.in_flight
+            (request_id, attempt_index)
+            for request_id, request in self.checker.requests.items()
+            for attempt_index, attempt in enumerate(request.attempts)
+            if attempt.is_in_flight
+        )
+        open_requests = sorted(
+            request_id for request_id, request in self.checker.requests.items() if not request.has_ended
         )
-        alive = sorted(number for number, request in self.checker.requests.items() if not request.is_over)
         if choice < 0.45:
-            self.ask()
+            self.send_request()
         elif choice < 0.75 and in_flight:
             self.end_attempt(*self.random.choice(in_flight))
-        elif choice < 0.80 and alive:
-            self.disconnect(self.random.choice(alive))
+        elif choice < 0.80 and open_requests:
+            self.disconnect(self.random.choice(open_requests))
         elif choice < 0.85:
             kind = self.random.choice((UpdateKind.DELTA, UpdateKind.SNAPSHOT))
-            self.update_endpoints(kind, range(self.random.randrange(ENDPOINTS + 1)))
+            self.update_endpoints(kind, range(self.random.randrange(ENDPOINT_COUNT + 1)))
         elif choice < 0.88:
-            self.driver.counter_answers = not self.driver.counter_answers
+            self.driver.counter_responds = not self.driver.counter_responds
         else:
-            self.let_time_pass()
+            self.advance_time()
         self.checker.check_new_actions()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         request_class = self.random.randrange(len(CLASSES))
         plan = self.random.randrange(len(PLANS))
         time_left_us = self.random.choice((5 * MS, 400 * MS, 2 * SECOND))
-        history = RequestHistory(request_class, plan, self.driver.now + time_left_us)
-        self.checker.requests[self.driver.next_request] = history
-        self.driver.ask(tenant=plan, quota_plan=plan, request_class=request_class, time_left_us=time_left_us)
+        history = RequestHistory(request_class, plan, self.driver.now_us + time_left_us)
+        self.checker.requests[self.driver.next_request_id] = history
+        self.driver.send_request(
+            tenant=plan, quota_plan=plan, request_class=request_class, time_left_us=time_left_us
+        )
 
-    def end_attempt(self, number: int, index: int) -> None:
+    def end_attempt(self, request_id: int, attempt_index: int) -> None:
         outcome = Outcome.OK if self.random.random() < 0.5 else self.random.choice(FAILURES)
-        if any(action == CancelAttempt(number, index) for _, action in self.driver.log):
+        if any(action == CancelAttempt(request_id, attempt_index) for _, action in self.driver.action_log):
             outcome = Outcome.CANCELLED
-        request = self.checker.requests[number]
-        attempt = request.attempts[index]
-        attempt.in_flight = False
-        attempt.may_have_run = outcome not in NEVER_RAN
+        request = self.checker.requests[request_id]
+        attempt = request.attempts[attempt_index]
+        attempt.is_in_flight = False
+        attempt.may_have_run = outcome not in NEVER_RAN_OUTCOMES
         if outcome is Outcome.OK:
-            request.is_over = True
-        elapsed_us = max(1, self.driver.now - attempt.sent_at_us)
-        self.driver.end(number, attempt.endpoint_id, outcome, elapsed_us, index, request.is_over)
+            request.has_ended = True
+        elapsed_us = max(1, self.driver.now_us - attempt.sent_at_us)
+        self.driver.end_attempt(
+            request_id, attempt.endpoint_id, outcome, elapsed_us, attempt_index, request.has_ended
+        )
 
-    def disconnect(self, number: int) -> None:
-        self.checker.requests[number].is_over = True
-        self.driver.give(RequestEnded(number))
+    def disconnect(self, request_id: int) -> None:
+        self.checker.requests[request_id].has_ended = True
+        self.driver.deliver(RequestEnded(request_id))
 
     def update_endpoints(self, kind: UpdateKind, numbers: range) -> None:
         entries = [
             make_endpoint(
                 number,
                 self.random.choice(STATES),
-                zone=number % ZONES,
-                started_at_us=self.random.choice((0, self.driver.now - 2 * SECOND)),
+                zone=number % ZONE_COUNT,
+                started_at_us=self.random.choice((0, self.driver.now_us - 2 * SECOND)),
             )
             for number in numbers
         ]
@@ -199,28 +211,28 @@
         for entry in entries:
             states[entry.endpoint_id] = entry.state
             self.checker.endpoint_zones[entry.endpoint_id] = entry.zone
-        self.driver.give(EndpointListUpdate(kind, 1, tuple(entries)))
+        self.driver.deliver(EndpointListUpdate(kind, 1, tuple(entries)))
 
-    def let_time_pass(self) -> None:
+    def advance_time(self) -> None:
         for _ in range(self.random.randrange(1, 40)):
-            self.driver.run(self.random.choice((1, 20, 50)) * MS)
+            self.driver.advance(self.random.choice((1, 20, 50)) * MS)
             self.checker.check_new_actions()
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
-def test_random_orders_keep_the_rules(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
+def test_random_event_sequences_keep_invariants(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
     run = RandomRun(seed, may_hedge, has_shared_counter)
-    for _ in range(MOVES):
-        run.move()
-    run.driver.run(5 * SECOND)
+    for _ in range(STEPS):
+        run.step()
+    run.driver.advance(5 * SECOND)
     run.checker.check_new_actions()
-    assert all(request.is_over for request in run.checker.requests.values())
+    assert all(request.has_ended for request in run.checker.requests.values())
 
 
-def test_every_delay_of_a_timer_is_positive() -> None:
+def test_timer_delays_are_positive() -> None:
     driver = GatewayDriver()
     for _ in range(100):
-        driver.ask(request_class=IDEMPOTENT)
-        driver.run(7 * MS)
-    assert all(action.delay_us > 0 for _, action in driver.log if isinstance(action, SetTimer))
+        driver.send_request(request_class=IDEMPOTENT)
+        driver.advance(7 * MS)
+    assert all(action.delay_us > 0 for _, action in driver.action_log if isinstance(action, SetTimer))
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries and hedged requests, and the one final answer of each request."""
+"""Tests of retries, hedged requests and final answers; each request gets at most one final answer."""
 
 from __future__ import annotations
 
@@ -19,109 +19,110 @@
 
 
 def final_answers(actions: list[Action]) -> list[Action]:
+    """Return the final answers among these actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def ask_and_attempt(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
-    """A new request that is sent at once: its number, and the endpoint of its attempt."""
-    number, actions = driver.ask(request_class=request_class)
+def send_request(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
+    """Send a new request, which is forwarded at once; return its id and the endpoint id of its attempt."""
+    request_id, actions = driver.send_request(request_class=request_class)
     [attempt] = of_type(StartAttempt, actions)
-    return number, attempt.endpoint_id
+    return request_id, attempt.endpoint_id
 
 
-def test_a_request_without_an_answer_gets_one_in_time() -> None:
+def test_request_without_response_fails_within_answer_grace() -> None:
     driver = GatewayDriver()
-    number, _ = driver.ask(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
-    deadline_us = driver.now + 700 * MS
-    driver.run(2 * SECOND)
-    answers = [(at_us, action) for at_us, action in driver.log if isinstance(action, Reject | Fail)]
-    assert [action for _, action in answers] == [Fail(number)]
+    request_id, _ = driver.send_request(request_class=NON_IDEMPOTENT, time_left_us=700 * MS)
+    deadline_us = driver.now_us + 700 * MS
+    driver.advance(2 * SECOND)
+    answers = [(at_us, action) for at_us, action in driver.action_log if isinstance(action, Reject | Fail)]
+    assert [action for _, action in answers] == [Fail(request_id)]
     assert answers[0][0] <= deadline_us + driver.settings.answer_grace_us
 
 
-def test_nothing_is_sent_after_the_client_disconnected() -> None:
+def test_request_gets_no_attempt_or_answer_after_client_disconnects() -> None:
     driver = GatewayDriver()
-    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
-    driver.give(RequestEnded(number))
-    later = driver.end(number, endpoint_id, Outcome.ERROR)
-    assert not of_type(StartAttempt, later) and not final_answers(later)
-    assert not of_type(StartAttempt, driver.run(3 * SECOND))
+    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    driver.deliver(RequestEnded(request_id))
+    later_actions = driver.end_attempt(request_id, endpoint_id, Outcome.ERROR)
+    assert not of_type(StartAttempt, later_actions) and not final_answers(later_actions)
+    assert not of_type(StartAttempt, driver.advance(3 * SECOND))
 
 
-def test_a_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
+def test_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     driver = GatewayDriver()
-    number, first_id = ask_and_attempt(driver, NON_IDEMPOTENT)
-    retries = of_type(StartAttempt, driver.end(number, first_id, Outcome.REJECTED))
+    request_id, first_id = send_request(driver, NON_IDEMPOTENT)
+    retries = of_type(StartAttempt, driver.end_attempt(request_id, first_id, Outcome.REJECTED))
     assert len(retries) == 1 and retries[0].endpoint_id != first_id
-    last = driver.end(number, retries[0].endpoint_id, Outcome.ERROR)
-    assert final_answers(last) == [Fail(number)] and not of_type(StartAttempt, last)
+    last_actions = driver.end_attempt(request_id, retries[0].endpoint_id, Outcome.ERROR)
+    assert final_answers(last_actions) == [Fail(request_id)] and not of_type(StartAttempt, last_actions)
 
 
-def test_a_request_with_a_key_is_retried_in_its_zone_and_window() -> None:
+def test_keyed_request_that_may_have_run_is_retried_in_its_zone_and_not_rejected() -> None:
     driver = GatewayDriver(endpoints=0)
     entries = tuple(make_endpoint(number, zone=number % 2) for number in range(6))
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
     for outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
-        number, first_id = ask_and_attempt(driver, KEYED)
-        retries = of_type(StartAttempt, driver.end(number, first_id, outcome))
+        number, first_id = send_request(driver, KEYED)
+        retries = of_type(StartAttempt, driver.end_attempt(number, first_id, outcome))
         assert len(retries) == 1 and zones[retries[0].endpoint_id] == zones[first_id]
-        driver.end(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
-        driver.now += driver.settings.request_classes[KEYED].deadline_us
-        driver.run(0)
-        assert not any(isinstance(action, Reject) for _, action in driver.log)
+        driver.end_attempt(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
+        driver.now_us += driver.settings.request_classes[KEYED].deadline_us
+        driver.advance(0)
+        assert not any(isinstance(action, Reject) for _, action in driver.action_log)
 
 
 @pytest.mark.parametrize(
     ("request_class", "outcome", "is_bounded"),
     [(KEYED, Outcome.ERROR, True), (IDEMPOTENT, Outcome.ERROR, False), (KEYED, Outcome.REJECTED, False)],
 )
-def test_a_retry_with_a_key_is_written_within_the_window_or_never(
+def test_retry_of_keyed_request_must_be_sent_within_idempotency_window(
     request_class: int, outcome: Outcome, is_bounded: bool
 ) -> None:
-    """A retry was decided within the window, but its connection came up late.
+    """A retry is decided within the idempotency window, but its connection is established late.
 
-    It was written after the window, when the endpoint had forgotten the key, and took effect twice. So the
-    time left is given with the attempt.
+    If it were written after the window, the endpoint would have forgotten the key, and the request would take
+    effect twice. The attempt must therefore carry the time that is left.
     """
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
-    number, endpoint_id = ask_and_attempt(driver, request_class)
-    driver.now += 300 * MS
-    [retry] = of_type(StartAttempt, driver.end(number, endpoint_id, outcome))
+    request_id, endpoint_id = send_request(driver, request_class)
+    driver.now_us += 300 * MS
+    [retry] = of_type(StartAttempt, driver.end_attempt(request_id, endpoint_id, outcome))
     assert retry.send_within_us == (window_us - 300 * MS if is_bounded else 0)
 
 
-def test_a_request_with_a_key_that_never_ran_may_change_the_zone() -> None:
+def test_keyed_request_that_never_ran_is_retried_in_any_zone() -> None:
     driver = GatewayDriver(endpoints=0)
     entries = (make_endpoint(1, zone=1), make_endpoint(2, zone=2))
-    driver.give(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
-    number, endpoint_id = ask_and_attempt(driver, KEYED)
-    assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.NOT_CONNECTED))) == 1
+    driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
+    request_id, endpoint_id = send_request(driver, KEYED)
+    assert len(of_type(StartAttempt, driver.end_attempt(request_id, endpoint_id, Outcome.NOT_CONNECTED))) == 1
 
 
-def test_where_hedging_is_not_allowed_an_overdue_attempt_is_cancelled_first() -> None:
+def test_overdue_attempt_is_cancelled_before_retry_without_hedging() -> None:
     driver = GatewayDriver(may_hedge=False)
-    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
-    later = driver.run(800 * MS)
-    assert not of_type(StartAttempt, later)
-    assert of_type(CancelAttempt, later) == [CancelAttempt(number, 0)]
-    assert len(of_type(StartAttempt, driver.end(number, endpoint_id, Outcome.CANCELLED))) <= 1
+    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    later_actions = driver.advance(800 * MS)
+    assert not of_type(StartAttempt, later_actions)
+    assert of_type(CancelAttempt, later_actions) == [CancelAttempt(request_id, 0)]
+    assert len(of_type(StartAttempt, driver.end_attempt(request_id, endpoint_id, Outcome.CANCELLED))) <= 1
 
 
-def test_where_hedging_is_allowed_an_overdue_attempt_goes_on_beside_another() -> None:
+def test_overdue_attempt_is_hedged_if_hedging_is_allowed() -> None:
     driver = GatewayDriver()
-    number, first_id = ask_and_attempt(driver, IDEMPOTENT)
-    later = driver.run(800 * MS)
-    hedges = of_type(StartAttempt, later)
-    assert hedges and hedges[0].request_id == number and hedges[0].endpoint_id != first_id
-    assert not of_type(CancelAttempt, later)
+    request_id, first_id = send_request(driver, IDEMPOTENT)
+    later_actions = driver.advance(800 * MS)
+    hedges = of_type(StartAttempt, later_actions)
+    assert hedges and hedges[0].request_id == request_id and hedges[0].endpoint_id != first_id
+    assert not of_type(CancelAttempt, later_actions)
 
 
-def test_a_spent_budget_allows_no_retry() -> None:
-    """When all endpoints failed, retries multiplied the requests, and the overload fed itself."""
+def test_exhausted_retry_budget_prevents_retry() -> None:
+    """When all endpoints fail, retries without a budget multiply the load and prolong the overload."""
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
-    number, endpoint_id = ask_and_attempt(driver, IDEMPOTENT)
-    actions = driver.end(number, endpoint_id, Outcome.ERROR)
+    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    actions = driver.end_attempt(request_id, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, actions) and len(final_answers(actions)) == 1
--- a/yardlane/decisions/attempt_record.py
+++ b/yardlane/decisions/attempt_record.py
@@ -1,18 +1,18 @@
-"""One attempt of a request, as the decisions remember it."""
+"""The gateway's record of one attempt of a request."""
 
 from __future__ import annotations
 
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.events import Outcome
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+NEVER_RAN_OUTCOMES = (Outcome.REJECTED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
 
 
 class AttemptRecord:
-    """One attempt: where and when it was sent, and what is known of it.
+    """The endpoint and the start time of one attempt, and what is known about its state.
 
-    `may_have_run` stays true until the outcome proves that the endpoint never began the request: an attempt
-    that timed out or lost its connection may have taken effect.
+    `may_have_run` becomes false only when the outcome proves that the endpoint never began the request. An
+    attempt that timed out or lost its connection may have taken effect.
     """
 
     __slots__ = ("endpoint", "is_in_flight", "may_have_run", "sent_at_us")
@@ -23,7 +23,7 @@
         self.is_in_flight = True
         self.may_have_run = True
 
-    def end(self, outcome: Outcome) -> None:
-        """Note how the attempt ended."""
+    def record_end(self, outcome: Outcome) -> None:
+        """Record the outcome of the attempt."""
         self.is_in_flight = False
-        self.may_have_run = outcome not in NEVER_RAN
+        self.may_have_run = outcome not in NEVER_RAN_OUTCOMES
