--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -23,7 +23,7 @@
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def send_request(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
+def send_forwarded_request(driver: GatewayDriver, request_class: int) -> tuple[int, bytes]:
     """Send a new request, which is forwarded at once; return its id and the endpoint id of its attempt."""
     request_id, actions = driver.send_request(request_class=request_class)
     [attempt] = of_type(StartAttempt, actions)
@@ -42,7 +42,7 @@
 
 def test_request_gets_no_attempt_or_answer_after_client_disconnects() -> None:
     driver = GatewayDriver()
-    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    request_id, endpoint_id = send_forwarded_request(driver, IDEMPOTENT)
     driver.deliver(RequestEnded(request_id))
     later_actions = driver.end_attempt(request_id, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, later_actions) and not final_answers(later_actions)
@@ -51,7 +51,7 @@
 
 def test_non_idempotent_request_is_retried_only_if_it_never_ran() -> None:
     driver = GatewayDriver()
-    request_id, first_id = send_request(driver, NON_IDEMPOTENT)
+    request_id, first_id = send_forwarded_request(driver, NON_IDEMPOTENT)
     retries = of_type(StartAttempt, driver.end_attempt(request_id, first_id, Outcome.REJECTED))
     assert len(retries) == 1 and retries[0].endpoint_id != first_id
     last_actions = driver.end_attempt(request_id, retries[0].endpoint_id, Outcome.ERROR)
@@ -64,7 +64,7 @@
     driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
     zones = {entry.endpoint_id: entry.zone for entry in entries}
     for outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
-        number, first_id = send_request(driver, KEYED)
+        number, first_id = send_forwarded_request(driver, KEYED)
         retries = of_type(StartAttempt, driver.end_attempt(number, first_id, outcome))
         assert len(retries) == 1 and zones[retries[0].endpoint_id] == zones[first_id]
         driver.end_attempt(number, retries[0].endpoint_id, Outcome.ERROR, attempt_index=1)
@@ -87,7 +87,7 @@
     """
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
-    request_id, endpoint_id = send_request(driver, request_class)
+    request_id, endpoint_id = send_forwarded_request(driver, request_class)
     driver.now_us += 300 * MS
     [retry] = of_type(StartAttempt, driver.end_attempt(request_id, endpoint_id, outcome))
     assert retry.send_within_us == (window_us - 300 * MS if is_bounded else 0)
@@ -97,13 +97,13 @@
     driver = GatewayDriver(endpoints=0)
     entries = (make_endpoint(1, zone=1), make_endpoint(2, zone=2))
     driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
-    request_id, endpoint_id = send_request(driver, KEYED)
+    request_id, endpoint_id = send_forwarded_request(driver, KEYED)
     assert len(of_type(StartAttempt, driver.end_attempt(request_id, endpoint_id, Outcome.NOT_CONNECTED))) == 1
 
 
 def test_overdue_attempt_is_cancelled_before_retry_without_hedging() -> None:
     driver = GatewayDriver(may_hedge=False)
-    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    request_id, endpoint_id = send_forwarded_request(driver, IDEMPOTENT)
     later_actions = driver.advance(800 * MS)
     assert not of_type(StartAttempt, later_actions)
     assert of_type(CancelAttempt, later_actions) == [CancelAttempt(request_id, 0)]
@@ -112,7 +112,7 @@
 
 def test_overdue_attempt_is_hedged_if_hedging_is_allowed() -> None:
     driver = GatewayDriver()
-    request_id, first_id = send_request(driver, IDEMPOTENT)
+    request_id, first_id = send_forwarded_request(driver, IDEMPOTENT)
     later_actions = driver.advance(800 * MS)
     hedges = of_type(StartAttempt, later_actions)
     assert hedges and hedges[0].request_id == request_id and hedges[0].endpoint_id != first_id
@@ -123,6 +123,6 @@
     """When all endpoints fail, retries without a budget multiply the load and prolong the overload."""
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
-    request_id, endpoint_id = send_request(driver, IDEMPOTENT)
+    request_id, endpoint_id = send_forwarded_request(driver, IDEMPOTENT)
     actions = driver.end_attempt(request_id, endpoint_id, Outcome.ERROR)
     assert not of_type(StartAttempt, actions) and len(final_answers(actions)) == 1
