--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -17,7 +17,9 @@
 SMALL_BUFFER_BYTES = 4096  # of the kernel's: far less than one large answer
 LARGE_BODY = b"y" * 60_000
 # Deadlines that no test meets.
-PATIENT_CLASSES = [{**rule, "deadline_us": 60_000_000} for rule in settings_dict()["profiles"]]
+LONG_DEADLINE_CLASSES = [
+    {**request_class, "deadline_us": 60_000_000} for request_class in settings_dict()["profiles"]
+]
 
 
 class ManualClock:
@@ -34,7 +36,7 @@
         self.server.reap()
 
 
-async def connect(server: RunningServer, count: int) -> list[Streams]:
+async def connect_clients(server: RunningServer, count: int) -> list[Streams]:
     """So many new clients, each with its connection up at the proxy."""
     streams = [await server.connect_client() for _ in range(count)]
     connections = server.clients.connections
@@ -43,7 +45,7 @@
     return streams
 
 
-def pipeline(count: int, **changes: str | None) -> bytes:
+def pipelined_requests(count: int, **changes: str | None) -> bytes:
     """So many requests in one write, with trace ids of their own."""
     return b"".join(make_request("look", f"t{n}", **changes) for n in range(count))
 
@@ -57,11 +59,11 @@
 def limit_send_buffer(connection: ClientConnection) -> None:
     """The kernel takes only a part of a large answer; the rest stays in the transport."""
     assert connection.transport is not None
-    made = connection.transport.get_extra_info("socket")
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+    client_socket = connection.transport.get_extra_info("socket")
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
 
 
-async def all_released(server: RunningServer) -> None:
+async def wait_until_released(server: RunningServer) -> None:
     """All that the requests held is given back: their entries, their attempts, their descriptors."""
     while server.proxy.requests or server.pool.connections:
         await asyncio.sleep(0)
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -15,12 +15,12 @@
 
 from tests.client_side import (
     LARGE_BODY,
-    PATIENT_CLASSES,
+    LONG_DEADLINE_CLASSES,
     SMALL_BUFFER_BYTES,
-    all_released,
     limit_send_buffer,
     only_connection,
-    pipeline,
+    pipelined_requests,
+    wait_until_released,
 )
 from tests.loopback import (
     HEALTH_CHECK,
@@ -47,10 +47,12 @@
 from yardlane.proxy.attempt import Attempt
 from yardlane.proxy.client_connection import MAX_PIPELINED, ClientConnection
 
-Leave = Callable[[asyncio.StreamWriter], None]
+Disconnect = Callable[[asyncio.StreamWriter], None]
 
-NEVER_RAN = make_response(503, extra="X-Never-Ran: 1\r\n")  # the request may be sent to another endpoint
-ONE_AT_A_TIME = settings_dict(packages=[{**settings_dict()["packages"][0], "concurrency": 1}])
+NOT_RUN_RESPONSE = make_response(
+    503, extra="X-Never-Ran: 1\r\n"
+)  # the request may be sent to another endpoint
+CONCURRENCY_1_SETTINGS = settings_dict(packages=[{**settings_dict()["packages"][0], "concurrency": 1}])
 
 
 def close(writer: asyncio.StreamWriter) -> None:
@@ -58,8 +60,8 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    made = writer.get_extra_info("socket")
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")  # close sends a reset
+    client_socket = writer.get_extra_info("socket")
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")  # close sends a reset
     writer.transport.abort()
 
 
@@ -67,24 +69,26 @@
     writer.write_eof()
 
 
-def each_way_to_leave(test: Callable[[Leave], Awaitable[None]]) -> Callable[[Leave], None]:
+def parametrize_disconnect(test: Callable[[Disconnect], Awaitable[None]]) -> Callable[[Disconnect], None]:
     """The test for a client that closes, resets, and half-closes."""
 
-    def run(leave: Leave) -> None:
-        async def leaving() -> None:
-            await test(leave)
+    def run(disconnect: Disconnect) -> None:
+        async def run_test() -> None:
+            await test(disconnect)
 
-        uvloop_test(leaving)()
+        uvloop_test(run_test)()
 
     run.__name__ = getattr(test, "__name__", "run")
-    return pytest.mark.parametrize("leave", [close, reset, half_close])(run)
+    return pytest.mark.parametrize("disconnect", [close, reset, half_close])(run)
 
 
 # The client leaves, and the loop or the reaper notices.
 
 
-@each_way_to_leave
-async def test_a_client_that_leaves_while_its_request_connects(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_disconnect_during_upstream_connect_ends_the_attempt_as_not_sent(
+    disconnect: Disconnect,
+) -> None:
     """Nothing is written on the connection once it is up."""
     script = ScriptedDecider(forward_all)
     async with running_server_with_backend(script) as (server, backend):
@@ -92,20 +96,22 @@
         _, to_proxy = await server.connect_client()
         to_proxy.write(make_request())
         await delayed.connect_requested.wait()
-        leave(to_proxy)
+        disconnect(to_proxy)
         await script.wait_for(RequestEnded)
         delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
-        await all_released(server)
+        await wait_until_released(server)
         assert backend.accepted.empty()
 
 
-async def some_request_queued(gateway: Gateway) -> None:
+async def wait_until_request_queued(gateway: Gateway) -> None:
     while not any(tenant.queue for tenant in gateway.tenants.values()):
         await asyncio.sleep(0)
 
 
-async def next_request(backend: FakeServer, idle: tuple[asyncio.StreamReader, asyncio.StreamWriter]) -> str:
+async def answer_next_request(
+    backend: FakeServer, idle: tuple[asyncio.StreamReader, asyncio.StreamWriter]
+) -> str:
     """Answer the next request, on the idle connection or on a new one, and return its trace id."""
     on_idle = asyncio.ensure_future(read_message(idle[0]))
     on_new = asyncio.ensure_future(backend.accept_connection())
@@ -122,10 +128,10 @@
     return message[1]["x-trace-id"]
 
 
-@each_way_to_leave
-async def test_a_client_that_leaves_while_its_request_is_queued(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_disconnect_while_queued_frees_the_place_in_the_queue(disconnect: Disconnect) -> None:
     """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
-    async with running_server_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
+    async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
         gateway = cast(Gateway, server.proxy.decisions.decider)
         first, to_first = await server.connect_client()
         to_first.write(make_request(trace="first"))
@@ -133,16 +139,16 @@
         assert (await read_message(reader))[1]["x-trace-id"] == "first"
         _, to_proxy = await server.connect_client()
         to_proxy.write(make_request(trace="second"))
-        await some_request_queued(gateway)
-        leave(to_proxy)
+        await wait_until_request_queued(gateway)
+        disconnect(to_proxy)
         while len(server.proxy.requests) > 1:
             await asyncio.sleep(0)
         third, to_third = await server.connect_client()
         to_third.write(make_request(trace="third"))
-        await some_request_queued(gateway)
+        await wait_until_request_queued(gateway)
         writer.write(make_response())
         assert await read_status(first) == "200"
-        assert await next_request(backend, (reader, writer)) == "third"
+        assert await answer_next_request(backend, (reader, writer)) == "third"
         assert await read_status(third) == "200"
         while server.proxy.requests:
             await asyncio.sleep(0)
@@ -155,8 +161,8 @@
         )
 
 
-@each_way_to_leave
-async def test_a_client_that_leaves_before_a_retry(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_disconnect_before_a_retry_prevents_the_retry(disconnect: Disconnect) -> None:
     """The first endpoint has not run the request: it could be retried at the other one, and must not be."""
     async with (
         FakeServer() as one,
@@ -175,10 +181,10 @@
         [first] = done
         reader, writer = first.result()
         await read_message(reader)
-        leave(to_proxy)
+        disconnect(to_proxy)
         while server.clients.open_trace_ids:
             await asyncio.sleep(0)
-        writer.write(NEVER_RAN)
+        writer.write(NOT_RUN_RESPONSE)
         while gateway.requests:
             await asyncio.sleep(0)
         assert gateway.concurrency.in_flight == 0
@@ -186,96 +192,96 @@
         assert one.accepted.empty() and two.accepted.empty()
 
 
-@each_way_to_leave
-async def test_a_client_that_leaves_a_connection_that_is_not_read(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_disconnect_on_a_paused_connection_is_found_by_the_reaper(disconnect: Disconnect) -> None:
     """With as many requests pending as a connection may have, it is not read: the reaper looks at it."""
     script = ScriptedDecider(leave_pending)
-    async with running_server(script, settings=settings_dict(profiles=PATIENT_CLASSES)) as server:
+    async with running_server(script, settings=settings_dict(profiles=LONG_DEADLINE_CLASSES)) as server:
         _, to_proxy = await server.connect_client()
-        to_proxy.write(pipeline(MAX_PIPELINED, X_Expires_In="60000m"))
+        to_proxy.write(pipelined_requests(MAX_PIPELINED, X_Expires_In="60000m"))
         await script.wait_for(RequestArrived, MAX_PIPELINED)
-        leave(to_proxy)
+        disconnect(to_proxy)
         await script.wait_for(RequestEnded, MAX_PIPELINED)
-        await all_released(server)
+        await wait_until_released(server)
 
 
 # The client leaves, and neither the loop nor the reaper has noticed: the reaper does not run, and the loop
 # says nothing of a connection that it does not read.
 
 
-def without_reaper(server: RunningServer) -> list[Attempt]:
+def stop_reaper_and_record_attempts(server: RunningServer) -> list[Attempt]:
     """Stop the reaper; returns the list of the attempts that begin or connect from now on."""
     server.clients.reap = lambda: None  # type: ignore[method-assign]
-    begun: list[Attempt] = []
+    started_attempts: list[Attempt] = []
     send = server.pool.send
 
     def recorded(attempt: Attempt) -> None:
-        begun.append(attempt)
+        started_attempts.append(attempt)
         send(attempt)
 
     server.pool.send = recorded  # type: ignore[method-assign]
-    return begun
+    return started_attempts
 
 
 async def fill_pipeline(server: RunningServer) -> asyncio.StreamWriter:
     """A client with so many requests pending that its connection is not read."""
     _, to_proxy = await server.connect_client()
-    to_proxy.write(pipeline(MAX_PIPELINED))
+    to_proxy.write(pipelined_requests(MAX_PIPELINED))
     while len(server.proxy.requests) < MAX_PIPELINED:
         await asyncio.sleep(0)
     return to_proxy
 
 
-async def kernel_knows(server: RunningServer) -> None:
+async def wait_until_disconnect_detectable(server: RunningServer) -> None:
     """The client's leaving has arrived, on a connection that is not read."""
     connection = only_connection(server)
     assert connection.transport is not None and not connection.transport.is_reading()
-    while not connection.has_client_left():
+    while not connection.is_client_disconnected():
         await asyncio.sleep(0)
 
 
-async def first_byte(reader: asyncio.StreamReader) -> bytes:
+async def read_first_byte(reader: asyncio.StreamReader) -> bytes:
     """The first byte of a request, if one is written."""
     with suppress(ConnectionError):
         return await reader.read(1)
     return b""
 
 
-@each_way_to_leave
-async def test_no_first_attempt_begins_after_the_client_left(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_first_attempt_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
     """The other requests of the connection end with it."""
     script = ScriptedDecider(leave_pending)
     async with running_server_with_backend(script) as (server, _):
-        begun = without_reaper(server)
-        leave(await fill_pipeline(server))
-        await kernel_knows(server)
+        started_attempts = stop_reaper_and_record_attempts(server)
+        disconnect(await fill_pipeline(server))
+        await wait_until_disconnect_detectable(server)
         server.proxy.apply(StartAttempt(1, b"s-1"))
-        assert not begun
+        assert not started_attempts
         await script.wait_for(RequestEnded, MAX_PIPELINED)
-        await all_released(server)
+        await wait_until_released(server)
 
 
-@each_way_to_leave
-async def test_no_queued_request_is_admitted_after_the_client_left(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_queued_request_is_not_sent_after_disconnect(disconnect: Disconnect) -> None:
     """One request runs and the others are queued for its slot, which none of them may take."""
-    async with running_server_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
-        begun = without_reaper(server)
+    async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
+        started_attempts = stop_reaper_and_record_attempts(server)
         to_proxy = await fill_pipeline(server)
         reader, writer = await backend.accept_connection()
         await read_message(reader)
-        leave(to_proxy)
-        await kernel_knows(server)
+        disconnect(to_proxy)
+        await wait_until_disconnect_detectable(server)
         writer.write(make_response())
-        while server.proxy.requests and len(begun) < 2:
+        while server.proxy.requests and len(started_attempts) < 2:
             await asyncio.sleep(0)
-        assert [attempt.request_id for attempt in begun] == [1]
+        assert [attempt.request_id for attempt in started_attempts] == [1]
         gateway = cast(Gateway, server.proxy.decisions.decider)
         while gateway.requests or gateway.concurrency.in_flight:
             await asyncio.sleep(0)
 
 
-@each_way_to_leave
-async def test_no_retry_begins_after_the_client_left(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_retry_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
     """All four attempts end without having run, and the decisions ask for a retry of each."""
 
     def retry(event: Event) -> list[Action]:
@@ -285,54 +291,56 @@
 
     script = ScriptedDecider(retry)
     async with running_server_with_backend(script) as (server, backend):
-        begun = without_reaper(server)
+        started_attempts = stop_reaper_and_record_attempts(server)
         to_proxy = await fill_pipeline(server)
         streams = [await backend.accept_connection() for _ in range(MAX_PIPELINED)]
         for reader, _ in streams:
             await read_message(reader)
-        leave(to_proxy)
-        await kernel_knows(server)
+        disconnect(to_proxy)
+        await wait_until_disconnect_detectable(server)
         for _, writer in streams:
-            writer.write(NEVER_RAN)
-        while server.proxy.requests and len(begun) == MAX_PIPELINED:
+            writer.write(NOT_RUN_RESPONSE)
+        while server.proxy.requests and len(started_attempts) == MAX_PIPELINED:
             await asyncio.sleep(0)
-        assert [attempt.attempt_index for attempt in begun] == [0] * MAX_PIPELINED
+        assert [attempt.attempt_index for attempt in started_attempts] == [0] * MAX_PIPELINED
         await script.wait_for(RequestEnded, MAX_PIPELINED)
 
 
-@each_way_to_leave
-async def test_nothing_is_written_on_a_connection_that_comes_up_after_the_client_left(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_nothing_is_sent_on_an_upstream_connection_established_after_disconnect(
+    disconnect: Disconnect,
+) -> None:
     """The attempts have begun, and their connections come up for nobody."""
     script = ScriptedDecider(forward_all)
     async with running_server_with_backend(script) as (server, backend):
-        without_reaper(server)
+        stop_reaper_and_record_attempts(server)
         delayed = DelayedConnectLoop(server, backend.port)
         to_proxy = await fill_pipeline(server)
         await delayed.connect_requested.wait()
-        leave(to_proxy)
-        await kernel_knows(server)
+        disconnect(to_proxy)
+        await wait_until_disconnect_detectable(server)
         delayed.may_connect.set()
         reader, _ = await backend.accept_connection()
-        assert await first_byte(reader) == b""
+        assert await read_first_byte(reader) == b""
         ends = await script.wait_for(AttemptEnded, MAX_PIPELINED)
         assert {(e.outcome, e.request_ended) for e in ends} == {(Outcome.NOT_SENT, True)}
         await script.wait_for(RequestEnded, MAX_PIPELINED)
-        await all_released(server)
+        await wait_until_released(server)
         while not backend.accepted.empty():
-            assert await first_byte((await backend.accept_connection())[0]) == b""
+            assert await read_first_byte((await backend.accept_connection())[0]) == b""
 
 
-async def slow_reader(
+async def connect_slow_reader(
     server: RunningServer, requests: int
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
     """A client that reads no answers for now, over buffers of the kernel that hold far less than one."""
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
-    made.connect(("127.0.0.1", server.clients.port()))
-    made.setblocking(False)
-    reader, to_proxy = await asyncio.open_connection(sock=made)
+    client_socket = socket.socket()
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+    client_socket.connect(("127.0.0.1", server.clients.port()))
+    client_socket.setblocking(False)
+    reader, to_proxy = await asyncio.open_connection(sock=client_socket)
     cast(asyncio.Transport, to_proxy.transport).pause_reading()
-    to_proxy.write(pipeline(requests))
+    to_proxy.write(pipelined_requests(requests))
     while len(server.proxy.requests) < requests:
         await asyncio.sleep(0)
     connection = only_connection(server)
@@ -340,7 +348,7 @@
     return reader, to_proxy, connection
 
 
-def hold_one(held_id: int) -> ScriptedDecider:
+def forward_all_except(held_id: int) -> ScriptedDecider:
     """All requests but one are sent on."""
 
     def reply(event: Event) -> list[Action]:
@@ -349,52 +357,56 @@
     return ScriptedDecider(reply)
 
 
-@each_way_to_leave
-async def test_no_attempt_begins_after_a_client_that_reads_no_answers_left(leave: Leave) -> None:
+@parametrize_disconnect
+async def test_attempt_does_not_start_after_a_client_that_reads_no_responses_disconnects(
+    disconnect: Disconnect,
+) -> None:
     """The answers fill the write buffer, so the connection is not read although little is pending."""
-    script = hold_one(4)
+    script = forward_all_except(4)
     async with running_server_with_backend(script) as (server, backend):
-        _, to_proxy, connection = await slow_reader(server, 4)
+        _, to_proxy, connection = await connect_slow_reader(server, 4)
         for _ in range(3):
             reader, writer = await backend.accept_connection()
             await read_message(reader)
             writer.write(make_response(200, LARGE_BODY))
         while not connection.is_write_buffer_full or len(connection.pending) > 1:
             await asyncio.sleep(0)
-        begun = without_reaper(server)
-        leave(to_proxy)
-        await kernel_knows(server)
+        started_attempts = stop_reaper_and_record_attempts(server)
+        disconnect(to_proxy)
+        await wait_until_disconnect_detectable(server)
         server.proxy.apply(StartAttempt(4, b"s-1"))
-        assert not begun
+        assert not started_attempts
         await script.wait_for(RequestEnded)
 
 
 @uvloop_test
-async def test_no_attempt_begins_after_a_half_close_while_an_answer_is_still_being_written() -> None:
+async def test_attempt_does_not_start_after_half_close_while_a_response_is_being_written() -> None:
     """The close is seen while the transport holds an answer: that answer is still delivered."""
-    script = hold_one(2)
+    script = forward_all_except(2)
     async with running_server_with_backend(script) as (server, backend):
-        client, to_proxy, connection = await slow_reader(server, 2)
+        client, to_proxy, connection = await connect_slow_reader(server, 2)
         reader, writer = await backend.accept_connection()
         await read_message(reader)
         writer.write(make_response(200, LARGE_BODY))  # little enough for the connection to be read on
         while len(connection.pending) > 1:
             await asyncio.sleep(0)
-        begun = without_reaper(server)
+        started_attempts = stop_reaper_and_record_attempts(server)
         half_close(to_proxy)
         await script.wait_for(RequestEnded)
         assert connection.transport is not None and connection.transport.get_write_buffer_size() > 0
         server.proxy.apply(StartAttempt(2, b"s-1"))
-        assert not begun
+        assert not started_attempts
         cast(asyncio.Transport, to_proxy.transport).resume_reading()
         assert (await read_message(client))[2] == LARGE_BODY
 
 
 @pytest.mark.parametrize(
-    "leave", [socket.socket.close, lambda made: made.shutdown(socket.SHUT_WR)], ids=["close", "half_close"]
+    "disconnect",
+    [socket.socket.close, lambda client_socket: client_socket.shutdown(socket.SHUT_WR)],
+    ids=["close", "half_close"],
 )
-def test_no_attempt_begins_for_a_request_that_comes_together_with_the_close(
-    leave: Callable[[socket.socket], None],
+def test_attempt_does_not_start_for_a_request_that_arrives_together_with_the_close(
+    disconnect: Callable[[socket.socket], None],
 ) -> None:
     """Request and close arrive in the same turn: the loop has read neither, and reads the request first."""
 
@@ -409,11 +421,11 @@
             await read_message(reader)
             writer.write(make_response())
             await read_message(client)
-            begun = without_reaper(server)
-            with socket.create_connection(("127.0.0.1", server.clients.port())) as made:
-                made.sendall(make_request())
-                leave(made)
+            started_attempts = stop_reaper_and_record_attempts(server)
+            with socket.create_connection(("127.0.0.1", server.clients.port())) as client_socket:
+                client_socket.sendall(make_request())
+                disconnect(client_socket)
                 assert [e.request_id for e in await script.wait_for(RequestEnded)] == [2]
-            assert not begun
+            assert not started_attempts
 
     run()
--- a/tests/proxy/test_client_response.py
+++ b/tests/proxy/test_client_response.py
@@ -10,7 +10,7 @@
     assert retry_after_line(1_234_001) == b"Retry-After: 1.235\r\n"
 
 
-def test_a_response_names_its_length_and_the_connections_end() -> None:
+def test_response_states_its_length_and_whether_the_connection_closes() -> None:
     """A client must see where a response ends, and whether the connection goes on. Without the length it
     would wait for more; without the notice it might send a request that is never answered."""
     assert encode_response(200, b"done", b"A: b\r\n", False) == (
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.client_side import ManualClock, connect
+from tests.client_side import ManualClock, connect_clients
 from tests.loopback import (
     ScriptedDecider,
     leave_pending,
@@ -18,13 +18,13 @@
 
 
 @uvloop_test
-async def test_silent_connections_make_room_and_busy_ones_do_not() -> None:
+async def test_full_server_closes_silent_connections_but_not_busy_ones() -> None:
     """Silent clients take all connections: each new one ends a silent one, until all are busy."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         clients = server.clients
         clients.max_connections = 4
-        first, *_ = await connect(server, 4)
+        first, *_ = await connect_clients(server, 4)
         _, to_proxy = await server.connect_client()  # ends the one that has been silent for longest
         to_proxy.write(make_request(trace="a0"))
         assert await read_until_closed(first[0]) == b""
@@ -39,7 +39,7 @@
 
 
 @uvloop_test
-async def test_a_full_server_ends_the_longest_idle_but_not_before_two_seconds() -> None:
+async def test_full_server_closes_the_longest_idle_connection_only_after_two_seconds() -> None:
     """A client that was answered a moment ago may have its next request on the way."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
@@ -63,30 +63,30 @@
 
 
 @uvloop_test
-async def test_accepting_resumes_after_descriptors_ran_out() -> None:
+async def test_listener_accepts_again_after_running_out_of_descriptors() -> None:
     """The kernel refuses a descriptor once: the waiting connection is accepted after a pause."""
     loop = asyncio.get_running_loop()
     async with running_server(ScriptedDecider(leave_pending)) as server:
         listener: Listener = server.clients.listener
         assert listener.socket is not None
-        real = listener.socket
-        accepts = 0
+        real_socket = listener.socket
+        accept_calls = 0
 
         class SocketWithoutDescriptors:
             """The listening socket; its first accept fails."""
 
             def __getattr__(self, name: str) -> object:
-                return getattr(real, name)
+                return getattr(real_socket, name)
 
             def accept(self) -> object:
-                nonlocal accepts
-                accepts += 1
-                if accepts == 1:
+                nonlocal accept_calls
+                accept_calls += 1
+                if accept_calls == 1:
                     raise OSError(24, "Too many open files")
-                return real.accept()
+                return real_socket.accept()
 
-        loop.remove_reader(real)
+        loop.remove_reader(real_socket)
         listener.socket = SocketWithoutDescriptors()  # type: ignore[assignment]
-        loop.add_reader(real, listener._accept)
-        await connect(server, 1)
-        assert accepts >= 2
+        loop.add_reader(real_socket, listener._accept)
+        await connect_clients(server, 1)
+        assert accept_calls >= 2
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -17,14 +17,16 @@
 from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 
 # A row for each event, with the state after it; a dot is an event that the state never meets.
-DESIGN = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
-STATES = re.search(r"^\| \| (ACCEPTED .*) \|$", DESIGN, re.M)
-ROWS = {name: row.split(" | ") for name, row in re.findall(r"^\| .* \((\w+)\) \| (.*) \|$", DESIGN, re.M)}
-NEVER = "."
+DESIGN_PAGE = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
+STATE_ROW = re.search(r"^\| \| (ACCEPTED .*) \|$", DESIGN_PAGE, re.M)
+EVENT_ROWS = {
+    name: row.split(" | ") for name, row in re.findall(r"^\| .* \((\w+)\) \| (.*) \|$", DESIGN_PAGE, re.M)
+}
+NOT_ALLOWED = "."
 
 
 @contextmanager
-def logged_by_connections() -> Iterator[list[str]]:
+def capture_connection_logs() -> Iterator[list[str]]:
     """The lines that connections log meanwhile."""
     lines: list[str] = []
     handler = logging.Handler()
@@ -37,36 +39,43 @@
         logger.removeHandler(handler)
 
 
-def test_the_design_page_names_all_states_and_events() -> None:
+def test_design_page_lists_all_states_and_events() -> None:
     """A state or event is added to the code alone. Whoever reads the page by night would miss it, and
     the test below would not try it."""
-    assert STATES is not None and STATES[1].split(" | ") == [state.name for state in ClientState]
-    assert list(ROWS) == [event.name for event in ClientEvent]
+    assert STATE_ROW is not None and STATE_ROW[1].split(" | ") == [state.name for state in ClientState]
+    assert list(EVENT_ROWS) == [event.name for event in ClientEvent]
     assert list(TRANSITIONS) == list(ClientState)
 
 
 @uvloop_test
-async def test_each_event_in_each_state_follows_the_table() -> None:
+async def test_each_event_in_each_state_follows_the_design_page() -> None:
     """An event that the table does not have must be logged and change nothing.
 
     Wherever a connection comes to its end, its pending requests are given back.
     """
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clients = server.clients
-        with logged_by_connections() as lines:
-            for event, row in zip(ClientEvent, ROWS.values(), strict=True):
-                for before, cell in zip(ClientState, row, strict=True):
-                    after = before if cell == NEVER else ClientState[cell]
+        with capture_connection_logs() as lines:
+            for event, row in zip(ClientEvent, EVENT_ROWS.values(), strict=True):
+                for old_state, cell in zip(ClientState, row, strict=True):
+                    new_state = old_state if cell == NOT_ALLOWED else ClientState[cell]
                     connection = ClientConnection(clients)
-                    connection.state = before
+                    connection.state = old_state
                     clients.connections[connection] = None
                     connection.pending.append(ClientRequest(connection))
-                    assert connection._apply(event) is (after is not before)
-                    assert connection.state is after
-                    fault = f"unexpected event {event.name} in state {before.name} of a client connection"
-                    assert lines == ([fault] if cell == NEVER else [])
+                    assert connection._apply(event) is (new_state is not old_state)
+                    assert connection.state is new_state
+                    expected_line = (
+                        f"unexpected event {event.name} in state {old_state.name} of a client connection"
+                    )
+                    assert lines == ([expected_line] if cell == NOT_ALLOWED else [])
                     lines.clear()
-                    ends = after is not before and after in (ClientState.CLOSING, ClientState.CLOSED)
-                    assert bool(connection.pending) is not ends
-                    assert (connection in clients.connections) is not (ends and after is ClientState.CLOSED)
+                    is_ending = new_state is not old_state and new_state in (
+                        ClientState.CLOSING,
+                        ClientState.CLOSED,
+                    )
+                    assert bool(connection.pending) is not is_ending
+                    assert (connection in clients.connections) is not (
+                        is_ending and new_state is ClientState.CLOSED
+                    )
                     clients.connections.pop(connection, None)
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.client_side import ManualClock, connect, only_connection
+from tests.client_side import ManualClock, connect_clients, only_connection
 from tests.loopback import (
     ScriptedDecider,
     leave_pending,
@@ -21,11 +21,11 @@
 
 
 @uvloop_test
-async def test_a_silent_connection_is_closed() -> None:
+async def test_connection_without_a_request_is_closed() -> None:
     """A client connects and sends nothing: it must not keep its descriptor."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
-        [(reader, _)] = await connect(server, 1)
+        [(reader, _)] = await connect_clients(server, 1)
         clock.advance(1.0)
         assert server.clients.connections
         clock.advance(0.75)
@@ -33,11 +33,11 @@
 
 
 @uvloop_test
-async def test_a_request_that_drips_in_times_out() -> None:
+async def test_request_sent_byte_by_byte_times_out() -> None:
     """A byte now and then must not keep a connection busy: the time is for the whole request."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
-        [(reader, writer)] = await connect(server, 1)
+        [(reader, writer)] = await connect_clients(server, 1)
         parser = only_connection(server).parser
         for byte in make_request()[:8]:
             writer.write(bytes((byte,)))
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("rest", [make_request(trace="a2")[:20], b"noise\r\n\r\n"])
-def test_an_unreadable_request_behind_a_pending_one_ends_both_in_time(rest: bytes) -> None:
+def test_fatal_request_error_behind_a_pending_request_ends_both_in_time(rest: bytes) -> None:
     """The error waits for its turn behind the pending request, but for no longer than a request may take.
 
     The pending one is answered without a promise, as it may have had its effect.
@@ -61,26 +61,26 @@
         script = ScriptedDecider(leave_pending)
         async with running_server(script) as server:
             clock = ManualClock(server.clients)
-            [(reader, writer)] = await connect(server, 1)
+            [(reader, writer)] = await connect_clients(server, 1)
             connection = only_connection(server)
             writer.write(make_request(trace="a1") + rest)
             await script.wait_for(RequestArrived)
             clock.advance(1.0)
             assert connection.pending
             clock.advance(0.75)
-            answers = await read_until_closed(reader)
-            assert answers.startswith(b"HTTP/1.1 502 ") and answers.count(b"HTTP/1.1 4") == 1
+            responses = await read_until_closed(reader)
+            assert responses.startswith(b"HTTP/1.1 502 ") and responses.count(b"HTTP/1.1 4") == 1
             assert not server.clients.open_trace_ids and not server.open_request_count
 
     run()
 
 
 @uvloop_test
-async def test_a_client_that_never_closes_is_aborted() -> None:
+async def test_client_that_stays_connected_after_the_last_response_is_aborted() -> None:
     """The last answer is written and the client keeps its side open: it must not keep its descriptor."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
-        [(_, writer)] = await connect(server, 1)
+        [(_, writer)] = await connect_clients(server, 1)
         writer.write(b"noise\r\n\r\n")
         connection = only_connection(server)
         while connection.state is not ClientState.CLOSING:
@@ -91,7 +91,7 @@
 
 
 @uvloop_test
-async def test_a_stalled_proxy_times_out_no_client_that_it_has_not_read() -> None:
+async def test_clients_do_not_time_out_while_the_proxy_is_stalled() -> None:
     """The process stands still for longer than a request may take to come.
 
     The rest of a request may have arrived meanwhile, unread. Only a client that is late while the proxy runs
@@ -105,7 +105,7 @@
             await asyncio.sleep(0)
         stalled_until = clients.now() + 100.0
         clients.now = lambda: stalled_until
-        clients._reap_on_time()
+        clients._on_reap_timer()
         writer.write(make_request()[-4:])
         assert await read_status(reader) == "429"
         writer.write(make_request()[:-4])
@@ -113,5 +113,5 @@
             await asyncio.sleep(0)
         clients.reap_due_s = stalled_until + REQUEST_TIMEOUT_S
         clients.now = lambda: stalled_until + REQUEST_TIMEOUT_S + 0.1
-        clients._reap_on_time()
+        clients._on_reap_timer()
         assert await read_status(reader) == "408"
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -43,12 +43,12 @@
 
     async def connect(self, count: int) -> None:
         """Until all have been accepted: the front door has closed those that are over its limit."""
-        self.tasks += [asyncio.create_task(self._stay(n)) for n in range(count)]
+        self.tasks += [asyncio.create_task(self._stay_connected(n)) for n in range(count)]
         while len(self.tasks) - self.ended > MAX_CLIENTS:
             self.changed.clear()
             await self.changed.wait()
 
-    async def _stay(self, n: int) -> None:
+    async def _stay_connected(self, n: int) -> None:
         reader, writer = await self._open_connection()
         with contextlib.suppress(ConnectionError):
             if n % 3 == 0:
@@ -72,13 +72,15 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def serve_list(discovery: FakeServer, whole: dict[str, Any], watched: asyncio.Event) -> None:
+async def serve_endpoint_list(
+    discovery: FakeServer, snapshot: dict[str, Any], watched: asyncio.Event
+) -> None:
     """Answer each fetch with the whole list, also those that wait already; a watch gets no answer."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while "index=" not in (await read_message(reader))[0]:
-                writer.write(make_response(200, encode_json(whole)))
+                writer.write(make_response(200, encode_json(snapshot)))
             watched.set()
 
     async with asyncio.TaskGroup() as group:
@@ -129,7 +131,7 @@
         process.kill()
 
 
-def test_the_connection_limits_stay_within_the_descriptors() -> None:
+def test_connection_limits_stay_within_the_available_descriptors() -> None:
     """All connections that the limits allow are open at once. What the process itself needs must still be
     left, and neither clients nor upstreams may be cut to next to nothing."""
     for descriptors in (256, 384, 512, 1024):
@@ -151,7 +153,7 @@
     @uvloop_test
     async def run() -> None:
         async with AsyncExitStack() as stack:
-            one, two, three, counter, moved = [
+            one, two, three, counter, new_discovery = [
                 await stack.enter_async_context(FakeServer()) for _ in range(5)
             ]
             discovery, port = FakeServer(), await free_port()
@@ -175,16 +177,16 @@
                 await stack.enter_async_context(discovery)
             calls: list[bytes] = []
             helpers = [asyncio.create_task(serve_counter(counter, calls))]
-            for serving, backends in ((discovery, (one, two)), (moved, (three,))):
-                if serving is moved:
-                    config["discovery"] = f"127.0.0.1:{moved.port}"
+            for serving, backends in ((discovery, (one, two)), (new_discovery, (three,))):
+                if serving is new_discovery:
+                    config["discovery"] = f"127.0.0.1:{new_discovery.port}"
                     (tmp_path / "config.json").write_text(json.dumps(config))
                     await idle_clients.connect(DESCRIPTORS)
                     process.send_signal(signal.SIGHUP)
                 watched = asyncio.Event()
                 helpers.append(
                     asyncio.create_task(
-                        serve_list(
+                        serve_endpoint_list(
                             serving,
                             endpoint_list_dict(
                                 *(member_dict(f"s-{peer.port}", peer.port) for peer in backends)
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -28,18 +28,18 @@
 LATEST_NEW_CONNECTION_S = 0.4  # after SIGTERM, by the pages
 
 
-async def until_it_listens_no_more(server: RunningServer) -> None:
+async def wait_until_listener_closed(server: RunningServer) -> None:
     while server.clients.listener.socket is not None:
         await asyncio.sleep(0.001)
 
 
-def test_accepting_goes_on_for_as_long_as_new_connections_may_come() -> None:
+def test_accept_period_after_sigterm_covers_the_latest_new_connection() -> None:
     """A client connects at the last moment that the protocol allows after SIGTERM. Were the listener closed
     by then, its connection would be reset."""
     assert ACCEPT_AFTER_SIGTERM_S > LATEST_NEW_CONNECTION_S
 
 
-def test_the_last_response_leaves_time_to_write_it_before_sigkill() -> None:
+def test_shutdown_timeout_ends_before_sigkill() -> None:
     """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most. A request that is open then
     gets no response at all; so every one is answered 0.3 s before."""
 
@@ -55,7 +55,7 @@
 
 
 @uvloop_test
-async def test_a_request_that_a_backend_leaves_open_is_answered_by_the_end() -> None:
+async def test_request_completed_after_the_shutdown_timeout_is_answered_with_500() -> None:
     """The end of the shutdown has come and all open requests were answered with 500; then a request arrives
     whose head was being read. Its backend does not answer. It gets its 500 as well."""
     short = [{**c, "deadline_us": 200_000} for c in settings_dict()["profiles"]]
@@ -76,7 +76,7 @@
             await asyncio.sleep(0)
         server.shut_down()
         server.proxy._end_all()
-        await until_it_listens_no_more(server)
+        await wait_until_listener_closed(server)
         to_proxy.write(make_request()[40:])
         await backend.accept_connection()
         assert (await read_message(client))[0].split()[1] == "500"
@@ -84,7 +84,7 @@
 
 
 @uvloop_test
-async def test_a_request_that_is_still_being_read_is_waited_for() -> None:
+async def test_shutdown_waits_for_a_request_that_is_still_being_read() -> None:
     """Half a request has arrived as the listener closes. Nothing is in flight, but a response is owed: the
     process must not end before the other half has come and was answered."""
     script = ScriptedDecider(forward_all)
@@ -97,7 +97,7 @@
         while not server.clients.has_pending_work():
             await asyncio.sleep(0)
         server.shut_down()
-        await until_it_listens_no_more(server)
+        await wait_until_listener_closed(server)
         assert not server.stopped.is_set()
         to_proxy.write(make_request()[-4:])
         reader, writer = await backend.accept_connection()
@@ -109,7 +109,7 @@
 
 
 @uvloop_test
-async def test_a_connection_that_was_accepted_last_may_still_send_a_request() -> None:
+async def test_first_request_after_the_listener_closed_is_answered() -> None:
     """A client has connected and sends its first request after the listener was closed. Its connection is
     idle, but it was not closed with the other idle ones: its request is answered."""
     script = ScriptedDecider(forward_all)
@@ -119,7 +119,7 @@
     ):
         client, to_proxy = await server.connect_client()
         server.shut_down()
-        await until_it_listens_no_more(server)
+        await wait_until_listener_closed(server)
         to_proxy.write(make_request())
         reader, writer = await backend.accept_connection()
         await read_message(reader)
@@ -129,7 +129,7 @@
 
 
 @uvloop_test
-async def test_connections_that_wait_to_be_accepted_are_accepted_before_the_listener_closes() -> None:
+async def test_listener_accepts_waiting_connections_before_it_closes() -> None:
     """Many clients have connected, and the kernel holds them until they are accepted. A listener that is
     closed resets them, and their requests with them; so it accepts all of them first."""
     script = ScriptedDecider(forward_all)
@@ -154,7 +154,7 @@
 
 
 @uvloop_test
-async def test_responses_are_not_lost_to_requests_that_are_read_no_further() -> None:
+async def test_responses_are_not_lost_when_further_bytes_stay_unread() -> None:
     """A connection is closed behind its last response while bytes of further requests wait unread. The kernel
     would answer them by a reset, which discards the responses that the client has not read yet."""
     script = ScriptedDecider(forward_all)
@@ -178,7 +178,7 @@
 
 
 @uvloop_test
-async def test_a_response_that_waited_in_the_pipeline_closes_its_connection_too() -> None:
+async def test_response_encoded_before_draining_closes_its_connection() -> None:
     """The second of two pipelined requests is answered before the shutdown, the first one after it began. The
     second response goes out last, and its connection must close behind it, not once it was idle for long."""
     script = ScriptedDecider(leave_pending)
@@ -197,7 +197,7 @@
 
 
 @uvloop_test
-async def test_the_shutdown_waits_for_a_client_that_still_reads_its_response() -> None:
+async def test_shutdown_waits_until_a_slow_client_has_received_its_response() -> None:
     """A client reads slowly: its response is complete, but most of it is still in our buffers. If the process
     ended now, the rest would be lost."""
     body = b"y" * 60_000
@@ -206,11 +206,11 @@
         FakeServer() as backend,
         running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
     ):
-        with socket.socket() as slow:
-            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # far less than the response
-            slow.connect(("127.0.0.1", server.clients.port()))
-            slow.setblocking(False)
-            slow.sendall(make_request())
+        with socket.socket() as slow_client:
+            slow_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # far less than the response
+            slow_client.connect(("127.0.0.1", server.clients.port()))
+            slow_client.setblocking(False)
+            slow_client.sendall(make_request())
             reader, writer = await backend.accept_connection()
             await read_message(reader)
             [client] = server.clients.connections
@@ -223,13 +223,13 @@
             assert server.clients.has_pending_work()
             received = b""
             while not received.endswith(body):
-                received += await asyncio.get_running_loop().sock_recv(slow, 65_536)
+                received += await asyncio.get_running_loop().sock_recv(slow_client, 65_536)
             while server.clients.has_pending_work():
                 await asyncio.sleep(0)
 
 
 @uvloop_test
-async def test_new_connections_are_served_and_each_closes_behind_its_response() -> None:
+async def test_new_connections_during_shutdown_are_closed_after_one_response() -> None:
     """Clients learn late that a front door drains, and connect to it for a while. Were the listener closed
     at once, they would be refused. Each connection says that it closes, so that its client goes elsewhere."""
     script = ScriptedDecider(forward_all)
@@ -261,7 +261,7 @@
 
 
 @uvloop_test
-async def test_a_request_without_an_answer_of_its_backend_gets_one_before_the_end() -> None:
+async def test_unanswered_request_is_answered_with_500_before_the_shutdown_ends() -> None:
     """A backend hangs as the shutdown begins. Its request is answered with 500 before SIGKILL could come."""
     script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
--- a/tests/proxy/test_late_connections.py
+++ b/tests/proxy/test_late_connections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.client_side import PATIENT_CLASSES, all_released
+from tests.client_side import LONG_DEADLINE_CLASSES, wait_until_released
 from tests.loopback import (
     HEALTH_CHECK,
     TEST_TIMEOUT_S,
@@ -76,7 +76,7 @@
         assert await read_status(client) == "502"
         delayed.may_connect.set()
         assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_SENT]
-        await all_released(server)
+        await wait_until_released(server)
         assert backend.accepted.empty()
 
 
@@ -145,7 +145,9 @@
 
     async def run() -> None:
         script = ScriptedDecider(attempt_at_each(b"s-1", send_within_us=30_000))
-        async with running_server_with_backend(script, settings=settings_dict(profiles=PATIENT_CLASSES)) as (
+        async with running_server_with_backend(
+            script, settings=settings_dict(profiles=LONG_DEADLINE_CLASSES)
+        ) as (
             server,
             backend,
         ):
@@ -165,7 +167,7 @@
             delayed.may_connect.set()
             assert [e.outcome for e in await script.wait_for(AttemptEnded)] == [Outcome.NOT_CONNECTED]
             server.proxy.apply(Fail(1))
-            await all_released(server)
+            await wait_until_released(server)
             assert backend.accepted.empty() or not await (await backend.accept_connection())[0].read()
 
     uvloop_test(run)()
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -14,7 +14,7 @@
 
 from yardlane.errors import FatalRequestError, InvalidRequest
 from yardlane.proxy.client_request import ClientRequest, RequestHandler
-from yardlane.proxy.client_response import CONTINUE, Status, encode_response
+from yardlane.proxy.client_response import CONTINUE_RESPONSE, Status, encode_response
 from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 from yardlane.proxy.request_parser import RequestParser
 from yardlane.proxy.request_validation import RequestRules, parse_request
@@ -31,7 +31,7 @@
 # A module's name is found faster than an enum's member, and these are asked for at each request.
 OPEN = ClientState.OPEN
 LAST_REQUEST = ClientState.LAST_REQUEST
-BROKEN = ClientState.BROKEN
+ERROR_PENDING = ClientState.ERROR_PENDING
 CLOSING = ClientState.CLOSING
 CLOSED = ClientState.CLOSED
 
@@ -47,7 +47,7 @@
     def now(self) -> float:
         """Seconds of the event loop's clock."""
 
-    def is_crowded(self) -> bool:
+    def is_near_connection_limit(self) -> bool:
         """Whether connections are so many that responses should end them."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
@@ -76,18 +76,18 @@
 
         False also for an event that leaves the state as it is, and for one that the state must never meet.
         """
-        before = self.state
-        after = TRANSITIONS[before].get(event)
-        if after is None:
-            log.error("unexpected event %s in state %s of a client connection", event.name, before.name)
+        old_state = self.state
+        new_state = TRANSITIONS[old_state].get(event)
+        if new_state is None:
+            log.error("unexpected event %s in state %s of a client connection", event.name, old_state.name)
             return False
-        if after is before:
+        if new_state is old_state:
             return False
-        self.state = after
-        if after is CLOSING or after is CLOSED:
+        self.state = new_state
+        if new_state is CLOSING or new_state is CLOSED:
             self.last_active_s = self.server.now()
             self._release_pending()
-        if after is CLOSED:
+        if new_state is CLOSED:
             self._on_closed()
         return True
 
@@ -126,11 +126,11 @@
 
     # The listener's calls
 
-    def protocol(self) -> asyncio.Protocol:
+    def protocol_factory(self) -> asyncio.Protocol:
         """What the transport is to be made for."""
         return self
 
-    def on_never_connected(self) -> None:
+    def on_connect_failed(self) -> None:
         """The connection was lost before it had a transport."""
         self.connection_lost(None)
 
@@ -156,7 +156,7 @@
             if not self.parser.feed(data):
                 self._close_after_pending()
         except FatalRequestError as error:
-            self._reject_stream(error)
+            self._close_with_error(error)
         if len(self.pending) >= MAX_PIPELINED:
             self._update_reading()
 
@@ -166,7 +166,7 @@
         A half-close is legal in HTTP, but it looks the same as a client that has closed its socket, and the
         requests of one that has left would take capacity from others.
         """
-        self._on_client_left()
+        self._on_client_disconnected()
         return False
 
     def pause_writing(self) -> None:
@@ -188,7 +188,7 @@
     def on_expect_continue(self) -> None:
         """Ask for the body, unless that would come ahead of responses that are still pending."""
         if self.transport is not None and not self.pending:
-            self.transport.write(CONTINUE)
+            self.transport.write(CONTINUE_RESPONSE)
 
     def on_request(self) -> None:
         """Queue a whole request for its response, then answer it or hand it to the handler."""
@@ -206,7 +206,7 @@
         elif self.parser.url.partition(b"?")[0] == HEALTH_PATH:
             self._answer_health_check(request)
         else:
-            self._hand_over(request)
+            self._dispatch_request(request)
 
     def _answer_health_check(self, request: ClientRequest) -> None:
         if self.server.handler.is_ready() and not self.server.is_draining:
@@ -214,7 +214,7 @@
         else:
             request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
 
-    def _hand_over(self, request: ClientRequest) -> None:
+    def _dispatch_request(self, request: ClientRequest) -> None:
         """Give the request to the handler, or answer what is wrong with it; the connection goes on."""
         try:
             parsed = parse_request(self.parser, self.server.rules, self.server.open_trace_ids)
@@ -239,7 +239,7 @@
         if request.response or transport is None or transport.is_closing():
             return
         server = self.server
-        if (server.is_draining or server.is_crowded()) and request is self.pending[-1]:
+        if (server.is_draining or server.is_near_connection_limit()) and request is self.pending[-1]:
             self._close_after(request)  # ahead of others it would take their responses along
         self._free_trace_id(request)
         request.response = encode_response(status, body, header_lines, request.closes_connection)
@@ -288,9 +288,9 @@
             self.transport.write_eof()
             self._update_reading()
 
-    def _reject_stream(self, error: FatalRequestError) -> None:
+    def _close_with_error(self, error: FatalRequestError) -> None:
         """Answer the error behind the responses that are pending, then close."""
-        if not self._apply(ClientEvent.STREAM_BROKEN):
+        if not self._apply(ClientEvent.FATAL_REQUEST_ERROR):
             return
         self.parser.abandon_message()
         request = ClientRequest(self)
@@ -319,7 +319,7 @@
         """End at once, without what is still to be written."""
         self._apply(ClientEvent.ABORTED)
 
-    def has_client_left(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Whether the client has closed its side or reset, also where the loop has not read so far."""
         if self.transport is None or self.transport.is_closing():
             return True
@@ -328,19 +328,19 @@
             self.probe = SocketProbe(file_number, select.POLLRDHUP)
         return bool(self.probe.pending_events())
 
-    def close_if_client_left(self) -> bool:
+    def close_if_client_disconnected(self) -> bool:
         """End all that is pending if the client has left; whether it has. Due before an attempt begins.
 
         A connection that is not read tells of no close, and one that is read tells a turn late: an attempt
         for a client that has left would take capacity from others.
         """
-        has_left = self.has_client_left()
-        if has_left:
-            self._on_client_left()
-        return has_left
+        is_disconnected = self.is_client_disconnected()
+        if is_disconnected:
+            self._on_client_disconnected()
+        return is_disconnected
 
-    def _on_client_left(self) -> None:
-        if self._apply(ClientEvent.CLIENT_LEFT) and self.transport is not None:
+    def _on_client_disconnected(self) -> None:
+        if self._apply(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
             self.transport.close()
 
     # Timeouts
@@ -350,20 +350,20 @@
         if self.state is CLOSING:
             self._check_lingering_close(now_s)
             return
-        is_read = self.transport is None or self.transport.is_reading()
-        if not is_read and self.close_if_client_left():
+        is_reading = self.transport is None or self.transport.is_reading()
+        if not is_reading and self.close_if_client_disconnected():
             return
-        if self.state is BROKEN or (self.state is OPEN and self.parser.is_in_message and is_read):
-            self._check_request_time(now_s)
+        if self.state is ERROR_PENDING or (self.state is OPEN and self.parser.is_in_message and is_reading):
+            self._check_request_timeout(now_s)
         elif self.is_idle():
-            self._check_idle_time(now_s, idle_timeout_s)
+            self._check_idle_timeout(now_s, idle_timeout_s)
 
     def _check_lingering_close(self, now_s: float) -> None:
         """A client that neither reads its last response nor closes must not keep the descriptor."""
         if now_s - self.last_active_s > LINGERING_CLOSE_TIMEOUT_S:
             self.abort()
 
-    def _check_request_time(self, now_s: float) -> None:
+    def _check_request_timeout(self, now_s: float) -> None:
         """Reject a request that came too slowly, and fail what still waits ahead of it.
 
         The time is for the whole request, so that one byte at a time buys no more of it. Behind a stream that
@@ -371,11 +371,11 @@
         """
         if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
             return
-        self._reject_stream(FatalRequestError(Status.REQUEST_TIMEOUT, "request came too slowly"))
+        self._close_with_error(FatalRequestError(Status.REQUEST_TIMEOUT, "request came too slowly"))
         for request in [request for request in self.pending if not request.response]:
             self.server.handler.abandon_request(request)
 
-    def _check_idle_time(self, now_s: float, idle_timeout_s: float) -> None:
+    def _check_idle_timeout(self, now_s: float, idle_timeout_s: float) -> None:
         timeout_s = idle_timeout_s if self.has_sent_request else REQUEST_TIMEOUT_S
         if now_s - self.last_active_s > timeout_s:
             self.close_idle()
--- a/yardlane/proxy/client_request.py
+++ b/yardlane/proxy/client_request.py
@@ -13,7 +13,7 @@
     def reply(self, request: ClientRequest, status: int, body: bytes, header_lines: bytes) -> None:
         """Answer `request` in its turn."""
 
-    def close_if_client_left(self) -> bool:
+    def close_if_client_disconnected(self) -> bool:
         """End all that is pending if the client has left; whether it has. Due before an attempt begins."""
 
 
--- a/yardlane/proxy/client_response.py
+++ b/yardlane/proxy/client_response.py
@@ -24,7 +24,7 @@
     SERVICE_UNAVAILABLE = 503
 
 
-REASONS: dict[int, bytes] = {
+REASON_PHRASES: dict[int, bytes] = {
     Status.OK: b"OK",
     Status.BAD_REQUEST: b"Bad Request",
     Status.METHOD_NOT_ALLOWED: b"Method Not Allowed",
@@ -37,13 +37,13 @@
     Status.BAD_GATEWAY: b"Bad Gateway",
     Status.SERVICE_UNAVAILABLE: b"Service Unavailable",
 }
-UNKNOWN_REASON = b"Other"
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+UNKNOWN_REASON_PHRASE = b"Other"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 def encode_response(status: int, body: bytes, header_lines: bytes, closes_connection: bool) -> bytes:
     """The bytes of a final response. `header_lines` holds whole header lines, each with its line end."""
-    reason = REASONS.get(status, UNKNOWN_REASON)
+    reason = REASON_PHRASES.get(status, UNKNOWN_REASON_PHRASE)
     return b"".join(
         (
             b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, reason, len(body)),
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -14,8 +14,8 @@
 
 IDLE_TIMEOUT_S = 15.0  # between requests
 # From this share of the connections on, responses end their connections, and an idle one gets less time.
-CROWDED_SHARE = 0.85
-CROWDED_IDLE_TIMEOUT_S = 2.0
+NEAR_LIMIT_SHARE = 0.85
+NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
 REAP_INTERVAL_S = 0.2
 
 
@@ -40,13 +40,13 @@
         self.open_trace_ids: set[bytes] = set()
         self.is_draining = False
         self.reap_due_s = 0.0
-        self.listener = Listener(self.admit, loop)
+        self.listener = Listener(self.make_connection, loop)
 
     def listen(self) -> None:
         """Begin to accept; raises OSError where the address cannot be had."""
         self.listener.listen(self.config.listen)
         self.reap_due_s = self.now() + REAP_INTERVAL_S
-        self.loop.call_later(REAP_INTERVAL_S, self._reap_on_time)
+        self.loop.call_later(REAP_INTERVAL_S, self._on_reap_timer)
 
     def port(self) -> int:
         """The port that is listened on."""
@@ -54,9 +54,9 @@
 
     # Connections
 
-    def admit(self) -> ClientConnection | None:
+    def make_connection(self) -> ClientConnection | None:
         """A new connection, if there is room for it or another one makes room."""
-        if len(self.connections) >= self.max_connections and not self._make_room():
+        if len(self.connections) >= self.max_connections and not self._evict_connection():
             return None
         connection = ClientConnection(self)
         self.connections[connection] = None
@@ -66,11 +66,11 @@
         """Its place is free."""
         self.connections.pop(connection, None)
 
-    def is_crowded(self) -> bool:
+    def is_near_connection_limit(self) -> bool:
         """Whether connections are so many that responses should end them."""
-        return len(self.connections) > CROWDED_SHARE * self.max_connections
+        return len(self.connections) > NEAR_LIMIT_SHARE * self.max_connections
 
-    def _make_room(self) -> bool:
+    def _evict_connection(self) -> bool:
         """Abort one connection that serves nothing; whether there was one.
 
         First one that closes or has never sent a request, else the one that has been idle for longest. Busy
@@ -91,7 +91,7 @@
         return None
 
     def _find_longest_idle(self) -> ClientConnection | None:
-        idle_before_s = self.now() - CROWDED_IDLE_TIMEOUT_S
+        idle_before_s = self.now() - NEAR_LIMIT_IDLE_TIMEOUT_S
         idle = [
             connection
             for connection in self.connections
@@ -101,13 +101,13 @@
 
     # Timeouts
 
-    def _reap_on_time(self) -> None:
+    def _on_reap_timer(self) -> None:
         """Look for timeouts, unless this process stood still.
 
         After a standstill the bytes that came meanwhile are not read yet, and their clients would be taken
         for slow ones.
         """
-        self.loop.call_later(REAP_INTERVAL_S, self._reap_on_time)
+        self.loop.call_later(REAP_INTERVAL_S, self._on_reap_timer)
         now_s = self.now()
         delay_s = now_s - self.reap_due_s
         self.reap_due_s = now_s + REAP_INTERVAL_S
@@ -117,7 +117,7 @@
     def reap(self) -> None:
         """Check the timeouts of all connections."""
         now_s = self.now()
-        idle_timeout_s = CROWDED_IDLE_TIMEOUT_S if self.is_crowded() else IDLE_TIMEOUT_S
+        idle_timeout_s = NEAR_LIMIT_IDLE_TIMEOUT_S if self.is_near_connection_limit() else IDLE_TIMEOUT_S
         for connection in list(self.connections):
             connection.check_timeouts(now_s, idle_timeout_s)
 
@@ -127,13 +127,13 @@
         """Accept what waits, and no more."""
         self.listener.close()
 
-    def close_idle_served(self) -> None:
+    def close_used_idle_connections(self) -> None:
         """Close what is idle and has been served; the first request of a new connection may be on its way."""
         for connection in list(self.connections):
             if connection.is_idle() and connection.has_sent_request:
                 connection.close_idle()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close all that is idle."""
         for connection in list(self.connections):
             if connection.is_idle():
--- a/yardlane/proxy/client_state.py
+++ b/yardlane/proxy/client_state.py
@@ -11,7 +11,7 @@
     ACCEPTED = auto()  # its transport is not up yet
     OPEN = auto()  # requests are read and handled
     LAST_REQUEST = auto()  # no further request is handled, and not all that were are answered
-    BROKEN = auto()  # what came cannot be read on: the error waits for its turn among the responses
+    ERROR_PENDING = auto()  # what came cannot be read on: the error waits for its turn among the responses
     CLOSING = auto()  # no request is pending; what is written may still be read, for a limited time
     CLOSED = auto()  # the transport is lost, or aborted
 
@@ -21,10 +21,10 @@
 
     CONNECTED = auto()  # its transport is up
     LAST_REQUEST_READ = auto()  # no request is handled after the newest
-    STREAM_BROKEN = auto()  # its bytes are no requests, or come too slowly
+    FATAL_REQUEST_ERROR = auto()  # its bytes are no requests, or come too slowly
     LAST_RESPONSE_WRITTEN = auto()
     IDLE_CLOSED = auto()  # closed by us between requests
-    CLIENT_LEFT = auto()  # the client has closed its side, or reset the connection
+    CLIENT_DISCONNECTED = auto()  # the client has closed its side, or reset the connection
     ABORTED = auto()  # ended by us at once
     TRANSPORT_LOST = auto()  # the transport's last call
 
@@ -47,31 +47,31 @@
     },
     ClientState.OPEN: {
         ClientEvent.LAST_REQUEST_READ: ClientState.LAST_REQUEST,
-        ClientEvent.STREAM_BROKEN: ClientState.BROKEN,
+        ClientEvent.FATAL_REQUEST_ERROR: ClientState.ERROR_PENDING,
         ClientEvent.IDLE_CLOSED: ClientState.CLOSING,
-        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.CLIENT_DISCONNECTED: ClientState.CLOSING,
         ClientEvent.ABORTED: ClientState.CLOSED,
         ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
     ClientState.LAST_REQUEST: {
         ClientEvent.LAST_REQUEST_READ: ClientState.LAST_REQUEST,
-        ClientEvent.STREAM_BROKEN: ClientState.LAST_REQUEST,
+        ClientEvent.FATAL_REQUEST_ERROR: ClientState.LAST_REQUEST,
         ClientEvent.LAST_RESPONSE_WRITTEN: ClientState.CLOSING,
-        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.CLIENT_DISCONNECTED: ClientState.CLOSING,
         ClientEvent.ABORTED: ClientState.CLOSED,
         ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
-    ClientState.BROKEN: {
-        ClientEvent.STREAM_BROKEN: ClientState.BROKEN,
+    ClientState.ERROR_PENDING: {
+        ClientEvent.FATAL_REQUEST_ERROR: ClientState.ERROR_PENDING,
         ClientEvent.LAST_RESPONSE_WRITTEN: ClientState.CLOSING,
-        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.CLIENT_DISCONNECTED: ClientState.CLOSING,
         ClientEvent.ABORTED: ClientState.CLOSED,
         ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
     ClientState.CLOSING: {
-        ClientEvent.STREAM_BROKEN: ClientState.CLOSING,
+        ClientEvent.FATAL_REQUEST_ERROR: ClientState.CLOSING,
         ClientEvent.IDLE_CLOSED: ClientState.CLOSING,
-        ClientEvent.CLIENT_LEFT: ClientState.CLOSING,
+        ClientEvent.CLIENT_DISCONNECTED: ClientState.CLOSING,
         ClientEvent.ABORTED: ClientState.CLOSED,
         ClientEvent.TRANSPORT_LOST: ClientState.CLOSED,
     },
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -248,7 +248,7 @@
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not request.has_ended:
-            request.client_request.connection.close_if_client_left()  # ends the request if so
+            request.client_request.connection.close_if_client_disconnected()  # ends the request if so
         address = self.addresses.get(action.endpoint_id)
         time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
@@ -263,7 +263,7 @@
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
         # A connection may come up long after the attempt's start: its client must still be there.
-        attempt.on_connected = request.client_request.connection.close_if_client_left
+        attempt.on_connected = request.client_request.connection.close_if_client_disconnected
         if action.send_within_us:
             self._bound_send_time(attempt, action.send_within_us)
         self.pool.send(attempt)
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -108,9 +108,9 @@
         try:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.clients.stop_listening()
-            self.clients.close_idle_served()
+            self.clients.close_used_idle_connections()
             await self._wait_while(self.clients.awaits_first_request, FIRST_REQUEST_WAIT_S)
-            self.clients.close_idle()
+            self.clients.close_idle_connections()
             left_us = self.proxy.drain_deadline_us - self.proxy.clock.now_us()
             await self._wait_while(self.clients.has_pending_work, left_us / US_PER_S)
             await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
