--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from tests.discovery_responses import delta, snapshot
+from tests.discovery_responses import delta_response, snapshot_response
 from tests.loopback import (
     FakeServer,
     RunningServer,
@@ -26,11 +26,11 @@
 from yardlane.decisions.decider import Decider
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, UpdateKind
 
-FETCH = "GET /catalog/members HTTP"
+FETCH_REQUEST_PREFIX = "GET /catalog/members HTTP"
 
 
 @asynccontextmanager
-async def running_with_discovery(
+async def running_server_with_discovery(
     decider: Decider | None = None, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
     """The program beside a discovery that the test plays."""
@@ -41,7 +41,7 @@
         yield server, discovery
 
 
-async def first_poll(discovery: FakeServer) -> Streams:
+async def accept_poll(discovery: FakeServer) -> Streams:
     """The client's connection, whose first request has been read."""
     reader, writer = await discovery.accept_connection()
     await read_message(reader)
@@ -49,27 +49,36 @@
 
 
 @uvloop_test
-async def test_the_cached_list_is_passed_on_first_and_then_the_list_is_kept() -> None:
+async def test_cached_list_is_followed_by_updates_in_order() -> None:
     """A process starts with a cached list, and discovery then has a newer one and a change to that. All three
     reach the decisions in this order, with the times and states that they carry."""
-    script = ScriptedDecider(leave_pending)
+    decider = ScriptedDecider(leave_pending)
     cached = endpoint_list_dict(member_dict("s-1", 9), revision=40)
-    async with running_with_discovery(script, known=cached) as (_, discovery):
-        reader, writer = await first_poll(discovery)
+    async with running_server_with_discovery(decider, known=cached) as (_, discovery):
+        reader, writer = await accept_poll(discovery)
         writer.write(
-            snapshot(41, member_dict("s-1", 9), member_dict("s-2", 9, up_since_ms=1_700_000_000_123))
+            snapshot_response(41, member_dict("s-1", 9), member_dict("s-2", 9, up_since_ms=1_700_000_000_123))
         )
         assert "index=41&" in (await read_message(reader))[0]
-        writer.write(delta(43, member_dict("s-1", 9, phase="Terminating"), {"id": "s-2", "phase": "Gone"}))
+        writer.write(
+            delta_response(43, member_dict("s-1", 9, phase="Terminating"), {"id": "s-2", "phase": "Gone"})
+        )
         assert "index=43&" in (await read_message(reader))[0]
-        updates = await script.wait_for(EndpointListUpdate, 3)
-        assert [u.kind for u in updates] == [UpdateKind.CACHED, UpdateKind.SNAPSHOT, UpdateKind.DELTA]
-        assert [e.started_at_us for e in updates[1].endpoints] == [0, 1_700_000_000_123_000]
-        assert [e.state for e in updates[2].endpoints] == [EndpointState.DRAINING, EndpointState.REMOVED]
+        updates = await decider.wait_for(EndpointListUpdate, 3)
+        assert [update.kind for update in updates] == [
+            UpdateKind.CACHED,
+            UpdateKind.SNAPSHOT,
+            UpdateKind.DELTA,
+        ]
+        assert [endpoint.started_at_us for endpoint in updates[1].endpoints] == [0, 1_700_000_000_123_000]
+        assert [endpoint.state for endpoint in updates[2].endpoints] == [
+            EndpointState.DRAINING,
+            EndpointState.REMOVED,
+        ]
 
 
 @uvloop_test
-async def test_malformed_responses_lead_back_to_the_whole_list() -> None:
+async def test_malformed_response_is_followed_by_fetch_of_whole_list() -> None:
     """Discovery answers a watch with an error, with no JSON, no list, no HTTP or changes to a list that we do
     not have. Each time the next poll fetches the whole list, so that no change is lost with the response."""
     malformed = [
@@ -80,49 +89,51 @@
         make_response(200, b"[" * 100_000),
         make_response(200, b'{"revision":"\xff"}'),
         b"nonsense\r\n\r\n",
-        delta(7),
+        delta_response(7),
         b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n",
     ]
-    script = ScriptedDecider(leave_pending)
-    async with running_with_discovery(script) as (_, discovery):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_discovery(decider) as (_, discovery):
         for n, response in enumerate(malformed):
             reader, writer = await discovery.accept_connection()
-            assert (await read_message(reader))[0].startswith(FETCH)
-            writer.write(snapshot(50 + n, member_dict("s-1", 9)))
+            assert (await read_message(reader))[0].startswith(FETCH_REQUEST_PREFIX)
+            writer.write(snapshot_response(50 + n, member_dict("s-1", 9)))
             assert f"index={50 + n}&" in (await read_message(reader))[0]
             writer.write(response)
-        reader, writer = await first_poll(discovery)
-        writer.write(snapshot(3, {"id": 5}, member_dict("s-1", 9), member_dict("s-2", 9, phase="Dancing")))
+        reader, writer = await accept_poll(discovery)
+        writer.write(
+            snapshot_response(3, {"id": 5}, member_dict("s-1", 9), member_dict("s-2", 9, phase="Dancing"))
+        )
         assert "index=3&" in (await read_message(reader))[0]  # a restarted discovery: its version counts
-        last = (await script.wait_for(EndpointListUpdate, len(malformed) + 2))[-1]
-        assert [(e.endpoint_id, e.state) for e in last.endpoints] == [
+        last = (await decider.wait_for(EndpointListUpdate, len(malformed) + 2))[-1]
+        assert [(endpoint.endpoint_id, endpoint.state) for endpoint in last.endpoints] == [
             (b"s-1", EndpointState.READY),
             (b"s-2", EndpointState.DRAINING),
         ]
 
 
 @uvloop_test
-async def test_changes_in_place_of_the_whole_list_are_not_taken_over() -> None:
+async def test_delta_in_response_to_fetch_is_rejected() -> None:
     """Discovery answers a fetch of the whole list with changes. There is nothing that they could change:
     taken over, they would stand for a whole list and hide all other endpoints."""
-    script = ScriptedDecider(leave_pending)
-    async with running_with_discovery(script) as (_, discovery):
-        _, writer = await first_poll(discovery)
-        writer.write(delta(41, member_dict("s-1", 9)))
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_discovery(decider) as (_, discovery):
+        _, writer = await accept_poll(discovery)
+        writer.write(delta_response(41, member_dict("s-1", 9)))
         reader, writer = await discovery.accept_connection()
-        assert (await read_message(reader))[0].startswith(FETCH)
-        writer.write(snapshot(42, member_dict("s-1", 9), member_dict("s-2", 9)))
+        assert (await read_message(reader))[0].startswith(FETCH_REQUEST_PREFIX)
+        writer.write(snapshot_response(42, member_dict("s-1", 9), member_dict("s-2", 9)))
         assert "index=42&" in (await read_message(reader))[0]
-        kinds = [update.kind for update in await script.wait_for(EndpointListUpdate, 2)]
+        kinds = [update.kind for update in await decider.wait_for(EndpointListUpdate, 2)]
         assert kinds == [UpdateKind.CACHED, UpdateKind.SNAPSHOT]
 
 
 @uvloop_test
-async def test_a_watch_that_was_reset_goes_on_from_its_version() -> None:
+async def test_watch_resumes_from_same_version_after_connection_reset() -> None:
     """The connection of a watch is reset. What we have is still good, so only later changes are asked for."""
-    async with running_with_discovery() as (_, discovery):
-        reader, writer = await first_poll(discovery)
-        writer.write(snapshot(41, member_dict("s-1", 9)))
+    async with running_server_with_discovery() as (_, discovery):
+        reader, writer = await accept_poll(discovery)
+        writer.write(snapshot_response(41, member_dict("s-1", 9)))
         await read_message(reader)
         writer.transport.abort()
         reader, writer = await discovery.accept_connection()
@@ -130,133 +141,137 @@
 
 
 @uvloop_test
-async def test_an_older_list_after_a_newer_one_is_not_taken_over() -> None:
+async def test_older_version_is_rejected_and_whole_list_is_fetched() -> None:
     """A watch is answered by a list older than ours, in which an endpoint that drains is still ready. It must
     not be taken over; the whole list is fetched instead."""
-    script = ScriptedDecider(leave_pending)
-    async with running_with_discovery(script) as (_, discovery):
-        reader, writer = await first_poll(discovery)
-        writer.write(snapshot(41, member_dict("s-1", 9, phase="Terminating")))
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_discovery(decider) as (_, discovery):
+        reader, writer = await accept_poll(discovery)
+        writer.write(snapshot_response(41, member_dict("s-1", 9, phase="Terminating")))
         assert "index=41&" in (await read_message(reader))[0]
-        writer.write(snapshot(40, member_dict("s-1", 9)))
+        writer.write(snapshot_response(40, member_dict("s-1", 9)))
         reader, writer = await discovery.accept_connection()
-        assert (await read_message(reader))[0].startswith(FETCH)
-        writer.write(snapshot(42, member_dict("s-1", 9, phase="Terminating")))
+        assert (await read_message(reader))[0].startswith(FETCH_REQUEST_PREFIX)
+        writer.write(snapshot_response(42, member_dict("s-1", 9, phase="Terminating")))
         assert "index=42&" in (await read_message(reader))[0]
-        updates = await script.wait_for(EndpointListUpdate, 3)
-        snapshots = [u for u in updates if u.kind is UpdateKind.SNAPSHOT]
-        assert [(u.version, u.endpoints[0].state) for u in snapshots] == [
+        updates = await decider.wait_for(EndpointListUpdate, 3)
+        snapshots = [update for update in updates if update.kind is UpdateKind.SNAPSHOT]
+        assert [(update.version, update.endpoints[0].state) for update in snapshots] == [
             (41, EndpointState.DRAINING),
             (42, EndpointState.DRAINING),
         ]
 
 
 @uvloop_test
-async def test_a_discovery_that_returns_from_silence_is_polled_within_the_drain_grace() -> None:
+async def test_unresponsive_discovery_is_polled_again_within_drain_grace() -> None:
     """Discovery accepts connections and never answers, then returns. Each poll made while it was silent must
     end in time for one that is answered within the grace of an endpoint that began to drain meanwhile."""
     grace_s = 0.5
     safety = {**settings_dict()["safety"], "drain_grace_us": int(grace_s * 1e6)}
-    async with running_with_discovery(settings=settings_dict(safety=safety)) as (server, discovery):
+    async with running_server_with_discovery(settings=settings_dict(safety=safety)) as (server, discovery):
         client = server.discovery
         assert client.response_timeout_s + client.max_backoff_s < grace_s
         for _ in range(4):  # the backoff between them grows meanwhile
-            reader, _ = await first_poll(discovery)
+            reader, _ = await accept_poll(discovery)
             assert await reader.read() == b""  # the poll has failed
-        reader, writer = await first_poll(discovery)
-        writer.write(snapshot(41, member_dict("s-1", 9)))
+        reader, writer = await accept_poll(discovery)
+        writer.write(snapshot_response(41, member_dict("s-1", 9)))
         assert "index=41&" in (await read_message(reader))[0]
 
 
 @uvloop_test
-async def test_the_cached_list_serves_only_once_discovery_was_polled() -> None:
+async def test_cached_list_is_used_only_after_first_poll_has_failed() -> None:
     """The cached list may name endpoints that are long gone: it serves only once the first poll failed."""
     health = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
     cached = endpoint_list_dict(member_dict("s-1", 9))
-    async with running_with_discovery(known=cached) as (server, discovery):
-        await first_poll(discovery)
+    async with running_server_with_discovery(known=cached) as (server, discovery):
+        await accept_poll(discovery)
         assert (await server.fetch(health))[0].split()[1] == "503"
         await discovery.accept_connection()  # the first poll has ended without a response
         assert (await server.fetch(health))[0].split()[1] == "200"
 
 
 @uvloop_test
-async def test_an_endpoint_whose_address_changes_is_followed() -> None:
+async def test_address_change_closes_connection_to_old_address() -> None:
     """Discovery gives an endpoint another address while a connection to the old one is open. A request sent
     there would reach whatever runs at that address now: the connection is closed, and the next one is new."""
-    script = ScriptedDecider(forward_all)
+    decider = ScriptedDecider(forward_all)
     async with (
-        FakeServer() as old,
-        FakeServer() as new,
-        running_with_discovery(script, known=endpoint_list_dict(member_dict("s-1", old.port))) as (
+        FakeServer() as old_backend,
+        FakeServer() as new_backend,
+        running_server_with_discovery(
+            decider, known=endpoint_list_dict(member_dict("s-1", old_backend.port))
+        ) as (
             server,
             discovery,
         ),
     ):
-        client, to_proxy = await server.connect_client()
-        to_proxy.write(make_request())
-        reader, writer = await old.accept_connection()
+        client_reader, client_writer = await server.connect_client()
+        client_writer.write(make_request())
+        reader, writer = await old_backend.accept_connection()
         await read_message(reader)
         writer.write(make_response())
-        await read_message(client)
-        polls, to_client = await first_poll(discovery)
-        to_client.write(snapshot(5, member_dict("s-1", new.port)))
-        await read_message(polls)
+        await read_message(client_reader)
+        poll_reader, poll_writer = await accept_poll(discovery)
+        poll_writer.write(snapshot_response(5, member_dict("s-1", new_backend.port)))
+        await read_message(poll_reader)
         assert await reader.read() == b""  # the connection to the old address is closed
-        to_proxy.write(make_request(trace="a2"))
-        reader, writer = await new.accept_connection()
+        client_writer.write(make_request(trace="a2"))
+        reader, writer = await new_backend.accept_connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "a2"
 
 
 @uvloop_test
-async def test_without_any_discovery_the_cached_list_serves() -> None:
+async def test_cached_list_is_used_while_discovery_is_unreachable() -> None:
     """Nobody listens at discovery's address, for as long as the process runs. The cached list is all there
     is, and requests go by it."""
     async with running_server_with_backend() as (server, backend):
-        _, to_proxy = await server.connect_client()
-        to_proxy.write(make_request())
+        _, client_writer = await server.connect_client()
+        client_writer.write(make_request())
         reader, _ = await backend.accept_connection()
         assert (await read_message(reader))[1]["x-trace-id"] == "ab12"
         await asyncio.sleep(0)
 
 
 @uvloop_test
-async def test_an_ambiguous_update_is_looked_up_in_the_whole_list_once() -> None:
+async def test_ambiguous_delta_triggers_a_single_fetch_of_whole_list() -> None:
     """A change comes without the id of its endpoint: some endpoint may drain, and we cannot know which. What
     can be read is passed on at once, and the whole list is fetched. Where that is ambiguous as well, fetching
     it again and again would not help: the watch goes on."""
-    script = ScriptedDecider(leave_pending)
-    async with running_with_discovery(script) as (server, discovery):
-        reader, writer = await first_poll(discovery)
-        writer.write(snapshot(41, member_dict("s-1", 9), member_dict("s-2", 9)))
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_discovery(decider) as (server, discovery):
+        reader, writer = await accept_poll(discovery)
+        writer.write(snapshot_response(41, member_dict("s-1", 9), member_dict("s-2", 9)))
         assert "index=41&" in (await read_message(reader))[0]
-        writer.write(delta(42, {"phase": "Terminating"}, member_dict("s-2", 9, phase="Terminating")))
-        assert (await read_message(reader))[0].startswith(FETCH)
-        updates = await script.wait_for(EndpointListUpdate, 3)
-        assert [(e.endpoint_id, e.state) for e in updates[2].endpoints] == [(b"s-2", EndpointState.DRAINING)]
-        writer.write(snapshot(42, {"phase": "Ready"}, member_dict("s-1", 9, phase="Terminating")))
+        writer.write(delta_response(42, {"phase": "Terminating"}, member_dict("s-2", 9, phase="Terminating")))
+        assert (await read_message(reader))[0].startswith(FETCH_REQUEST_PREFIX)
+        updates = await decider.wait_for(EndpointListUpdate, 3)
+        assert [(endpoint.endpoint_id, endpoint.state) for endpoint in updates[2].endpoints] == [
+            (b"s-2", EndpointState.DRAINING)
+        ]
+        writer.write(snapshot_response(42, {"phase": "Ready"}, member_dict("s-1", 9, phase="Terminating")))
         assert "index=42&" in (await read_message(reader))[0]
         assert server.discovery.version == 42
 
 
 @uvloop_test
-async def test_requests_go_on_at_an_endpoint_whose_new_address_is_malformed() -> None:
+async def test_malformed_new_address_does_not_end_requests_in_flight() -> None:
     """An update has no readable address for an endpoint that has requests in flight. It drains: the requests
     end where they run, at the address that we know."""
-    for response in (snapshot, delta):
+    for make_list_response in (snapshot_response, delta_response):
         async with (
             FakeServer() as backend,
-            running_with_discovery(ScriptedDecider(forward_all)) as (server, discovery),
+            running_server_with_discovery(ScriptedDecider(forward_all)) as (server, discovery),
         ):
-            polls, to_client = await first_poll(discovery)
-            to_client.write(snapshot(5, member_dict("s-1", backend.port)))
-            await read_message(polls)
-            client, to_proxy = await server.connect_client()
-            to_proxy.write(make_request())
+            poll_reader, poll_writer = await accept_poll(discovery)
+            poll_writer.write(snapshot_response(5, member_dict("s-1", backend.port)))
+            await read_message(poll_reader)
+            client_reader, client_writer = await server.connect_client()
+            client_writer.write(make_request())
             reader, writer = await backend.accept_connection()
             await read_message(reader)
-            to_client.write(response(6, member_dict("s-1", backend.port, host_port="?")))
-            await read_message(polls)
+            poll_writer.write(make_list_response(6, member_dict("s-1", backend.port, host_port="?")))
+            await read_message(poll_reader)
             assert server.proxy.addresses == {b"s-1": ("127.0.0.1", backend.port)}
             writer.write(make_response())
-            assert (await read_message(client))[2] == b"done"
+            assert (await read_message(client_reader))[2] == b"done"
--- a/tests/proxy/test_discovery_connection.py
+++ b/tests/proxy/test_discovery_connection.py
@@ -5,23 +5,23 @@
 
 import pytest
 
-from tests.discovery_responses import ENDLESS_HEAD
+from tests.discovery_responses import CHUNKED_RESPONSE_HEAD
 from tests.loopback import FakeServer, make_response, read_message, uvloop_test
 from yardlane.errors import DiscoveryError, DiscoveryUnreachable
 from yardlane.proxy.discovery_connection import DiscoveryConnection
 
 
-def test_a_body_in_small_chunks_takes_no_more_than_its_size() -> None:
+def test_memory_use_of_body_in_small_chunks_is_bounded_by_its_size() -> None:
     """A list arrives in chunks of two bytes. Kept as one object a chunk, it would take some thirty times its
     size, and a large list would fill the memory."""
     connection = DiscoveryConnection(("127.0.0.1", 9))
-    chunks = 100_000
-    connection.data_received(ENDLESS_HEAD)
+    chunk_count = 100_000
+    connection.data_received(CHUNKED_RESPONSE_HEAD)
     tracemalloc.start()
     try:
         for _ in range(10):
-            connection.data_received(b"2\r\nab\r\n" * (chunks // 10))
-        assert tracemalloc.get_traced_memory()[1] < 5 * 2 * chunks
+            connection.data_received(b"2\r\nab\r\n" * (chunk_count // 10))
+        assert tracemalloc.get_traced_memory()[1] < 5 * 2 * chunk_count
     finally:
         tracemalloc.stop()
 
@@ -33,7 +33,7 @@
 
 
 @uvloop_test
-async def test_an_informational_response_is_not_the_answer() -> None:
+async def test_informational_response_is_skipped() -> None:
     """Discovery sends a response of 1xx first. The request is answered by the one behind it."""
     async with FakeServer() as discovery:
         connection = await connect(discovery)
@@ -47,7 +47,7 @@
 
 
 @uvloop_test
-async def test_a_connection_that_discovery_closes_is_not_used_again() -> None:
+async def test_connection_is_not_reused_after_connection_close_header() -> None:
     """A response says that its connection is closed behind it. A request written there would be lost, and
     its change with it, until the timeout."""
     async with FakeServer() as discovery:
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("response", [make_response(404), make_response(503), b"nonsense\r\n\r\n"])
-def test_a_response_that_is_no_list_raises_the_typed_error(response: bytes) -> None:
+def test_error_status_or_malformed_response_raises_discovery_error(response: bytes) -> None:
     """Discovery answers with an error, or with what is not HTTP. The request fails, and the connection is
     closed, as what follows on it cannot be trusted."""
 
@@ -80,7 +80,7 @@
 
 
 @uvloop_test
-async def test_a_connection_that_ends_fails_its_request() -> None:
+async def test_connection_loss_fails_request_at_once() -> None:
     """Discovery resets the connection of a watch. The request must fail at once, not by its timeout."""
     async with FakeServer() as discovery:
         connection = await connect(discovery)
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.discovery_responses import ENDLESS_HEAD, snapshot
+from tests.discovery_responses import CHUNKED_RESPONSE_HEAD, snapshot_response
 from tests.loopback import (
     TEST_TIMEOUT_S,
     FakeServer,
@@ -26,12 +26,12 @@
 from yardlane.proxy.discovery_connection import MAX_BODY_BYTES
 from yardlane.proxy.discovery_timing import (
     INITIAL_BACKOFF_S,
-    NOTIFIED_WITHIN_AFTER_RELOAD_US,
-    NOTIFIED_WITHIN_US,
+    MAX_NOTIFICATION_DELAY_AFTER_RELOAD_US,
+    MAX_NOTIFICATION_DELAY_US,
     PROCESSING_RESERVE_US,
     RECOVERY_WATCH_TIMEOUT_MS,
     WATCH_TIMEOUT_MS,
-    worst_notification_delays_us,
+    worst_case_notification_delays_us,
 )
 
 DRAIN_GRACES_US = [0, 50_000, 1_000_000, 60_000_000]
@@ -40,54 +40,54 @@
 
 
 @pytest.mark.parametrize("grace_us", DRAIN_GRACES_US)
-def test_no_state_learns_of_a_change_later_than_the_bounds(grace_us: int) -> None:
-    delays_us = worst_notification_delays_us(grace_us)
-    assert delays_us.pop("moved") <= NOTIFIED_WITHIN_AFTER_RELOAD_US - PROCESSING_RESERVE_US
-    assert max(delays_us.values()) <= NOTIFIED_WITHIN_US - PROCESSING_RESERVE_US
+def test_worst_case_delays_are_within_bounds(grace_us: int) -> None:
+    delays_us = worst_case_notification_delays_us(grace_us)
+    assert delays_us.pop("moved") <= MAX_NOTIFICATION_DELAY_AFTER_RELOAD_US - PROCESSING_RESERVE_US
+    assert max(delays_us.values()) <= MAX_NOTIFICATION_DELAY_US - PROCESSING_RESERVE_US
 
 
 class ManualClockLoop(asyncio.SelectorEventLoop):
     """A loop whose clock only the test moves; a connection comes up once `may_connect` is set."""
 
     def __init__(self) -> None:
-        self.now = 0.0
+        self.now_s = 0.0
         super().__init__()
-        self.refuses = False
-        self.connecting = asyncio.Event()
+        self.refuses_connections = False
+        self.connect_requested = asyncio.Event()
         self.may_connect = asyncio.Event()
         self.may_connect.set()
 
     def time(self) -> float:
-        return self.now
+        return self.now_s
 
-    async def create_connection(self, *args: Any, **more: Any) -> Any:
-        self.connecting.set()
-        if self.refuses:
+    async def create_connection(self, *args: Any, **kwargs: Any) -> Any:
+        self.connect_requested.set()
+        if self.refuses_connections:
             raise ConnectionRefusedError
         await self.may_connect.wait()
-        return await super().create_connection(*args, **more)
+        return await super().create_connection(*args, **kwargs)
 
 
-def on_manual_clock(test: Callable[[ManualClockLoop], Awaitable[None]]) -> None:
+def run_on_manual_clock(test: Callable[[ManualClockLoop], Awaitable[None]]) -> None:
     """Run a test on a `ManualClockLoop`; one that hangs is cancelled by real time."""
     with asyncio.Runner(loop_factory=ManualClockLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, ManualClockLoop)
 
-        async def limited() -> None:
+        async def run_with_time_limit() -> None:
             task = asyncio.current_task()
             assert task is not None
-            hung = threading.Timer(TEST_TIMEOUT_S, lambda: loop.call_soon_threadsafe(task.cancel))
-            hung.start()
+            hang_timer = threading.Timer(TEST_TIMEOUT_S, lambda: loop.call_soon_threadsafe(task.cancel))
+            hang_timer.start()
             try:
                 await test(loop)
             finally:
-                hung.cancel()
+                hang_timer.cancel()
 
-        runner.run(limited())
+        runner.run(run_with_time_limit())
 
 
-class WatchOnManualClock:
+class ManualClockHarness:
     """A discovery client on a manual clock, and the peer that is its discovery.
 
     The test moves the clock to just before each time that is due, or onto it. `changed_at` is when the change
@@ -102,7 +102,7 @@
         self.poll_failed = asyncio.Event()
         self.updated = asyncio.Event()
         self.fail_next_update = False
-        self.changed_at = 0.0
+        self.changed_at_s = 0.0
         safety = {**settings_dict()["safety"], "drain_grace_us": grace_us}
         self.client = DiscoveryClient(
             make_config(discovery=f"127.0.0.1:{discovery.port}", settings=settings_dict(safety=safety)),
@@ -118,145 +118,145 @@
             raise RuntimeError("an error of ours")
         self.updated.set()
 
-    async def slow_poll(self, after_s: float) -> Streams:
+    async def accept_slow_poll(self, after_s: float) -> Streams:
         """The poll that is due in `after_s` gets its connection as late as it may; its request was read."""
-        self.loop.connecting.clear()
+        self.loop.connect_requested.clear()
         self.loop.may_connect.clear()
-        self.loop.now += after_s
-        await self.loop.connecting.wait()
-        self.loop.now += self.response_timeout_s - self.MARGIN_S
+        self.loop.now_s += after_s
+        await self.loop.connect_requested.wait()
+        self.loop.now_s += self.response_timeout_s - self.MARGIN_S
         self.loop.may_connect.set()
         reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
         return reader, writer
 
-    async def until_poll_failed(self) -> None:
+    async def wait_for_poll_failure(self) -> None:
         """Until the poll has failed whose timeout is reached now."""
         await self.poll_failed.wait()
         self.poll_failed.clear()
 
     async def reach_max_backoff(self) -> None:
         """Refuse connections until the backoff is as long as it gets; the last poll has just failed."""
-        self.loop.refuses = True
+        self.loop.refuses_connections = True
         for _ in range(9):
-            self.loop.now += self.max_backoff_s
-            await self.until_poll_failed()
-        self.loop.refuses = False
+            self.loop.now_s += self.max_backoff_s
+            await self.wait_for_poll_failure()
+        self.loop.refuses_connections = False
 
-    async def established(self) -> Streams:
+    async def establish_watch(self) -> Streams:
         """The whole list has been sent, and the client watches."""
         self.client.start()
         reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
-        writer.write(snapshot(41, member_dict("s-1", 9)))
+        writer.write(snapshot_response(41, member_dict("s-1", 9)))
         assert f"index=41&wait={WATCH_TIMEOUT_MS} " in (await read_message(reader))[0]
         self.updated.clear()
-        self.changed_at = self.loop.now
+        self.changed_at_s = self.loop.now_s
         return reader, writer
 
-    async def drip_until(self, writer: asyncio.StreamWriter, timeout_s: float) -> None:
+    async def send_slowly(self, writer: asyncio.StreamWriter, timeout_s: float) -> None:
         """A byte in the middle of the time and one at its end, which do not give the response more of it."""
         for _ in range(2):
             writer.write(b" ")
-            self.loop.now += timeout_s / 2
+            self.loop.now_s += timeout_s / 2
             await asyncio.sleep(0)
 
 
 # Each brings a watch into a state as its change comes, and returns the backoff that it is in, in s.
 
 
-async def silent_watch(watch: WatchOnManualClock) -> float:
-    await watch.established()
-    watch.loop.now += WATCH_TIMEOUT_S + watch.response_timeout_s
-    await watch.until_poll_failed()
+async def silent_watch(harness: ManualClockHarness) -> float:
+    await harness.establish_watch()
+    harness.loop.now_s += WATCH_TIMEOUT_S + harness.response_timeout_s
+    await harness.wait_for_poll_failure()
     return INITIAL_BACKOFF_S
 
 
-async def partial_watch_response(watch: WatchOnManualClock) -> float:
-    _, writer = await watch.established()
-    writer.write(snapshot(42, member_dict("s-1", 9))[:-9])
-    await watch.drip_until(writer, WATCH_TIMEOUT_S + watch.response_timeout_s)
-    await watch.until_poll_failed()
+async def partial_watch_response(harness: ManualClockHarness) -> float:
+    _, writer = await harness.establish_watch()
+    writer.write(snapshot_response(42, member_dict("s-1", 9))[:-9])
+    await harness.send_slowly(writer, WATCH_TIMEOUT_S + harness.response_timeout_s)
+    await harness.wait_for_poll_failure()
     return INITIAL_BACKOFF_S
 
 
-async def watch_reset(watch: WatchOnManualClock) -> float:
-    _, writer = await watch.established()
+async def watch_reset(harness: ManualClockHarness) -> float:
+    _, writer = await harness.establish_watch()
     writer.transport.abort()
-    await watch.until_poll_failed()
+    await harness.wait_for_poll_failure()
     return INITIAL_BACKOFF_S
 
 
-async def refused(watch: WatchOnManualClock) -> float:
-    watch.client.start()
-    await watch.reach_max_backoff()
-    watch.changed_at = watch.loop.now
-    return watch.max_backoff_s
+async def refused(harness: ManualClockHarness) -> float:
+    harness.client.start()
+    await harness.reach_max_backoff()
+    harness.changed_at_s = harness.loop.now_s
+    return harness.max_backoff_s
 
 
-async def never_connected(watch: WatchOnManualClock) -> float:
-    await refused(watch)
-    watch.loop.connecting.clear()
-    watch.loop.may_connect.clear()
-    watch.loop.now += watch.max_backoff_s
-    await watch.loop.connecting.wait()
-    watch.changed_at = watch.loop.now
-    watch.loop.now += watch.response_timeout_s
-    await watch.until_poll_failed()
-    return watch.max_backoff_s
+async def never_connected(harness: ManualClockHarness) -> float:
+    await refused(harness)
+    harness.loop.connect_requested.clear()
+    harness.loop.may_connect.clear()
+    harness.loop.now_s += harness.max_backoff_s
+    await harness.loop.connect_requested.wait()
+    harness.changed_at_s = harness.loop.now_s
+    harness.loop.now_s += harness.response_timeout_s
+    await harness.wait_for_poll_failure()
+    return harness.max_backoff_s
 
 
-async def slow_snapshot(watch: WatchOnManualClock) -> float:
+async def slow_snapshot(harness: ManualClockHarness) -> float:
     """The whole list drips in."""
-    watch.changed_at = await refused(watch) + watch.loop.now
-    _, writer = await watch.slow_poll(watch.max_backoff_s)
-    writer.write(snapshot(42, member_dict("s-1", 9))[:-9])
-    await watch.drip_until(writer, watch.response_timeout_s)
-    await watch.until_poll_failed()
-    return watch.max_backoff_s
+    harness.changed_at_s = await refused(harness) + harness.loop.now_s
+    _, writer = await harness.accept_slow_poll(harness.max_backoff_s)
+    writer.write(snapshot_response(42, member_dict("s-1", 9))[:-9])
+    await harness.send_slowly(writer, harness.response_timeout_s)
+    await harness.wait_for_poll_failure()
+    return harness.max_backoff_s
 
 
-async def slow_recovery_watch(watch: WatchOnManualClock) -> float:
-    _, writer = await watch.established()
+async def slow_recovery_watch(harness: ManualClockHarness) -> float:
+    _, writer = await harness.establish_watch()
     writer.transport.abort()
-    await watch.until_poll_failed()
-    await watch.reach_max_backoff()
-    watch.changed_at = watch.loop.now + watch.max_backoff_s
-    await watch.slow_poll(watch.max_backoff_s)
-    watch.loop.now += watch.response_timeout_s + RECOVERY_WATCH_TIMEOUT_S
-    await watch.until_poll_failed()
-    return watch.max_backoff_s
-
-
-async def malformed_list(watch: WatchOnManualClock) -> float:
-    await refused(watch)
-    _, writer = await watch.slow_poll(watch.max_backoff_s)
-    watch.changed_at = watch.loop.now
+    await harness.wait_for_poll_failure()
+    await harness.reach_max_backoff()
+    harness.changed_at_s = harness.loop.now_s + harness.max_backoff_s
+    await harness.accept_slow_poll(harness.max_backoff_s)
+    harness.loop.now_s += harness.response_timeout_s + RECOVERY_WATCH_TIMEOUT_S
+    await harness.wait_for_poll_failure()
+    return harness.max_backoff_s
+
+
+async def malformed_list(harness: ManualClockHarness) -> float:
+    await refused(harness)
+    _, writer = await harness.accept_slow_poll(harness.max_backoff_s)
+    harness.changed_at_s = harness.loop.now_s
     writer.write(make_response(200, b"{"))
-    await watch.until_poll_failed()
-    return watch.max_backoff_s
-
-
-async def internal_error(watch: WatchOnManualClock) -> float:
-    watch.fail_next_update = True
-    await refused(watch)
-    _, writer = await watch.slow_poll(watch.max_backoff_s)
-    watch.changed_at = watch.loop.now
-    writer.write(snapshot(42, member_dict("s-1", 9)))
-    await watch.until_poll_failed()
-    return watch.max_backoff_s
-
-
-async def moved(watch: WatchOnManualClock) -> float:
-    await watch.established()
-    watch.client.move(watch.client.address)
-    await watch.slow_poll(0)
-    watch.loop.now += watch.response_timeout_s
-    await watch.until_poll_failed()
+    await harness.wait_for_poll_failure()
+    return harness.max_backoff_s
+
+
+async def internal_error(harness: ManualClockHarness) -> float:
+    harness.fail_next_update = True
+    await refused(harness)
+    _, writer = await harness.accept_slow_poll(harness.max_backoff_s)
+    harness.changed_at_s = harness.loop.now_s
+    writer.write(snapshot_response(42, member_dict("s-1", 9)))
+    await harness.wait_for_poll_failure()
+    return harness.max_backoff_s
+
+
+async def moved(harness: ManualClockHarness) -> float:
+    await harness.establish_watch()
+    harness.client.change_address(harness.client.address)
+    await harness.accept_slow_poll(0)
+    harness.loop.now_s += harness.response_timeout_s
+    await harness.wait_for_poll_failure()
     return INITIAL_BACKOFF_S
 
 
-STATES: list[tuple[str, Callable[[WatchOnManualClock], Awaitable[float]]]] = [
+SCENARIOS: list[tuple[str, Callable[[ManualClockHarness], Awaitable[float]]]] = [
     ("silent watch", silent_watch),
     ("partial watch response", partial_watch_response),
     ("watch reset", watch_reset),
@@ -270,62 +270,66 @@
 ]
 
 
-@pytest.mark.parametrize(("state", "bring"), STATES, ids=lambda of: getattr(of, "__name__", ""))
+@pytest.mark.parametrize(
+    ("state", "enter_state"), SCENARIOS, ids=lambda value: getattr(value, "__name__", "")
+)
 @pytest.mark.parametrize("grace_us", [DRAIN_GRACES_US[0], DRAIN_GRACES_US[-1]])
-def test_a_change_is_learned_of_in_time_in_every_state(
-    state: str, bring: Callable[[WatchOnManualClock], Awaitable[float]], grace_us: int
+def test_change_is_received_in_time_in_every_state(
+    state: str, enter_state: Callable[[ManualClockHarness], Awaitable[float]], grace_us: int
 ) -> None:
     """An endpoint begins to drain while discovery is silent, refuses us, stalls or sends nonsense; discovery
     then returns. We must learn of it within the bound from then on, or we send to it after its grace.
     The table's sum must be what it really takes, or the bound would hold for the sum alone."""
 
-    async def body(loop: ManualClockLoop) -> None:
+    async def run_scenario(loop: ManualClockLoop) -> None:
         async with FakeServer() as discovery:
-            watch = WatchOnManualClock(loop, discovery, grace_us)
-            backoff_s = await bring(watch)
-            _, writer = await watch.slow_poll(backoff_s)
-            loop.now += watch.response_timeout_s - watch.MARGIN_S
-            if watch.client.version != NO_VERSION:
-                loop.now += RECOVERY_WATCH_TIMEOUT_S
-            writer.write(snapshot(43, member_dict("s-1", 9, phase="Terminating")))
-            await watch.updated.wait()
-            watch.client.stop()
-            took_s = loop.now - watch.changed_at
-            worst_s = worst_notification_delays_us(grace_us)[state] / 1e6
-            assert worst_s - INITIAL_BACKOFF_S - 5 * watch.MARGIN_S <= took_s <= worst_s
-            bound_us = NOTIFIED_WITHIN_AFTER_RELOAD_US if state == "moved" else NOTIFIED_WITHIN_US
-            assert took_s <= (bound_us - PROCESSING_RESERVE_US) / 1e6
-
-    on_manual_clock(body)
-
-
-def test_every_state_of_the_table_is_played() -> None:
-    assert {state for state, _ in STATES} | {"start"} == set(worst_notification_delays_us(0))
+            harness = ManualClockHarness(loop, discovery, grace_us)
+            backoff_s = await enter_state(harness)
+            _, writer = await harness.accept_slow_poll(backoff_s)
+            loop.now_s += harness.response_timeout_s - harness.MARGIN_S
+            if harness.client.version != NO_VERSION:
+                loop.now_s += RECOVERY_WATCH_TIMEOUT_S
+            writer.write(snapshot_response(43, member_dict("s-1", 9, phase="Terminating")))
+            await harness.updated.wait()
+            harness.client.stop()
+            delay_s = loop.now_s - harness.changed_at_s
+            worst_case_s = worst_case_notification_delays_us(grace_us)[state] / 1e6
+            assert worst_case_s - INITIAL_BACKOFF_S - 5 * harness.MARGIN_S <= delay_s <= worst_case_s
+            bound_us = (
+                MAX_NOTIFICATION_DELAY_AFTER_RELOAD_US if state == "moved" else MAX_NOTIFICATION_DELAY_US
+            )
+            assert delay_s <= (bound_us - PROCESSING_RESERVE_US) / 1e6
+
+    run_on_manual_clock(run_scenario)
+
+
+def test_every_state_has_a_scenario() -> None:
+    assert {state for state, _ in SCENARIOS} | {"start"} == set(worst_case_notification_delays_us(0))
 
 
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
 
 
-async def misbehave(
+async def simulate_faulty_discovery(
     discovery: FakeServer, loop: ManualClockLoop, behaviour: str, response_timeout_s: float
 ) -> None:
     """Let the first poll run into its timeout, or fail, by what discovery does."""
     if behaviour == "refuses":
         return
     if behaviour == "never comes up":
-        loop.now += response_timeout_s
+        loop.now_s += response_timeout_s
         return
     reader, writer = await discovery.accept_connection()
     await read_message(reader)
     if behaviour != "is silent":
-        writer.write(ENDLESS_HEAD)
+        writer.write(CHUNKED_RESPONSE_HEAD)
     if behaviour == "sends too much":
         writer.write(b"%x\r\n%b" % (MAX_BODY_BYTES + 1, bytes(MAX_BODY_BYTES + 1)))
         return
     for _ in range(4):
         if behaviour == "drips":
             writer.write(b"1\r\n \r\n")
-        loop.now += response_timeout_s / 4
+        loop.now_s += response_timeout_s / 4
         await asyncio.sleep(0)
 
 
@@ -333,14 +337,14 @@
     "cached_list", [endpoint_list_dict(member_dict("s-1", 9)), endpoint_list_dict(), None]
 )
 @pytest.mark.parametrize("behaviour", ["refuses", "never comes up", "is silent", "drips", "sends too much"])
-def test_a_new_process_is_ready_after_its_first_poll(
+def test_new_process_is_ready_after_first_failed_poll(
     behaviour: str, cached_list: dict[str, Any] | None
 ) -> None:
     """A process starts while discovery is broken. It must not wait for ever: once its first poll has failed,
     it serves by the cached list, where that names an endpoint."""
 
-    async def body(loop: ManualClockLoop) -> None:
-        loop.refuses = behaviour == "refuses"
+    async def run_scenario(loop: ManualClockLoop) -> None:
+        loop.refuses_connections = behaviour == "refuses"
         if behaviour == "never comes up":
             loop.may_connect.clear()
         async with (
@@ -348,27 +352,27 @@
             running_server(discovery=f"127.0.0.1:{discovery.port}", known=cached_list) as server,
         ):
             client = server.discovery
-            poll_ended = asyncio.Event()
+            poll_failed = asyncio.Event()
             on_poll_failed = client.on_poll_failed
 
-            def note_failure() -> None:
+            def record_poll_failure() -> None:
                 on_poll_failed()
-                poll_ended.set()
+                poll_failed.set()
 
-            client.on_poll_failed = note_failure
+            client.on_poll_failed = record_poll_failure
             assert not server.proxy.is_ready()
-            await loop.connecting.wait()
-            await misbehave(discovery, loop, behaviour, client.response_timeout_s)
-            await poll_ended.wait()
+            await loop.connect_requested.wait()
+            await simulate_faulty_discovery(discovery, loop, behaviour, client.response_timeout_s)
+            await poll_failed.wait()
             grace_us = server.proxy.settings.drain_grace_us
-            assert loop.now <= worst_notification_delays_us(grace_us)["start"] / 1e6 <= 10
-            loop.refuses = False
+            assert loop.now_s <= worst_case_notification_delays_us(grace_us)["start"] / 1e6 <= 10
+            loop.refuses_connections = False
             loop.may_connect.set()
             is_ready = bool(cached_list and cached_list["members"])
             assert server.proxy.is_ready() is is_ready
             assert (await server.fetch(HEALTH_REQUEST))[0].split()[1] == ("200" if is_ready else "503")
 
-    on_manual_clock(body)
+    run_on_manual_clock(run_scenario)
 
 
 @pytest.mark.parametrize(
@@ -376,17 +380,17 @@
     [b"[" * 100_000, b'{"revision": "\xff"}', b'{"revision": ' + b"9" * 5000 + b"}", b'{"revision": 1e400}'],
     ids=lambda body: repr(body[:24]),
 )
-def test_a_malformed_list_gets_a_plain_line(body: bytes, caplog: pytest.LogCaptureFixture) -> None:
+def test_malformed_list_is_logged_as_one_short_line(body: bytes, caplog: pytest.LogCaptureFixture) -> None:
     """Discovery sends what cannot be parsed. The log gets one short line of it, and no traceback."""
 
-    async def play(loop: ManualClockLoop) -> None:
+    async def run_scenario(loop: ManualClockLoop) -> None:
         async with FakeServer() as discovery:
-            watch = WatchOnManualClock(loop, discovery, DRAIN_GRACES_US[-1])
-            _, writer = await watch.established()
+            harness = ManualClockHarness(loop, discovery, DRAIN_GRACES_US[-1])
+            _, writer = await harness.establish_watch()
             writer.write(make_response(200, body))
-            await watch.until_poll_failed()
-            watch.client.stop()
+            await harness.wait_for_poll_failure()
+            harness.client.stop()
 
-    on_manual_clock(play)
-    [line] = caplog.records
-    assert line.exc_info is None and "\n" not in line.getMessage() and len(line.getMessage()) < 300
+    run_on_manual_clock(run_scenario)
+    [record] = caplog.records
+    assert record.exc_info is None and "\n" not in record.getMessage() and len(record.getMessage()) < 300
--- a/tests/proxy/test_endpoint_addresses.py
+++ b/tests/proxy/test_endpoint_addresses.py
@@ -5,33 +5,42 @@
 from yardlane.proxy.endpoint_addresses import addresses_after
 from yardlane.proxy.endpoint_decoder import Addresses
 
-OLD: Addresses = {b"s-1": ("10.0.0.1", 1), b"s-2": ("10.0.0.2", 2)}
+OLD_ADDRESSES: Addresses = {b"s-1": ("10.0.0.1", 1), b"s-2": ("10.0.0.2", 2)}
 
 
-def update(kind: UpdateKind, **states: EndpointState) -> EndpointListUpdate:
+def make_update(kind: UpdateKind, **states: EndpointState) -> EndpointListUpdate:
     endpoints = tuple(
         make_endpoint(0, state, endpoint_id=f"s-{key[1:]}".encode()) for key, state in states.items()
     )
     return EndpointListUpdate(kind, 2, endpoints)
 
 
-def test_a_snapshot_replaces_all_addresses() -> None:
-    new: Addresses = {b"s-3": ("10.0.0.3", 3)}
-    assert addresses_after(OLD, update(UpdateKind.SNAPSHOT, s3=EndpointState.READY), new) == new
+def test_snapshot_replaces_all_addresses() -> None:
+    new_addresses: Addresses = {b"s-3": ("10.0.0.3", 3)}
+    assert (
+        addresses_after(
+            OLD_ADDRESSES, make_update(UpdateKind.SNAPSHOT, s3=EndpointState.READY), new_addresses
+        )
+        == new_addresses
+    )
 
 
-def test_a_delta_changes_only_what_it_names() -> None:
-    new: Addresses = {b"s-2": ("10.0.0.9", 9)}
-    changed = addresses_after(OLD, update(UpdateKind.DELTA, s2=EndpointState.READY), new)
-    assert changed == {b"s-1": ("10.0.0.1", 1), b"s-2": ("10.0.0.9", 9)}
-    assert addresses_after(OLD, update(UpdateKind.DELTA, s2=EndpointState.REMOVED), {}) == {
+def test_delta_changes_only_the_listed_endpoints() -> None:
+    new_addresses: Addresses = {b"s-2": ("10.0.0.9", 9)}
+    updated_addresses = addresses_after(
+        OLD_ADDRESSES, make_update(UpdateKind.DELTA, s2=EndpointState.READY), new_addresses
+    )
+    assert updated_addresses == {b"s-1": ("10.0.0.1", 1), b"s-2": ("10.0.0.9", 9)}
+    assert addresses_after(OLD_ADDRESSES, make_update(UpdateKind.DELTA, s2=EndpointState.REMOVED), {}) == {
         b"s-1": ("10.0.0.1", 1)
     }
 
 
-def test_an_endpoint_without_a_readable_address_keeps_the_old_one() -> None:
+def test_endpoint_without_readable_address_keeps_its_old_one() -> None:
     """Discovery sends an address that cannot be read: the endpoint drains, and what is in flight goes on."""
     for kind in (UpdateKind.SNAPSHOT, UpdateKind.DELTA):
-        changed = addresses_after(OLD, update(kind, s1=EndpointState.DRAINING), {})
-        assert changed[b"s-1"] == ("10.0.0.1", 1)
-    assert b"s-3" not in addresses_after(OLD, update(UpdateKind.DELTA, s3=EndpointState.DRAINING), {})
+        updated_addresses = addresses_after(OLD_ADDRESSES, make_update(kind, s1=EndpointState.DRAINING), {})
+        assert updated_addresses[b"s-1"] == ("10.0.0.1", 1)
+    assert b"s-3" not in addresses_after(
+        OLD_ADDRESSES, make_update(UpdateKind.DELTA, s3=EndpointState.DRAINING), {}
+    )
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -8,15 +8,15 @@
 from tests.loopback import endpoint_list_dict, make_config, member_dict
 from yardlane.decisions.events import EndpointState
 from yardlane.errors import MalformedEndpointList
-from yardlane.proxy.endpoint_decoder import MAX_NAMES, EndpointDecoder, parse_json
+from yardlane.proxy.endpoint_decoder import MAX_INDEXED_NAMES, EndpointDecoder, parse_json
 
 
 def make_decoder() -> EndpointDecoder:
-    made = make_config()
-    return EndpointDecoder(made.zones, made.hardware_kinds)
+    config = make_config()
+    return EndpointDecoder(config.zones, config.hardware_kinds)
 
 
-def test_names_that_are_ever_new_do_not_fill_the_memory() -> None:
+def test_number_of_indexed_names_is_limited() -> None:
     """Each list names a zone and a hardware kind that no list had before. Were each of them given an index
     of its own, the tables would grow for as long as the process runs; so the late ones share one."""
     decoder = make_decoder()
@@ -25,11 +25,14 @@
             endpoint_list_dict(member_dict("s-1", 9, locality=f"z{n}", flavor=f"k{n}"))
         ).update
         [endpoint] = update.endpoints
-        assert (endpoint.zone, endpoint.hardware_kind) == (min(2 + n, MAX_NAMES), min(1 + n, MAX_NAMES))
-    assert len(decoder.zone_indices) == len(decoder.hardware_kind_indices) == MAX_NAMES
+        assert (endpoint.zone, endpoint.hardware_kind) == (
+            min(2 + n, MAX_INDEXED_NAMES),
+            min(1 + n, MAX_INDEXED_NAMES),
+        )
+    assert len(decoder.zone_indices) == len(decoder.hardware_kind_indices) == MAX_INDEXED_NAMES
 
 
-MALFORMED: list[dict[str, Any]] = [
+MALFORMED_FIELDS: list[dict[str, Any]] = [
     {"size": float("nan")},
     {"size": float("inf")},
     {"size": 0},
@@ -56,32 +59,34 @@
 ]
 
 
-@pytest.mark.parametrize("malformed", MALFORMED, ids=lambda malformed: str(malformed)[:30])
-def test_an_endpoint_with_a_malformed_value_drains(
-    malformed: dict[str, Any], caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize(
+    "malformed_field", MALFORMED_FIELDS, ids=lambda malformed_field: str(malformed_field)[:30]
+)
+def test_endpoint_with_malformed_value_is_draining(
+    malformed_field: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
     """One value of an entry is malformed, in many entries. The list is not rejected: those endpoints drain,
     the others serve, and the log gets one short line. An endpoint that is removed stays removed."""
     decoder = make_decoder()
-    members = [member_dict("s-1", 9), *(member_dict(f"s-{n}", 9, **malformed) for n in range(2, 50))]
+    members = [member_dict("s-1", 9), *(member_dict(f"s-{n}", 9, **malformed_field) for n in range(2, 50))]
     decoded = decoder.decode(json.loads(json.dumps(endpoint_list_dict(*members))))
     endpoints = decoded.update.endpoints
-    assert [e.state for e in endpoints] == [EndpointState.READY] + 48 * [EndpointState.DRAINING]
-    assert not decoded.is_ambiguous and (b"s-2" in decoded.addresses) is ("host_port" not in malformed)
-    assert all(e.weight == 1.0 and e.started_at_us == 0 for e in endpoints)
-    [line] = caplog.records
-    assert len(line.getMessage()) < 300
-    removed = member_dict("s-1", 9, **{**malformed, "phase": "Gone"})
+    assert [endpoint.state for endpoint in endpoints] == [EndpointState.READY] + 48 * [EndpointState.DRAINING]
+    assert not decoded.is_ambiguous and (b"s-2" in decoded.addresses) is ("host_port" not in malformed_field)
+    assert all(endpoint.weight == 1.0 and endpoint.started_at_us == 0 for endpoint in endpoints)
+    [record] = caplog.records
+    assert len(record.getMessage()) < 300
+    removed = member_dict("s-1", 9, **{**malformed_field, "phase": "Gone"})
     update = decoder.decode({"revision": 2, "members": [removed]}).update
-    assert [e.state for e in update.endpoints] == [EndpointState.REMOVED]
+    assert [endpoint.state for endpoint in update.endpoints] == [EndpointState.REMOVED]
 
 
 @pytest.mark.parametrize("endpoint_id", [None, "", 5, ["s-1"], "\ud800"])
-def test_an_entry_without_an_id_makes_the_list_ambiguous(endpoint_id: object) -> None:
+def test_entry_without_id_makes_list_ambiguous(endpoint_id: object) -> None:
     """An entry names no endpoint that we could know: nobody can tell which one it was about."""
-    nameless = {**member_dict("s-2", 9), "id": endpoint_id}
-    decoded = make_decoder().decode(endpoint_list_dict(member_dict("s-1", 9), nameless))
-    assert [e.endpoint_id for e in decoded.update.endpoints] == [b"s-1"]
+    entry_without_id = {**member_dict("s-2", 9), "id": endpoint_id}
+    decoded = make_decoder().decode(endpoint_list_dict(member_dict("s-1", 9), entry_without_id))
+    assert [endpoint.endpoint_id for endpoint in decoded.update.endpoints] == [b"s-1"]
     assert decoded.is_ambiguous
 
 
@@ -94,14 +99,14 @@
         (("Ready", "Gone"), EndpointState.REMOVED),
     ],
 )
-def test_of_two_entries_for_one_endpoint_the_less_ready_counts(
+def test_less_ready_of_two_entries_for_one_endpoint_is_used(
     phases: tuple[str, str], state: EndpointState
 ) -> None:
     """A list contradicts itself. Sending to an endpoint that drains does harm, leaving out one that is ready
     does little: so the less ready entry counts, whichever comes first."""
     members = [member_dict("s-1", 9, phase=phase) for phase in phases]
     decoded = make_decoder().decode({"revision": 2, "members": members})
-    assert [e.state for e in decoded.update.endpoints] == [state]
+    assert [endpoint.state for endpoint in decoded.update.endpoints] == [state]
     assert bool(decoded.addresses) is (state is not EndpointState.REMOVED)
     assert decoded.is_ambiguous
 
@@ -122,7 +127,7 @@
     ],
     ids=lambda body: repr(body[:24]),
 )
-def test_what_is_no_list_raises_the_typed_error(body: bytes) -> None:
+def test_invalid_list_raises_malformed_endpoint_list(body: bytes) -> None:
     """Discovery sends what is no list at all. Any other exception would be logged as a fault of ours, with a
     traceback, and an empty list in its place would remove every endpoint."""
     with pytest.raises(MalformedEndpointList):
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -52,7 +52,7 @@
         writer.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-1", 9), revision=41))))
         await read_message(reader)
         for _ in range(3):  # several in a row
-            server.discovery.move(("127.0.0.1", new.port))
+            server.discovery.change_address(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch there is dropped
         assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the first moves only end
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -54,7 +54,7 @@
         self.connection: DiscoveryConnection | None = None
         self.task: asyncio.Task[None] | None = None
 
-    def load_cached(self) -> None:
+    def load_cached_list(self) -> None:
         """Pass on the list that the configuration brought; an empty one where that cannot be read.
 
         A configuration without a list (no `known`) is such a case as well, with the same line in the log:
@@ -79,7 +79,7 @@
             self.connection.close()
             self.connection = None
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Poll another discovery, which counts its own versions; the list stands until it answers."""
         self.stop()
         self.address = address
@@ -92,14 +92,14 @@
             try:
                 await self._poll()
             except Exception as error:  # whatever it is: without the watch, all later changes would be missed
-                self._poll_failed(error)
+                self._handle_poll_failure(error)
                 await asyncio.sleep(backoff_s)
                 backoff_s = min(self.max_backoff_s, 2 * backoff_s)
             else:
                 backoff_s = INITIAL_BACKOFF_S
                 self.watch_timeout_ms = WATCH_TIMEOUT_MS
 
-    def _poll_failed(self, error: Exception) -> None:
+    def _handle_poll_failure(self, error: Exception) -> None:
         is_network_error = isinstance(error, OSError | DiscoveryUnreachable)
         if is_network_error or isinstance(error, DiscoveryError):
             log.warning("discovery: %.200s", error)
@@ -117,16 +117,16 @@
         """Fetch or watch the list once, and pass on what came."""
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        connection = await self._usable_connection()
+        connection = await self._ensure_connection()
         base_version = self.version
         body = await self._request(connection, base_version)
         decoded = self.decoder.decode(parse_json(body))
-        is_new = self._take_over(decoded, base_version)
+        may_poll_at_once = self._apply_list(decoded, base_version)
         # A discovery that answers every watch at once, with nothing new, must not take the processor.
-        if not is_new and loop.time() < started_at_s + INITIAL_BACKOFF_S:
+        if not may_poll_at_once and loop.time() < started_at_s + INITIAL_BACKOFF_S:
             await asyncio.sleep(INITIAL_BACKOFF_S)
 
-    async def _usable_connection(self) -> DiscoveryConnection:
+    async def _ensure_connection(self) -> DiscoveryConnection:
         if self.connection is not None and self.connection.is_usable():
             return self.connection
         connection = DiscoveryConnection(self.address)
@@ -156,7 +156,7 @@
         except TimeoutError:
             raise DiscoveryUnreachable("timed out while waiting for a response") from None
 
-    def _take_over(self, decoded: DecodedList, base_version: int) -> bool:
+    def _apply_list(self, decoded: DecodedList, base_version: int) -> bool:
         """Take over a response and pass on its update; whether the next poll may follow at once.
 
         It may not where the response brought nothing new or is ambiguous.
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -44,11 +44,11 @@
     EndpointState.READY: 2,
 }
 # Labels of printable ASCII, none empty or over 63 characters: any other makes `create_connection` raise.
-HOST = re.compile(r"[!-\-/-~]{1,63}(\.[!-\-/-~]{1,63})*")
+HOST_PATTERN = re.compile(r"[!-\-/-~]{1,63}(\.[!-\-/-~]{1,63})*")
 # Up to here every whole number has an exact double, so JSON's numbers are what was meant.
 MAX_EXACT_INTEGER = 2**53
 # Of zones, and of hardware kinds. Names that are ever new would otherwise fill the memory in a day.
-MAX_NAMES = 64
+MAX_INDEXED_NAMES = 64
 MAX_LOGGED_VALUE_CHARS = 60
 
 T = TypeVar("T")
@@ -74,34 +74,34 @@
         self.zone_indices = {name: index for index, name in enumerate(zones)}
         self.hardware_kind_indices = {name: index for index, name in enumerate(hardware_kinds)}
 
-    def decode(self, message: object, kind: UpdateKind | None = None) -> DecodedList:
+    def decode(self, document: object, kind: UpdateKind | None = None) -> DecodedList:
         """The update in a parsed message; `kind` overrides what the message says of itself.
 
         MalformedEndpointList where it is no list at all.
         """
-        if not isinstance(message, dict) or not isinstance(message.get("members"), list):
+        if not isinstance(document, dict) or not isinstance(document.get("members"), list):
             raise MalformedEndpointList("no list of members")
         if kind is None:
-            kind = UpdateKind.SNAPSHOT if message.get("complete") is True else UpdateKind.DELTA
-        version = _decode_version(message.get("revision"))
-        entries = _Entries(self.zone_indices, self.hardware_kind_indices)
-        for member in message["members"]:
-            entries.add(member)
-        if entries.problems:  # one line: there may be many
+            kind = UpdateKind.SNAPSHOT if document.get("complete") is True else UpdateKind.DELTA
+        version = _decode_version(document.get("revision"))
+        builder = _ListBuilder(self.zone_indices, self.hardware_kind_indices)
+        for entry in document["members"]:
+            builder.add(entry)
+        if builder.problems:  # one line: there may be many
             log.warning(
                 "endpoint list %d: %d malformed values, first: %.200s",
                 version,
-                len(entries.problems),
-                entries.problems[0],
+                len(builder.problems),
+                builder.problems[0],
             )
-        endpoints = list(entries.endpoints.values())
+        endpoints = list(builder.endpoints.values())
         if kind is not UpdateKind.DELTA:
-            endpoints = [one for one in endpoints if one.state is not EndpointState.REMOVED]
+            endpoints = [endpoint for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED]
         update = EndpointListUpdate(kind, version, tuple(endpoints))
-        return DecodedList(update, entries.addresses, entries.is_ambiguous)
+        return DecodedList(update, builder.addresses, builder.is_ambiguous)
 
 
-class _Entries:
+class _ListBuilder:
     """What has been decoded of one list so far, and what was malformed in it."""
 
     def __init__(self, zone_indices: dict[str, int], hardware_kind_indices: dict[str, int]) -> None:
@@ -112,20 +112,20 @@
         self.is_ambiguous = False
         self.problems: list[str] = []
 
-    def add(self, member: object) -> None:
+    def add(self, entry: object) -> None:
         """Decode one member. Of two different entries for one endpoint, the less ready counts."""
-        if not isinstance(member, dict):
-            self._report_ambiguous("no id")
+        if not isinstance(entry, dict):
+            self._record_ambiguity("no id")
             return
         try:
-            endpoint_id = _decode_id(member.get("id"))
+            endpoint_id = _decode_id(entry.get("id"))
         except MalformedEndpoint as error:
-            self._report_ambiguous(str(error))
+            self._record_ambiguity(str(error))
             return
-        endpoint, address = self._decode_endpoint(endpoint_id, member)
+        endpoint, address = self._decode_endpoint(endpoint_id, entry)
         earlier = self.endpoints.get(endpoint_id)
         if earlier is not None and earlier != endpoint:
-            self._report_ambiguous(f"two entries for {_shown(member['id'])}")
+            self._record_ambiguity(f"two entries for {_format_value(entry['id'])}")
             if READINESS[earlier.state] < READINESS[endpoint.state]:
                 return
         self.endpoints[endpoint_id] = endpoint
@@ -134,31 +134,31 @@
         elif address is not None:
             self.addresses[endpoint_id] = address
 
-    def _report_ambiguous(self, problem: str) -> None:
+    def _record_ambiguity(self, problem: str) -> None:
         self.is_ambiguous = True
         self.problems.append(problem)
 
-    def _decode_endpoint(self, endpoint_id: bytes, member: dict[str, Any]) -> tuple[Endpoint, Address | None]:
+    def _decode_endpoint(self, endpoint_id: bytes, entry: dict[str, Any]) -> tuple[Endpoint, Address | None]:
         problems_before = len(self.problems)
-        state = self._field(member, "phase", _decode_state, EndpointState.DRAINING)
+        state = self._decode_field(entry, "phase", _decode_state, EndpointState.DRAINING)
         is_removed = state is EndpointState.REMOVED
-        address = None if is_removed else self._field(member, "host_port", _decode_address, None)
-        started_at_ms = self._field(member, "up_since_ms", _decode_integer, 0)
-        weight = self._field(member, "size", _decode_weight, 1.0)
-        zone = self._field(member, "locality", self._decode_zone, 0)
-        cell = self._field(member, "cell", _decode_integer, 0)
-        hardware_kind = self._field(member, "flavor", self._decode_hardware_kind, 0)
+        address = None if is_removed else self._decode_field(entry, "host_port", _decode_address, None)
+        started_at_ms = self._decode_field(entry, "up_since_ms", _decode_integer, 0)
+        weight = self._decode_field(entry, "size", _decode_weight, 1.0)
+        zone = self._decode_field(entry, "locality", self._decode_zone, 0)
+        cell = self._decode_field(entry, "cell", _decode_integer, 0)
+        hardware_kind = self._decode_field(entry, "flavor", self._decode_hardware_kind, 0)
         if len(self.problems) > problems_before and not is_removed:
             state = EndpointState.DRAINING
         started_at_us = max(0, started_at_ms) * US_PER_MS
         return Endpoint(endpoint_id, state, started_at_us, weight, zone, cell, hardware_kind), address
 
-    def _field(self, member: dict[str, Any], name: str, decode: Callable[[object], T], default: T) -> T:
-        value = member.get(name)
+    def _decode_field(self, entry: dict[str, Any], name: str, decode: Callable[[object], T], default: T) -> T:
+        value = entry.get(name)
         try:
             return decode(value)
         except MalformedEndpoint as error:
-            self.problems.append(f"{name} is {_shown(value)}: {error}")
+            self.problems.append(f"{name} is {_format_value(value)}: {error}")
             return default
 
     def _decode_zone(self, name: object) -> int:
@@ -178,7 +178,7 @@
         raise MalformedEndpointList("JSON is nested too deep") from None
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     """A value for the log, cut short; only the type of a list or object, whose text may be endless."""
     if not isinstance(value, str | int | float):
         return type(value).__name__
@@ -187,7 +187,7 @@
 
 def _decode_version(revision: object) -> int:
     if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
-        raise MalformedEndpointList(f"revision is {_shown(revision)}")
+        raise MalformedEndpointList(f"revision is {_format_value(revision)}")
     return revision
 
 
@@ -211,7 +211,7 @@
         host, port = parse_address(text if isinstance(text, str) else "", "host_port")
     except ConfigError as error:
         raise MalformedEndpoint(str(error)) from None
-    if not HOST.fullmatch(host):
+    if not HOST_PATTERN.fullmatch(host):
         raise MalformedEndpoint("not a host name")
     return host, port
 
@@ -238,12 +238,12 @@
 
 
 def _index_of(indices: dict[str, int], name: object) -> int:
-    """The index of a name. Once there are `MAX_NAMES`, all new ones share the next."""
+    """The index of a name. Once there are `MAX_INDEXED_NAMES`, all new ones share the next."""
     if name is not None and not isinstance(name, str | int | float):
         raise MalformedEndpoint("wanted a name")
     index = indices.get(str(name))
     if index is None:
         index = len(indices)
-        if index < MAX_NAMES:
+        if index < MAX_INDEXED_NAMES:
             indices[str(name)] = index
     return index
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -64,7 +64,7 @@
 
         Raises OSError if the configured address cannot be listened on.
         """
-        self.discovery.load_cached()
+        self.discovery.load_cached_list()
         self.clients.listen()
         self.discovery.start()
 
@@ -95,7 +95,7 @@
             *config.discovery,
             *(config.counter or ("none", 0)),
         )
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         self.proxy.move_counter(config.counter)
 
     def shut_down(self) -> None:
