--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -216,7 +216,7 @@
         self.writers: list[asyncio.StreamWriter] = []
         self.open_request_count = 0  # each request ends exactly once: fewer ends leave it above 0, more below
         handle_request = self.proxy.handle_request
-        end = self.proxy._end
+        end = self.proxy._end_request
 
         def count_request(client_request: ClientRequest, parsed: ParsedRequest) -> None:
             self.open_request_count += 1
@@ -227,7 +227,7 @@
             self.open_request_count -= 1
 
         self.proxy.handle_request = count_request  # type: ignore[method-assign]
-        self.proxy._end = count_end  # type: ignore[method-assign]
+        self.proxy._end_request = count_end  # type: ignore[method-assign]
 
     async def connect_client(self) -> Streams:
         """A new client's connection."""
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -126,7 +126,7 @@
 async def test_a_client_that_leaves_while_its_request_is_queued(leave: Leave) -> None:
     """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
     async with running_server_with_backend(settings=ONE_AT_A_TIME) as (server, backend):
-        gateway = cast(Gateway, server.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decision_loop.decider)
         first, to_first = await server.connect_client()
         to_first.write(make_request(trace="first"))
         reader, writer = await backend.accept_connection()
@@ -165,7 +165,7 @@
             known=endpoint_list_dict(member_dict("s-1", one.port), member_dict("s-2", two.port))
         ) as server,
     ):
-        gateway = cast(Gateway, server.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decision_loop.decider)
         _, to_proxy = await server.connect_client()
         to_proxy.write(make_request())
         arrivals = [asyncio.ensure_future(backend.accept_connection()) for backend in (one, two)]
@@ -269,7 +269,7 @@
         while server.proxy.requests and len(begun) < 2:
             await asyncio.sleep(0)
         assert [attempt.request_id for attempt in begun] == [1]
-        gateway = cast(Gateway, server.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decision_loop.decider)
         while gateway.requests or gateway.concurrency.in_flight:
             await asyncio.sleep(0)
 
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -10,8 +10,8 @@
 from yardlane.proxy.clock import Clock
 from yardlane.proxy.decision_loop import DecisionLoop
 
-UNSUPPORTED = SetTimer(0)
-NO_REQUEST = 0  # ids begin at 1
+UNUSABLE_ACTION = SetTimer(0)
+UNUSED_REQUEST_ID = 0  # ids begin at 1
 
 
 class RecordingHandler:
@@ -19,27 +19,27 @@
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
-        self.failed: list[int] = []
-        self.forgotten: list[int] = []
+        self.failed_request_ids: list[int] = []
+        self.forgotten_request_ids: list[int] = []
 
     def apply(self, action: Action) -> None:
-        if action == UNSUPPORTED:
+        if action == UNUSABLE_ACTION:
             raise RuntimeError("an action that cannot be carried out")
         self.actions.append(action)
 
     def fail_request(self, request_id: int) -> None:
-        self.failed.append(request_id)
+        self.failed_request_ids.append(request_id)
 
     def forget_request(self, request_id: int) -> None:
-        self.forgotten.append(request_id)
+        self.forgotten_request_ids.append(request_id)
 
 
-def loop_round(decider: Decider) -> tuple[DecisionLoop, RecordingHandler]:
+def make_decision_loop(decider: Decider) -> tuple[DecisionLoop, RecordingHandler]:
     handler = RecordingHandler()
     return DecisionLoop(decider, handler, Clock(), asyncio.get_running_loop()), handler
 
 
-def reject_but_raise_on(request_id: int) -> Callable[[Event], list[Action]]:
+def reject_or_raise_on(request_id: int) -> Callable[[Event], list[Action]]:
     """Rejects each request that ends, but for one, on which it raises."""
 
     def reply(event: Event) -> list[Action]:
@@ -53,7 +53,7 @@
 
 
 @uvloop_test
-async def test_all_events_of_a_turn_are_handled_together() -> None:
+async def test_all_events_of_a_turn_are_handled_in_one_call() -> None:
     """Events come faster than turns. One call of the decisions for each would cost their fixed work for each;
     and a retry could go to an endpoint of which the same turn already says that it drains."""
     batches: list[list[Event]] = []
@@ -65,51 +65,55 @@
         return handle(now, events)
 
     script.handle = record  # type: ignore[method-assign]
-    decisions, _ = loop_round(script)
-    decisions.post(RequestEnded(1))
-    decisions.post(RequestEnded(2))
+    decision_loop, _ = make_decision_loop(script)
+    decision_loop.post(RequestEnded(1))
+    decision_loop.post(RequestEnded(2))
     await asyncio.sleep(0)
-    decisions.post(RequestEnded(3))
+    decision_loop.post(RequestEnded(3))
     await asyncio.sleep(0)
     assert batches == [[RequestEnded(1), RequestEnded(2)], [RequestEnded(3)]]
 
 
 @uvloop_test
-async def test_a_failed_decision_keeps_what_was_decided_before_and_hands_on_the_rest() -> None:
+async def test_exception_in_decider_keeps_earlier_actions_and_reposts_later_events() -> None:
     """The decisions raise on the second of three events. The first one's action is carried out, the second
     one's request fails, the third event comes in the next turn, and no timer that was due is lost."""
-    script = ScriptedDecider(reject_but_raise_on(2))
-    decisions, handler = loop_round(script)
+    script = ScriptedDecider(reject_or_raise_on(2))
+    decision_loop, handler = make_decision_loop(script)
     for request_id in (1, 2, 3):
-        decisions.forget_after_turn(request_id)
-        decisions.post(RequestEnded(request_id))
+        decision_loop.forget_after_turn(request_id)
+        decision_loop.post(RequestEnded(request_id))
     await asyncio.sleep(0)
-    assert (handler.actions, handler.failed, handler.forgotten) == ([Reject(1)], [2], [])
+    assert (handler.actions, handler.failed_request_ids, handler.forgotten_request_ids) == (
+        [Reject(1)],
+        [2],
+        [],
+    )
     await asyncio.sleep(0)
-    assert (handler.actions, handler.forgotten) == ([Reject(1), Reject(3)], [1, 2, 3])
+    assert (handler.actions, handler.forgotten_request_ids) == ([Reject(1), Reject(3)], [1, 2, 3])
     assert await script.wait_for(TimerFired) == [TimerFired(0)]
 
 
 @uvloop_test
-async def test_an_action_that_fails_stops_no_other() -> None:
+async def test_failing_action_does_not_stop_later_actions() -> None:
     """Carrying out one action raises. The actions behind it belong to other requests, which would get no
     answer if they were dropped with it."""
 
-    def reject_behind_unsupported(event: Event) -> list[Action]:
-        return [UNSUPPORTED, Reject(1)]
+    def reject_after_unusable_action(event: Event) -> list[Action]:
+        return [UNUSABLE_ACTION, Reject(1)]
 
-    decisions, handler = loop_round(ScriptedDecider(reject_behind_unsupported))
-    decisions.forget_after_turn(1)
-    decisions.post(RequestEnded(1))
+    decision_loop, handler = make_decision_loop(ScriptedDecider(reject_after_unusable_action))
+    decision_loop.forget_after_turn(1)
+    decision_loop.post(RequestEnded(1))
     await asyncio.sleep(0)
-    assert (handler.actions, handler.forgotten) == ([Reject(1)], [1])
+    assert (handler.actions, handler.forgotten_request_ids) == ([Reject(1)], [1])
 
 
-class RaisingOutsideEvents(ScriptedDecider):
+class DeciderRaisingOutsideEvents(ScriptedDecider):
     """Raises in its first call, before the first event or after the last one."""
 
     def __init__(self, *, is_after_events: bool) -> None:
-        super().__init__(reject_but_raise_on(NO_REQUEST))
+        super().__init__(reject_or_raise_on(UNUSED_REQUEST_ID))
         self.is_after_events = is_after_events
         self.has_raised = False
 
@@ -123,28 +127,28 @@
 
 
 @uvloop_test
-async def test_a_fault_behind_the_last_event_fails_that_events_request() -> None:
+async def test_exception_after_the_last_event_fails_the_request_of_that_event() -> None:
     """A timer raises once both events are handled. Nothing tells it apart from the last event, whose request
     fails; what was decided stands, and no event is handled twice."""
-    script = RaisingOutsideEvents(is_after_events=True)
-    decisions, handler = loop_round(script)
-    decisions.post(RequestEnded(1))
-    decisions.post(RequestEnded(2))
+    script = DeciderRaisingOutsideEvents(is_after_events=True)
+    decision_loop, handler = make_decision_loop(script)
+    decision_loop.post(RequestEnded(1))
+    decision_loop.post(RequestEnded(2))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [2])
+    assert (handler.actions, handler.failed_request_ids) == ([Reject(1), Reject(2)], [2])
     assert script.received_events == [RequestEnded(1), RequestEnded(2)]
 
 
 @uvloop_test
-async def test_a_fault_before_the_first_event_fails_no_request() -> None:
+async def test_exception_before_the_first_event_fails_no_request() -> None:
     """The decisions raise before they read an event. Whose fault it was is unknown, so no request pays for
     it: all events come again in the next turn."""
-    script = RaisingOutsideEvents(is_after_events=False)
-    decisions, handler = loop_round(script)
-    decisions.post(RequestEnded(1))
-    decisions.post(RequestEnded(2))
+    script = DeciderRaisingOutsideEvents(is_after_events=False)
+    decision_loop, handler = make_decision_loop(script)
+    decision_loop.post(RequestEnded(1))
+    decision_loop.post(RequestEnded(2))
     await asyncio.sleep(0)
-    assert (script.received_events, handler.failed) == ([], [])
+    assert (script.received_events, handler.failed_request_ids) == ([], [])
     await asyncio.sleep(0)
-    assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [])
+    assert (handler.actions, handler.failed_request_ids) == ([Reject(1), Reject(2)], [])
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -17,7 +17,7 @@
 
 
 @uvloop_test
-async def test_a_request_is_forwarded_unchanged_and_its_response_returned() -> None:
+async def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
     """The usual way there and back. A header or byte changed on it would break the client's call or its
     idempotency key, and a deadline passed on whole would let the backend work for nobody."""
     async with running_server_with_backend() as (server, backend):
@@ -34,7 +34,7 @@
 
 
 @uvloop_test
-async def test_the_health_check_fails_until_there_is_an_endpoint_list() -> None:
+async def test_health_check_fails_until_there_is_an_endpoint_list() -> None:
     """The process starts and discovery has not answered yet. A health check that passed already would bring
     clients whose requests have no endpoint to go to."""
     async with FakeServer() as discovery, running_server(discovery=f"127.0.0.1:{discovery.port}") as server:
@@ -47,7 +47,7 @@
 
 
 @uvloop_test
-async def test_a_client_that_leaves_releases_its_request() -> None:
+async def test_client_disconnect_ends_its_request() -> None:
     """The client resets while its attempt is out: the request ends, and the late response goes nowhere."""
     async with running_server_with_backend() as (server, backend):
         _, to_proxy = await server.connect_client()
@@ -61,7 +61,7 @@
 
 
 @uvloop_test
-async def test_an_upstream_connection_is_reused() -> None:
+async def test_upstream_connection_is_reused() -> None:
     """The parser says only within its own call whether the peer keeps the connection."""
     async with running_server_with_backend() as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 0.0
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -75,7 +75,7 @@
         while not server.clients.has_pending_work():
             await asyncio.sleep(0)
         server.shut_down()
-        server.proxy._end_all()
+        server.proxy._end_all_requests()
         await until_it_listens_no_more(server)
         to_proxy.write(make_request()[40:])
         await backend.accept_connection()
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -26,7 +26,7 @@
 from yardlane.decisions.events import CounterResult, EndpointListUpdate, Outcome
 
 
-def configuration(discovery: FakeServer, counter: FakeServer, **changes: Any) -> dict[str, Any]:
+def configuration_dict(discovery: FakeServer, counter: FakeServer, **changes: Any) -> dict[str, Any]:
     return {
         "listen": "127.0.0.1:9",
         "discovery": f"127.0.0.1:{discovery.port}",
@@ -38,7 +38,7 @@
 
 
 @uvloop_test
-async def test_a_new_discovery_is_asked_for_its_whole_list_and_the_old_one_is_dropped() -> None:
+async def test_full_list_is_fetched_when_the_discovery_address_changes() -> None:
     """Discovery moves while a watch is open. Each discovery counts its own versions, so the version that we
     have says nothing at the new one: the whole list is fetched there, and ours stands until it comes."""
     script = ScriptedDecider(leave_pending)
@@ -56,12 +56,14 @@
         assert await reader.read() == b""  # the watch there is dropped
         assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the first moves only end
-            to_new, agent = await new.accept_connection()
+            to_new, new_writer = await new.accept_connection()
             if line := await to_new.readline():
                 break
         assert line == b"GET /catalog/members HTTP/1.1\r\n"
         await to_new.readuntil(b"\r\n\r\n")
-        agent.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-2", 9), revision=3))))
+        new_writer.write(
+            make_response(200, encode_json(endpoint_list_dict(member_dict("s-2", 9), revision=3)))
+        )
         assert "index=3&" in (await read_message(to_new))[0]
         assert [e.endpoint_id for e in (await script.wait_for(EndpointListUpdate, 3))[-1].endpoints] == [
             b"s-2"
@@ -69,7 +71,7 @@
 
 
 @uvloop_test
-async def test_each_counter_call_ends_once_where_it_was_written() -> None:
+async def test_written_counter_call_ends_at_the_old_address() -> None:
     """The counter moves while a call is written and not answered. Written again at the new address it would
     be added twice; so its answer is awaited at the old one, and only later calls go to the new."""
     script = ScriptedDecider(leave_pending)
@@ -80,7 +82,7 @@
     ):
         add(server)
         reader, writer = await first_call(old)
-        server.proxy.move_counter(("127.0.0.1", new.port))
+        server.proxy.set_counter_address(("127.0.0.1", new.port))
         add(server, amount=2.0)
         to_new, counter = await new.accept_connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
@@ -92,7 +94,7 @@
 
 
 @uvloop_test
-async def test_a_counter_call_that_is_not_written_goes_to_the_new_counter() -> None:
+async def test_unwritten_counter_call_goes_to_the_new_address() -> None:
     """The counter moves before the connection to it has come up. The call that waits for it was written
     nowhere, so it may go to the new address."""
     script = ScriptedDecider(leave_pending)
@@ -102,7 +104,7 @@
         running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
         add(server)
-        server.proxy.move_counter(("127.0.0.1", new.port))
+        server.proxy.set_counter_address(("127.0.0.1", new.port))
         reader, writer = await new.accept_connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -110,7 +112,7 @@
 
 
 @uvloop_test
-async def test_a_silent_old_counter_does_not_keep_its_connection() -> None:
+async def test_connection_to_a_silent_old_counter_is_closed() -> None:
     """The counter moves, and the old one never answers the call that is written there. After a while the
     connection is closed all the same, and the call ends as one that may have been added."""
     script = ScriptedDecider(leave_pending)
@@ -121,12 +123,12 @@
     ):
         add(server)
         reader, _ = await first_call(old)
-        server.proxy.move_counter(("127.0.0.1", new.port))
+        server.proxy.set_counter_address(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
-def test_sighup_reads_the_file_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sighup_reloads_the_configuration_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """First a file that is no JSON: the old configuration is kept. Then one with another discovery: it is
     used. At last SIGHUP comes during the graceful shutdown, which goes on to its end."""
     path = tmp_path / "config.json"
@@ -135,14 +137,14 @@
         async with FakeServer() as old, FakeServer() as new, FakeServer() as counter:
             monkeypatch.setitem(os.environ, "EDGE_DISCOVERY", f"127.0.0.1:{old.port}")
             listen = f"127.0.0.1:{await free_port()}"
-            process = await start_process(path, configuration(old, counter, listen=listen))
+            process = await start_process(path, configuration_dict(old, counter, listen=listen))
             assert process.stderr is not None
             await old.accept_connection()  # it has started
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             while b"keeping the old configuration" not in await process.stderr.readline():
                 pass
-            path.write_text(json.dumps(configuration(new, counter, listen=listen)))
+            path.write_text(json.dumps(configuration_dict(new, counter, listen=listen)))
             process.send_signal(signal.SIGHUP)
             reader, _ = await new.accept_connection()  # the file goes before the variable now
             assert await reader.readline() == b"GET /catalog/members HTTP/1.1\r\n"
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -18,17 +18,17 @@
 from yardlane.decisions.actions import Action, Reject
 from yardlane.decisions.events import Event, RequestArrived
 
-GET = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
+GET_HEAD = b"GET /api HTTP/1.1\r\nHost: svc\r\n"
 
 
-def post(length: str, body: bytes = b"") -> bytes:
+def make_post(length: str, body: bytes = b"") -> bytes:
     return make_request("file", Content_Length=length) + body
 
 
 @pytest.mark.parametrize(
     ("request_bytes", "status"),
     [
-        (GET + b"\r\n", 400),
+        (GET_HEAD + b"\r\n", 400),
         (make_request(X_Qos="unheard-of"), 400),
         (make_request(Plan="unheard-of"), 400),
         (make_request(X_Trace_Id=None), 400),
@@ -51,9 +51,9 @@
         (make_request().replace(b"Host: svc\r\n", b""), 400),
         (make_request().replace(b"Plan: basic\r\n", b"Plan: basic\r\nPlan: metered\r\n"), 400),
         (make_request(Content_Length="3") + b"abc", 400),
-        (post("70000", b"x" * 70_000), 413),
-        (post("-1"), 400),
-        (post("4x", b"1234"), 400),
+        (make_post("70000", b"x" * 70_000), 413),
+        (make_post("-1"), 400),
+        (make_post("4x", b"1234"), 400),
         (make_request("file", Content_Length=None, Transfer_Encoding="chunked") + b"zz\r\n", 400),
         (make_request("file", Content_Length="4", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
         (
@@ -64,8 +64,8 @@
             400,
         ),
         *(
-            (make_request("file", Content_Length=None, Transfer_Encoding=odd) + b"0\r\n\r\n", 400)
-            for odd in (
+            (make_request("file", Content_Length=None, Transfer_Encoding=coding) + b"0\r\n\r\n", 400)
+            for coding in (
                 "gzip, chunked",
                 "chunked, identity",
                 "identity",
@@ -76,8 +76,8 @@
             )
         ),
         *(
-            (make_request("file", Content_Length=odd) + b"aa", 400)
-            for odd in (
+            (make_request("file", Content_Length=length) + b"aa", 400)
+            for length in (
                 "+2",
                 "-2",
                 "0x2",
@@ -88,18 +88,18 @@
                 "2\r\nContent-Length: 3",
             )
         ),
-        (post("12345678901", b""), 413),
-        (post("9" * 30, b""), 400),
+        (make_post("12345678901", b""), 413),
+        (make_post("9" * 30, b""), 400),
         (make_request(Plan="metered", Quota_Info="units=201,spread=1,first=0"), 400),
         (make_request(Quota_Info="units=999999999,spread=1,first=0"), 400),
         (make_request(Quota_Info="units=2,spread=1,first=0," + "x" * 200), 400),
         (b"hello\r\n\r\n", 400),
-        (GET + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
+        (GET_HEAD + b"X-Long: " + b"x" * 20_000 + b"\r\n\r\n", 431),
         (b"GET /" + b"x" * 20_000 + b" HTTP/1.1\r\nHost: svc\r\n\r\n", 431),
-        (GET + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
+        (GET_HEAD + b"A: 1\r\n B\x00: 2\r\n\r\n", 400),
     ],
 )
-def test_malformed_requests_never_reach_the_decisions(request_bytes: bytes, status: int) -> None:
+def test_invalid_request_never_reaches_the_decider(request_bytes: bytes, status: int) -> None:
     """A client sends what the protocol does not allow, or what two readers could read in two ways."""
 
     @uvloop_test
@@ -114,7 +114,7 @@
 
 
 @uvloop_test
-async def test_a_complete_chunked_body_is_accepted() -> None:
+async def test_complete_chunked_body_is_accepted() -> None:
     """A client sends its body in chunks, with no length ahead. That is legal: the request reaches the
     decisions, which reject it here, and it must not be taken for malformed framing."""
     async with running_server(ScriptedDecider(reject_all)) as server:
@@ -138,7 +138,7 @@
 
 
 @uvloop_test
-async def test_the_time_left_is_bounded_by_the_deadline_of_the_class() -> None:
+async def test_time_left_is_limited_by_the_deadline_of_the_class() -> None:
     """A client claims to wait for far longer than its class allows. The class's deadline holds, so that no
     request is kept queued for a time that was never promised."""
     script = ScriptedDecider(leave_pending)
@@ -150,7 +150,7 @@
 
 
 @uvloop_test
-async def test_the_trace_id_of_a_pending_request_is_rejected() -> None:
+async def test_trace_id_of_a_pending_request_is_rejected() -> None:
     """Two clients use one trace id: with both pending, the answers could not be told apart."""
     script = ScriptedDecider(attempt_at_each(b"s-1"))
     async with running_server_with_backend(script) as (server, backend):
@@ -167,13 +167,13 @@
 
 
 @uvloop_test
-async def test_a_connection_survives_a_well_framed_malformed_request() -> None:
+async def test_connection_survives_a_well_framed_invalid_request() -> None:
     """The client names an unknown plan, but where its next request begins is certain."""
 
-    def reject_for_a_quarter_second(event: Event) -> list[Action]:
+    def reject_with_retry_after(event: Event) -> list[Action]:
         return [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
 
-    async with running_server(ScriptedDecider(reject_for_a_quarter_second)) as server:
+    async with running_server(ScriptedDecider(reject_with_retry_after)) as server:
         reader, writer = await server.connect_client()
         writer.write(make_request(Plan="unheard-of") + make_request())
         assert await read_status(reader) == "400"
--- a/tests/proxy/test_upstream_connection.py
+++ b/tests/proxy/test_upstream_connection.py
@@ -120,7 +120,7 @@
 @uvloop_test
 async def test_attempt_ends_at_the_clients_deadline() -> None:
     """The backend does not respond and the decisions do nothing. The attempt times out at the client's
-    deadline, and the deadline guard sends the client its final answer."""
+    deadline, and the watchdog timer sends the client its final answer."""
     script = ScriptedDecider(attempt_at_each(b"s-1"))
     async with running_server_with_backend(script) as (server, backend):
         client, to_proxy = await server.connect_client()
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -33,20 +33,20 @@
 
 
 class EventBatch(list[Event]):
-    """The events of one turn; `handled` counts those that the decisions have begun to handle."""
+    """The events of one turn; `started_count` counts those that the decisions have begun to handle."""
 
-    handled = 0
+    started_count = 0
 
     def __iter__(self) -> Iterator[Event]:
         for index in range(len(self)):
-            self.handled = index + 1
+            self.started_count = index + 1
             yield self[index]
 
-    def last_begun(self) -> Event | None:
+    def last_started(self) -> Event | None:
         """The event whose handling began last; None where the decisions raised before the first one."""
-        if not self.handled:
+        if not self.started_count:
             return None
-        return self[self.handled - 1]
+        return self[self.started_count - 1]
 
 
 class ActionHandler(Protocol):
@@ -73,7 +73,7 @@
         self.clock = clock
         self.loop = loop
         self.events = EventBatch()
-        self.ended_requests: list[int] = []
+        self.ended_request_ids: list[int] = []
         self.is_scheduled = False
 
     def post(self, event: Event) -> None:
@@ -83,7 +83,7 @@
             self.is_scheduled = True
             self.loop.call_soon(self._run_turn)
 
-    def request_turn(self) -> None:
+    def schedule_turn(self) -> None:
         """Let the decisions look at what is due, though nothing has happened."""
         self.post(TimerFired(ANY_TOKEN))
 
@@ -93,38 +93,38 @@
         No sooner: an attempt that they start in the same turn, before they read of the end, is owed an
         `AttemptEnded` as well.
         """
-        self.ended_requests.append(request_id)
+        self.ended_request_ids.append(request_id)
 
     def _run_turn(self) -> None:
         events = self.events
-        ended_requests = self.ended_requests
+        ended_request_ids = self.ended_request_ids
         self.events = EventBatch()
-        self.ended_requests = []
+        self.ended_request_ids = []
         self.is_scheduled = False
         try:
             actions = self.decider.handle(self.clock.now_us(), events)
         except Exception:
-            event = events.last_begun()
+            event = events.last_started()
             log.exception("a decision failed on %s", "no event" if event is None else type(event).__name__)
             actions = self._recover(events)
             # The decisions may not have read of these ends; they do so in the next turn.
-            self.ended_requests = ended_requests + self.ended_requests
-            ended_requests = []
+            self.ended_request_ids = ended_request_ids + self.ended_request_ids
+            ended_request_ids = []
         for action in actions:
             try:
                 self.handler.apply(action)
             except Exception:  # one action's failure must not stop the others
                 log.exception("%r failed", action)
-        for request_id in ended_requests:
+        for request_id in ended_request_ids:
             self.handler.forget_request(request_id)
 
     def _recover(self, events: EventBatch) -> list[Action]:
         """Fail the request of the event begun last, post the events behind it; the actions until then."""
-        request_id = getattr(events.last_begun(), "request_id", None)
+        request_id = getattr(events.last_started(), "request_id", None)
         if request_id is not None:
             self.handler.fail_request(request_id)
-        for event in events[events.handled :]:
+        for event in events[events.started_count :]:
             self.post(event)
         # Work that was due in this turn may be undone, and no timer is left to ask for it.
-        call_after(self.loop, RECOVERY_DELAY_US, self.request_turn)
+        call_after(self.loop, RECOVERY_DELAY_US, self.schedule_turn)
         return list(self.decider.actions)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -1,8 +1,8 @@
 """Serves the clients' requests: notifies the decisions, and carries out what they decide.
 
-A request ends in one place, `Proxy._end`: by a response, by `Reject` or `Fail`, by its client's leaving, or,
-where the decisions let its time pass, by its deadline guard. It is forgotten once all its attempts have
-ended and the decisions have been notified of that.
+A request ends in one place, `Proxy._end_request`: by a response, by `Reject` or `Fail`, by its client's
+leaving, or, where the decisions let its time pass, by its watchdog timer. It is forgotten once all its
+attempts have ended and the decisions have been notified of that.
 """
 
 from __future__ import annotations
@@ -67,8 +67,8 @@
         self.pool = pool
         self.loop = loop
         self.clock = Clock()
-        self.decisions = DecisionLoop(decider, self, self.clock, loop)
-        self.post = self.decisions.post
+        self.decision_loop = DecisionLoop(decider, self, self.clock, loop)
+        self.post = self.decision_loop.post
         self.counter: CounterClient | None = None
         if config.counter is not None:
             self.counter = CounterClient(config.counter, self.settings.counter_timeout_us, self.post, loop)
@@ -100,8 +100,10 @@
         client_request.request_id = request_id
         request = RequestInFlight(client_request, parsed, now_us + time_left_us)
         self.requests[request_id] = request
-        guard_delay_us = time_left_us + self.settings.answer_grace_us
-        request.deadline_guard = call_after(self.loop, guard_delay_us, self._on_overdue, request_id)
+        watchdog_delay_us = time_left_us + self.settings.answer_grace_us
+        request.watchdog_timer = call_after(
+            self.loop, watchdog_delay_us, self._on_watchdog_expired, request_id
+        )
         self.post(
             RequestArrived(
                 request_id,
@@ -119,11 +121,11 @@
 
     def on_client_disconnected(self, client_request: ClientRequest) -> None:
         """The client has left; attempts that may have run go on and still count as in flight."""
-        self._end_by_proxy(client_request.request_id)
+        self._end_without_decision(client_request.request_id)
 
     def abandon_request(self, client_request: ClientRequest) -> None:
         """The connection ends and cannot wait for the answer; attempts go on as above."""
-        self._end_by_proxy(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
+        self._end_without_decision(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
     def is_ready(self) -> bool:
         """Whether there is an endpoint list; a cached one counts once a poll of discovery has failed."""
@@ -150,7 +152,7 @@
         """No list came of a poll: the cached one must do, though it may name what has long gone."""
         self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
 
-    def move_counter(self, address: Address | None) -> None:
+    def set_counter_address(self, address: Address | None) -> None:
         """The counter has another address; None changes nothing."""
         if self.counter is not None and address is not None:
             self.counter.move(address)
@@ -158,51 +160,51 @@
     def drain(self, deadline_us: int) -> None:
         """Answer by then all requests in flight, and all that still come."""
         self.drain_deadline_us = deadline_us
-        call_after(self.loop, deadline_us - self.clock.now_us(), self._end_all)
+        call_after(self.loop, deadline_us - self.clock.now_us(), self._end_all_requests)
 
-    def _end_all(self) -> None:
+    def _end_all_requests(self) -> None:
         for request_id in list(self.requests):
-            self._end_by_proxy(request_id, Status.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
+            self._end_without_decision(request_id, Status.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
 
     # The end of a request
 
-    def _end(self, request: RequestInFlight) -> None:
+    def _end_request(self, request: RequestInFlight) -> None:
         """The one place where a request ends. Attempts that may have run go on; the others are not sent."""
         request.has_ended = True
-        if request.deadline_guard is not None:
-            request.deadline_guard.cancel()
+        if request.watchdog_timer is not None:
+            request.watchdog_timer.cancel()
         for attempt in request.attempts:
             if not attempt.may_have_run():
                 attempt.finish(Outcome.NOT_SENT)
 
-    def _end_by_proxy(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
+    def _end_without_decision(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
         """End a request without a decision, and notify the decisions. Without a status it gets no answer."""
         request = self.requests.get(request_id)
         if request is None or request.has_ended:
             return
         if status:
             request.client_request.reply(status, body)
-        self._end(request)
+        self._end_request(request)
         if not request.attempts_in_flight:
-            self.decisions.forget_after_turn(request_id)
+            self.decision_loop.forget_after_turn(request_id)
         self.post(RequestEnded(request_id))
 
     def _end_by_decision(self, request_id: int, request: RequestInFlight) -> None:
         """End a request by a decision, of which the decisions need no notice."""
-        self._end(request)
+        self._end_request(request)
         if not request.attempts_in_flight:
             self.forget_request(request_id)
 
-    def _on_overdue(self, request_id: int) -> None:
+    def _on_watchdog_expired(self, request_id: int) -> None:
         """A request's time and its grace are over. The decisions may still answer first.
 
         Where the process stood still, their own timer is due only now, and a rejection of theirs tells the
-        client more than a failure. So they get a turn, and the guard answers behind it.
+        client more than a failure. So they get a turn, and the watchdog answers behind it.
         """
-        self.decisions.request_turn()
-        self.loop.call_soon(self._on_unanswered, request_id)
+        self.decision_loop.schedule_turn()
+        self.loop.call_soon(self._fail_if_unanswered, request_id)
 
-    def _on_unanswered(self, request_id: int) -> None:
+    def _fail_if_unanswered(self, request_id: int) -> None:
         """The decisions have let the request's time pass; its client is still owed an answer."""
         request = self.requests.get(request_id)
         if request is not None and not request.has_ended:
@@ -222,7 +224,7 @@
 
     def fail_request(self, request_id: int) -> None:
         """Give the request its final answer where the decisions do not."""
-        self._end_by_proxy(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
+        self._end_without_decision(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
 
     def forget_request(self, request_id: int) -> None:
         """The decisions refer to the request no more."""
@@ -265,21 +267,21 @@
         # A connection may come up long after the attempt's start: its client must still be there.
         attempt.on_connected = request.client_request.connection.close_if_client_left
         if action.send_within_us:
-            self._bound_send_time(attempt, action.send_within_us)
+            self._set_send_deadline(attempt, action.send_within_us)
         self.pool.send(attempt)
 
-    def _bound_send_time(self, attempt: Attempt, send_within_us: int) -> None:
+    def _set_send_deadline(self, attempt: Attempt, send_within_us: int) -> None:
         """The last byte must not be sent later: an upstream forgets an idempotency key after a time."""
         send_by_us = attempt.started_at_us + send_within_us
         attempt.on_connected = partial(self._on_connected, attempt, send_by_us, attempt.on_connected)
         attempt.send_deadline_timer = call_after(self.loop, send_within_us, attempt.on_send_deadline)
 
-    def _on_connected(self, attempt: Attempt, send_by_us: int, then: Callable[[], object]) -> None:
+    def _on_connected(self, attempt: Attempt, send_by_us: int, next_callback: Callable[[], object]) -> None:
         """The clock is asked too: where the process stood still, the timer is over and has not fired yet."""
         if self.clock.now_us() > send_by_us:
             attempt.on_send_deadline()
         else:
-            then()
+            next_callback()
 
     def _on_attempt_finished(
         self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
@@ -291,9 +293,9 @@
             content_type = response.content_type
             header_line = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
             request.client_request.reply(Status.OK, response.body, header_line)
-            self._end(request)
+            self._end_request(request)
         if request.has_ended and not request.attempts_in_flight:
-            self.decisions.forget_after_turn(attempt.request_id)
+            self.decision_loop.forget_after_turn(attempt.request_id)
         self.post(
             AttemptEnded(
                 attempt.request_id,
@@ -344,12 +346,14 @@
         self.counter.add(action)
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._fire_at(self.clock.now_us() + action.delay_us, TimerFired(action.token))
+        self._post_when_due(self.clock.now_us() + action.delay_us, TimerFired(action.token))
 
-    def _fire_at(self, due_us: int, event: TimerFired) -> None:
-        """The loop's timers may fire up to a millisecond early; the decisions would then find nothing due."""
+    def _post_when_due(self, due_us: int, event: TimerFired) -> None:
+        """The loop's timers may fire up to a millisecond early; the decisions would then
+        find nothing due.
+        """
         left_us = due_us - self.clock.now_us()
         if left_us > 0:
-            call_after(self.loop, left_us, self._fire_at, due_us, event)
+            call_after(self.loop, left_us, self._post_when_due, due_us, event)
         else:
             self.post(event)
--- a/yardlane/proxy/request_in_flight.py
+++ b/yardlane/proxy/request_in_flight.py
@@ -19,10 +19,10 @@
         "attempts",
         "attempts_in_flight",
         "client_request",
-        "deadline_guard",
         "deadline_us",
         "has_ended",
         "parsed",
+        "watchdog_timer",
     )
 
     def __init__(self, client_request: ClientRequest, parsed: ParsedRequest, deadline_us: int) -> None:
@@ -32,7 +32,7 @@
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.has_ended = False
-        self.deadline_guard: asyncio.TimerHandle | None = None
+        self.watchdog_timer: asyncio.TimerHandle | None = None
 
     def encode(self, time_left_us: int) -> bytes:
         """The request as an upstream gets it, with the time that is left for it."""
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -35,7 +35,7 @@
 QUOTA_INFO_HEADER = b"quota-info"
 RETRY_HEADER = b"x-second-try"
 HOST_HEADER = b"host"
-SINGLE_HEADERS = frozenset(
+SINGLETON_HEADERS = frozenset(
     (
         TRACE_ID_HEADER,
         REQUEST_CLASS_HEADER,
@@ -49,7 +49,7 @@
     )
 )
 # Headers that are about one connection, or that the proxy writes anew.
-NOT_FORWARDED = frozenset(
+NON_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -82,7 +82,7 @@
     """Collects the parts of one request at a time."""
 
     __slots__ = (
-        "_has_framing",
+        "_has_framing_header",
         "_http",
         "_is_in_trailer",
         "_receiver",
@@ -109,7 +109,7 @@
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.head_bytes = 0
-        self._has_framing = False
+        self._has_framing_header = False
         self._is_in_trailer = False
 
     def close(self) -> None:
@@ -133,7 +133,7 @@
         except httptools.HttpParserUpgrade:
             return False
         except httptools.HttpParserError as error:
-            raise _as_unreadable(error) from error
+            raise _to_client_error(error) from error
         return True
 
     def http_version(self) -> str:
@@ -152,7 +152,7 @@
         self.body_parts = []
         self.body_bytes = 0
         self.head_bytes = 0
-        self._has_framing = False
+        self._has_framing_header = False
         self._is_in_trailer = False
         if self._receiver is not None:
             self._receiver.on_request_begin()
@@ -172,7 +172,7 @@
         if self._is_in_trailer:
             return
         key = name.lower()
-        if key in SINGLE_HEADERS:
+        if key in SINGLETON_HEADERS:
             if key in self.headers:
                 raise FatalRequestError(Status.BAD_REQUEST, f"header {key.decode()} more than once")
             self.headers[key] = value
@@ -180,7 +180,7 @@
             self._check_framing(key, value)
         elif key == EXPECT:
             self.headers[key] = value
-        if key not in NOT_FORWARDED:
+        if key not in NON_FORWARDED_HEADERS:
             self.header_parts += (name, b": ", value, b"\r\n")
 
     def _check_framing(self, key: bytes, value: bytes) -> None:
@@ -189,10 +189,10 @@
         Where a body's length can be read in two ways, a backend may take a part of the body for a further
         request (request smuggling).
         """
-        is_unknown_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
-        if self._has_framing or is_unknown_coding:
+        is_unsupported_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
+        if self._has_framing_header or is_unsupported_coding:
             raise FatalRequestError(Status.BAD_REQUEST, "odd framing")
-        self._has_framing = True
+        self._has_framing_header = True
         if value.isdigit() and int(value) > MAX_BODY_BYTES:
             raise _body_too_long()
 
@@ -221,7 +221,7 @@
         self._receiver.on_request()
 
 
-def _as_unreadable(error: httptools.HttpParserError) -> ClientProtocolError:
+def _to_client_error(error: httptools.HttpParserError) -> ClientProtocolError:
     """What a callback raised, which httptools keeps as the context of its own error."""
     cause = error.__context__
     if isinstance(cause, ClientProtocolError):
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -46,11 +46,11 @@
 TENANT_LIMIT = 2**33  # of the protocol, though 16 hex digits could hold more
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
-TENANT = re.compile(rb"[0-9a-fA-F]{16}")
-DURATION = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
-TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
-WHOLE_NUMBER = re.compile(rb"[0-9]{1,9}")
-NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+DURATION_PATTERN = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
+TOKEN_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
 @dataclass(slots=True)  # frozen, each field would cost a call more when it is made
@@ -84,18 +84,18 @@
 
 
 class ClassRule(NamedTuple):
-    """What a request of one class must look like. `position` is the class's index in the settings."""
+    """What a request of one class must look like. `settings_index` is the class's index in the settings."""
 
-    position: int
+    settings_index: int
     method: bytes
     needs_idempotency_key: bool
     deadline_us: int
 
 
 class PlanRule(NamedTuple):
-    """What a request under one plan may ask for. `position` is the plan's index in the settings."""
+    """What a request under one plan may ask for. `settings_index` is the plan's index in the settings."""
 
-    position: int
+    settings_index: int
     max_units: float
 
 
@@ -126,7 +126,7 @@
 def _class_rule(index: int, request_class: RequestClass) -> ClassRule:
     is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     return ClassRule(
-        position=index,
+        settings_index=index,
         method=b"GET" if is_idempotent else b"POST",
         needs_idempotency_key=request_class.idempotency is Idempotency.KEYED,
         deadline_us=request_class.deadline_us,
@@ -144,33 +144,33 @@
 
 
 def parse_request(
-    message: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
+    parser: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
 ) -> ParsedRequest:
-    """The request that `message` holds; raises `InvalidRequest`."""
-    headers = message.headers
+    """The request that `parser` holds; raises `InvalidRequest`."""
+    headers = parser.headers
     class_rule = _read_class(headers, rules)
     plan_rule = _read_plan(headers, rules)
-    _check_host_and_method(message, class_rule)
+    _check_host_and_method(parser, class_rule)
     trace_id = _read_trace_id(headers, open_trace_ids)
     if class_rule.needs_idempotency_key:
         _check_idempotency_key(headers)
     tenant = _read_tenant(headers)
     time_left_us = _read_time_left_us(headers, class_rule.deadline_us)
-    quota = _read_quota_info(headers, rules, plan_rule)
+    quota_info = _read_quota_info(headers, rules, plan_rule)
     method = class_rule.method
     return ParsedRequest(
         trace_id,
         tenant,
-        plan_rule.position,
-        class_rule.position,
+        plan_rule.settings_index,
+        class_rule.settings_index,
         time_left_us,
-        quota.units,
-        quota.first_gateway,
-        quota.gateway_count,
+        quota_info.units,
+        quota_info.first_gateway,
+        quota_info.gateway_count,
         headers.get(RETRY_HEADER) == b"1",
         method != b"GET",
-        b"".join((method, b" ", message.url, b" HTTP/1.1\r\n", *message.header_parts)),
-        b"".join(message.body_parts),
+        b"".join((method, b" ", parser.url, b" HTTP/1.1\r\n", *parser.header_parts)),
+        b"".join(parser.body_parts),
     )
 
 
@@ -192,23 +192,23 @@
     return rule
 
 
-def _check_host_and_method(message: RequestParser, rule: ClassRule) -> None:
-    if HOST_HEADER not in message.headers and message.http_version() == "1.1":
+def _check_host_and_method(parser: RequestParser, rule: ClassRule) -> None:
+    if HOST_HEADER not in parser.headers and parser.http_version() == "1.1":
         raise _bad_request("no Host")
-    if message.method != rule.method:
+    if parser.method != rule.method:
         raise InvalidRequest(
             Status.METHOD_NOT_ALLOWED,
             f"the class wants {rule.method.decode()}",
             b"Allow: " + rule.method + b"\r\n",
         )
-    if rule.method == b"GET" and message.body_bytes:
+    if rule.method == b"GET" and parser.body_bytes:
         raise _bad_request("GET with a body")
 
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
     """Backends name a request by its trace id: two open ones of the same id could not be told apart."""
     trace_id = headers.get(TRACE_ID_HEADER, b"")
-    if not TOKEN.fullmatch(trace_id):
+    if not TOKEN_PATTERN.fullmatch(trace_id):
         raise _bad_request("bad X-Trace-Id")
     if trace_id in open_trace_ids:
         raise InvalidRequest(Status.CONFLICT, "X-Trace-Id of an open request")
@@ -216,13 +216,13 @@
 
 
 def _check_idempotency_key(headers: Mapping[bytes, bytes]) -> None:
-    if not TOKEN.fullmatch(headers.get(IDEMPOTENCY_KEY_HEADER, b"")):
+    if not TOKEN_PATTERN.fullmatch(headers.get(IDEMPOTENCY_KEY_HEADER, b"")):
         raise _bad_request("bad Idempotency-Key")
 
 
 def _read_tenant(headers: Mapping[bytes, bytes]) -> int:
     text = headers.get(TENANT_HEADER, b"")
-    if not TENANT.fullmatch(text):
+    if not TENANT_PATTERN.fullmatch(text):
         raise _bad_request("bad Account")
     tenant = int(text, TENANT_BASE)
     if tenant >= TENANT_LIMIT:
@@ -235,7 +235,7 @@
 
     `TRANSIT_MARGIN_US` is taken off for the way of the response.
     """
-    duration = DURATION.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
+    duration = DURATION_PATTERN.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
         raise _bad_request("bad X-Expires-In")
     expires_in_us = float(duration[1]) * US_PER_EXPIRES_IN_UNIT[duration[2]]
@@ -248,12 +248,12 @@
     text = headers.get(QUOTA_INFO_HEADER, b"")
     if len(text) > MAX_QUOTA_INFO_BYTES:
         raise _bad_request("bad Quota-Info")
-    quota = decode_quota_info(text, rules.gateway_count)
-    if quota is None:
+    quota_info = decode_quota_info(text, rules.gateway_count)
+    if quota_info is None:
         raise _bad_request("bad Quota-Info")
-    if quota.units > plan.max_units:
+    if quota_info.units > plan.max_units:
         raise _bad_request("more units than the plan can pass")
-    return quota
+    return quota_info
 
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
@@ -267,14 +267,14 @@
     spread_text = fields.get(b"spread", b"")
     first_text = fields.get(b"first", b"")
     if not (
-        NUMBER.fullmatch(units_text)
-        and WHOLE_NUMBER.fullmatch(spread_text)
-        and WHOLE_NUMBER.fullmatch(first_text)
+        DECIMAL_PATTERN.fullmatch(units_text)
+        and INTEGER_PATTERN.fullmatch(spread_text)
+        and INTEGER_PATTERN.fullmatch(first_text)
     ):
         return None
-    quota = QuotaInfo(float(units_text), int(spread_text), int(first_text))
-    if quota.units <= 0 or quota.first_gateway >= gateway_count:
+    quota_info = QuotaInfo(float(units_text), int(spread_text), int(first_text))
+    if quota_info.units <= 0 or quota_info.first_gateway >= gateway_count:
         return None
-    if not 1 <= quota.gateway_count <= gateway_count:
+    if not 1 <= quota_info.gateway_count <= gateway_count:
         return None
-    return quota
+    return quota_info
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -87,7 +87,7 @@
             *(config.counter or ("none", 0)),
         )
         self.discovery.move(config.discovery)
-        self.proxy.move_counter(config.counter)
+        self.proxy.set_counter_address(config.counter)
 
     def shut_down(self) -> None:
         """Begin the graceful shutdown: answer what is open and what still arrives, then stop."""
