--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -64,8 +64,8 @@
             400,
         ),
         *(
-            (make_request("file", Content_Length=None, Transfer_Encoding=coding) + b"0\r\n\r\n", 400)
-            for coding in (
+            (make_request("file", Content_Length=None, Transfer_Encoding=header_value) + b"0\r\n\r\n", 400)
+            for header_value in (
                 "gzip, chunked",
                 "chunked, identity",
                 "identity",
@@ -76,8 +76,8 @@
             )
         ),
         *(
-            (make_request("file", Content_Length=length) + b"aa", 400)
-            for length in (
+            (make_request("file", Content_Length=header_value) + b"aa", 400)
+            for header_value in (
                 "+2",
                 "-2",
                 "0x2",
