--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -132,7 +132,7 @@
 async def test_disconnect_while_queued_frees_the_place_in_the_queue(disconnect: Disconnect) -> None:
     """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
     async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
-        gateway = cast(Gateway, server.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decision_loop.decider)
         first, to_first = await server.connect_client()
         to_first.write(make_request(trace="first"))
         reader, writer = await backend.accept_connection()
@@ -171,7 +171,7 @@
             known=endpoint_list_dict(member_dict("s-1", one.port), member_dict("s-2", two.port))
         ) as server,
     ):
-        gateway = cast(Gateway, server.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decision_loop.decider)
         _, to_proxy = await server.connect_client()
         to_proxy.write(make_request())
         arrivals = [asyncio.ensure_future(backend.accept_connection()) for backend in (one, two)]
@@ -275,7 +275,7 @@
         while server.proxy.requests and len(started_attempts) < 2:
             await asyncio.sleep(0)
         assert [attempt.request_id for attempt in started_attempts] == [1]
-        gateway = cast(Gateway, server.proxy.decisions.decider)
+        gateway = cast(Gateway, server.proxy.decision_loop.decider)
         while gateway.requests or gateway.concurrency.in_flight:
             await asyncio.sleep(0)
 
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -75,7 +75,7 @@
         while not server.clients.has_pending_work():
             await asyncio.sleep(0)
         server.shut_down()
-        server.proxy._end_all()
+        server.proxy._end_all_requests()
         await wait_until_listener_closed(server)
         to_proxy.write(make_request()[40:])
         await backend.accept_connection()
