--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: requests in, one response each out, in order.
+"""A connection of a client. It reads pipelined requests and writes one response to each, in order.
 
-`client_state` has the table of its states. The state changes in `ClientConnection._apply` alone, and
-`ClientConnection._update_reading` alone decides whether the socket is read.
+`client_state` defines the states of the connection. Only `ClientConnection._apply` changes the state, and
+only `ClientConnection._update_reading` pauses and resumes reading from the socket.
 """
 
 from __future__ import annotations
@@ -22,13 +22,18 @@
 
 log = logging.getLogger("yardlane.proxy.client_connection")
 
-MAX_PIPELINED = 4  # requests of one connection in flight; beyond them it is not read
-MAX_REJECTED_PIPELINED = 64  # further ones that came in the same read; beyond them the connection ends
-REQUEST_TIMEOUT_S = 1.5  # for all bytes of a request, and for the first byte on a connection
-LINGERING_CLOSE_TIMEOUT_S = 1.0  # for a client to read why its connection ends
+# A connection is not read while it has this number of pending requests.
+MAX_PIPELINED = 4
+# A single read may bring more requests than that. Up to this number of excess requests are rejected one by
+# one; with more, the connection is closed.
+MAX_REJECTED_PIPELINED = 64
+# The time to receive a whole request, and to receive the first byte on a new connection.
+REQUEST_TIMEOUT_S = 1.5
+# The time that a client has to read the last response and close its side of the connection.
+LINGERING_CLOSE_TIMEOUT_S = 1.0
 HEALTH_PATH = b"/_health"
 
-# A module's name is found faster than an enum's member, and these are asked for at each request.
+# Reading a module global is faster than reading an enum member, and each request checks these states.
 OPEN = ClientState.OPEN
 LAST_REQUEST = ClientState.LAST_REQUEST
 ERROR_PENDING = ClientState.ERROR_PENDING
@@ -37,7 +42,7 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """What a connection shares with the others of its server."""
+    """The part of the server's interface that a connection uses."""
 
     handler: RequestHandler
     rules: RequestRules
@@ -45,36 +50,37 @@
     is_draining: bool
 
     def now(self) -> float:
-        """Seconds of the event loop's clock."""
+        """Return the time of the event loop's clock in seconds."""
 
     def is_near_connection_limit(self) -> bool:
-        """Whether connections are so many that responses should end them."""
+        """Return whether connections must close after a response because too many are open."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """The connection has gone, and its place is free."""
+        """Called when the connection has been closed and no longer counts towards the limit."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Reads requests, keeps their responses in order, and ends what takes too long."""
+    """Reads requests from a client, writes the responses in order and enforces the timeouts."""
 
     def __init__(self, server: ClientConnectionOwner) -> None:
         self.server = server
         self.parser = RequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.probe: SocketProbe | None = None  # made at the first look
-        self.pending: deque[ClientRequest] = deque()  # in the order of their responses
+        self.probe: SocketProbe | None = None  # created by the first call of `is_client_disconnected`
+        self.pending: deque[ClientRequest] = deque()  # in the order of the requests, and so of the responses
         self.state = ClientState.ACCEPTED
         self.is_write_buffer_full = False
         self.has_sent_request = False
-        self.last_active_s = server.now()  # when the last response was given, or CLOSING began
+        self.last_active_s = server.now()  # when a request was last answered, or CLOSING began
         self.request_started_s = self.last_active_s
 
-    # The state
+    # State
 
     def _apply(self, event: ClientEvent) -> bool:
-        """Change the state by the table; True only if it changed.
+        """Change the state as `TRANSITIONS` defines it; return whether the state has changed.
 
-        False also for an event that leaves the state as it is, and for one that the state must never meet.
+        An event that the table does not allow in this state is a bug in this program: it is logged and
+        changes nothing.
         """
         old_state = self.state
         new_state = TRANSITIONS[old_state].get(event)
@@ -92,7 +98,7 @@
         return True
 
     def _release_pending(self) -> None:
-        """What is unanswered here can be answered no more."""
+        """Drop the pending requests, and notify the handler of those that can no longer be answered."""
         released = self.pending
         self.pending = deque()
         for request in released:
@@ -107,9 +113,11 @@
             self.transport.abort()
 
     def _update_reading(self) -> None:
-        """Read unless nothing more could be handled: too much is in flight, or responses are not read.
+        """Pause or resume reading from the socket.
 
-        A connection that ends is read on, as unread bytes would reset it.
+        Reading pauses while the maximum number of requests is pending or the client does not read its
+        responses. After an error and while closing, the connection is always read: closing a socket with
+        unread bytes resets the connection.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -119,37 +127,40 @@
         if should_read is transport.is_reading():
             return
         if should_read:
-            self.request_started_s = self.server.now()  # the client was not slow while it was not read
+            self.request_started_s = self.server.now()  # the pause does not count towards the timeout
             transport.resume_reading()
         else:
             transport.pause_reading()
 
-    # The listener's calls
+    # Called by the listener
 
     def protocol_factory(self) -> asyncio.Protocol:
-        """What the transport is to be made for."""
+        """Return the protocol that the transport is created for: the connection itself."""
         return self
 
     def on_connect_failed(self) -> None:
-        """The connection was lost before it had a transport."""
+        """Called when the client's connection was lost before its transport was created."""
         self.connection_lost(None)
 
-    # The transport's calls
+    # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The transport is up, unless the connection had to make room meanwhile."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        """Called when the transport has been created.
+
+        The transport is aborted if the connection has been closed in the meantime to accept another one.
+        """
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
         self.transport = transport
         if not self._apply(ClientEvent.CONNECTED):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The transport's last call."""
+        """Called when the transport has been closed, as its last call."""
         self.transport = None
         self._apply(ClientEvent.TRANSPORT_LOST)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of requests; dropped once no further request is handled."""
+        """Called when bytes have been received; discards them if no further request is accepted."""
         if self.state is not OPEN:
             return
         try:
@@ -161,39 +172,42 @@
             self._update_reading()
 
     def eof_received(self) -> bool:
-        """End the connection and its pending requests, as the client counts as gone.
+        """Called when the client has closed its side; closes the connection and ends its pending requests.
 
-        A half-close is legal in HTTP, but it looks the same as a client that has closed its socket, and the
-        requests of one that has left would take capacity from others.
+        HTTP allows a client to half-close a connection and still read the response. But the proxy cannot tell
+        this from a client that has disconnected, whose requests would take capacity from other clients.
         """
         self._on_client_disconnected()
         return False
 
     def pause_writing(self) -> None:
-        """The client does not read its responses."""
+        """Called when the write buffer is full because the client does not read its responses."""
         self.is_write_buffer_full = True
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """The client reads its responses again."""
+        """Called when the write buffer has room again."""
         self.is_write_buffer_full = False
         self._update_reading()
 
-    # The parser's calls
+    # Called by the parser
 
     def on_request_begin(self) -> None:
-        """The first byte of a request."""
+        """Called when the first byte of a request has been read."""
         self.request_started_s = self.server.now()
 
     def on_expect_continue(self) -> None:
-        """Ask for the body, unless that would come ahead of responses that are still pending."""
+        """Called when the client waits for 100 Continue before it sends the body; sends it.
+
+        It is not sent while other requests are pending, because it would precede their responses.
+        """
         if self.transport is not None and not self.pending:
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_request(self) -> None:
-        """Queue a whole request for its response, then answer it or hand it to the handler."""
+        """Called when a complete request has been read; answers it or passes it to the handler."""
         if self.state is not OPEN:
-            return  # pipelined behind the last request of this connection
+            return  # pipelined after the last request that this connection accepts
         self.has_sent_request = True
         if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
             raise FatalRequestError(Status.SERVICE_UNAVAILABLE, "too many requests at once")
@@ -201,7 +215,7 @@
         self.pending.append(request)
         if not self.parser.should_keep_alive:
             self._close_after(request)
-        if len(self.pending) > MAX_PIPELINED:  # one read may bring any number
+        if len(self.pending) > MAX_PIPELINED:  # one read may contain any number of requests
             request.reply(Status.SERVICE_UNAVAILABLE, b"too many requests at once\n")
         elif self.parser.url.partition(b"?")[0] == HEALTH_PATH:
             self._answer_health_check(request)
@@ -215,7 +229,10 @@
             request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
 
     def _dispatch_request(self, request: ClientRequest) -> None:
-        """Give the request to the handler, or answer what is wrong with it; the connection goes on."""
+        """Pass the request to the handler, or reply with an error if it is invalid.
+
+        The connection stays usable in both cases.
+        """
         try:
             parsed = parse_request(self.parser, self.server.rules, self.server.open_trace_ids)
             request.parsed = parsed
@@ -223,37 +240,42 @@
             self.server.handler.handle_request(request, parsed)
         except InvalidRequest as error:
             request.reply(error.status, error.text.encode() + b"\n", error.header_lines)
-        except Exception:  # a fault of ours in one request must not end the others of the connection
-            log.exception("a request could not be handled")
+        except Exception:  # a bug that affects one request must not end the other requests of the connection
+            log.exception("unexpected error while handling a client request; replying with 500 if unanswered")
             if not request.response:
                 request.reply(Status.INTERNAL_SERVER_ERROR, b"failed\n")
 
     # Responses
 
     def reply(self, request: ClientRequest, status: int, body: bytes, header_lines: bytes) -> None:
-        """Answer `request` in its turn. Only the first response counts, and none once the client has left.
+        """Answer `request`: write the response now, or once all earlier requests have been answered.
 
-        Its trace id is free from now on. What is ready is written, and the connection closed or read on.
+        A second response to the same request is discarded, and so is a response after the client has
+        disconnected. The request's trace id becomes free for reuse. If necessary, the connection is then
+        closed or read again.
         """
         transport = self.transport
         if request.response or transport is None or transport.is_closing():
             return
         server = self.server
         if (server.is_draining or server.is_near_connection_limit()) and request is self.pending[-1]:
-            self._close_after(request)  # ahead of others it would take their responses along
+            self._close_after(request)  # closing after an earlier request would lose later responses
         self._free_trace_id(request)
         request.response = encode_response(status, body, header_lines, request.closes_connection)
         if self._write_ready_responses(transport):
             self._begin_lingering_close()
             return
         self.last_active_s = server.now()
-        if server.is_draining and self.is_idle():  # the response was encoded before the draining began
+        if server.is_draining and self.is_idle():  # the response was encoded before draining began
             self.close_idle()
             return
         self._update_reading()
 
     def _write_ready_responses(self, transport: asyncio.Transport) -> bool:
-        """Write responses up to the first that is missing; whether the last of the connection is written."""
+        """Write the responses up to the first that is missing; return whether the last one has been written.
+
+        The last one is the response after which the connection closes.
+        """
         pending = self.pending
         while pending and pending[0].response:
             request = pending.popleft()
@@ -267,29 +289,33 @@
             self.server.open_trace_ids.discard(request.parsed.trace_id)
 
     def _close_after(self, request: ClientRequest) -> None:
-        """`request`, the newest, is the last: its response ends the connection."""
+        """Close the connection after the response to `request`, which must be the newest request."""
         if not request.closes_connection:
             request.closes_connection = True
             self._apply(ClientEvent.LAST_REQUEST_READ)
 
     def _close_after_pending(self) -> None:
-        """The client asked for another protocol: what follows is not HTTP."""
+        """Close the connection after all pending responses.
+
+        Called when the client asked to change to another protocol, so that further bytes may not be HTTP.
+        """
         if self.pending:
             self._close_after(self.pending[-1])
         else:
             self.close_idle()
 
     def _begin_lingering_close(self) -> None:
-        """The last response is written: close for sending only, and read on to the client's end.
+        """Half-close the connection after the last response, and read until the client closes its side.
 
-        Closed with bytes unread, the connection would be reset, and the reset may overtake the response.
+        Closing the socket with unread bytes would reset the connection, and the reset may reach the client
+        before it has read the response.
         """
         if self._apply(ClientEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
             self.transport.write_eof()
             self._update_reading()
 
     def _close_with_error(self, error: FatalRequestError) -> None:
-        """Answer the error behind the responses that are pending, then close."""
+        """Queue an error response after the pending responses, and close the connection after it."""
         if not self._apply(ClientEvent.FATAL_REQUEST_ERROR):
             return
         self.parser.abandon_message()
@@ -298,29 +324,35 @@
         self.pending.append(request)
         request.reply(error.status, error.text.encode() + b"\n", error.header_lines)
 
-    # Its end
+    # Closing
 
     def is_idle(self) -> bool:
-        """Whether no request is pending or being read."""
+        """Return whether no request is pending or being read."""
         return not (self.pending or self.parser.is_in_message)
 
     def has_pending_work(self) -> bool:
-        """Whether a request is unanswered or being read, or the last response is still to be sent."""
+        """Return whether a request is pending or being read, or the last response is not yet sent."""
         if self.state is CLOSING:
             return self.transport is not None and self.transport.get_write_buffer_size() > 0
         return not self.is_idle()
 
     def close_idle(self) -> None:
-        """Close between requests. What has come meanwhile is not read, and the client may send it again."""
+        """Close the connection while it is idle.
+
+        A request that has arrived in the meantime is not read, so the client can safely send it again.
+        """
         if self._apply(ClientEvent.IDLE_CLOSED) and self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """End at once, without what is still to be written."""
+        """Close the connection at once and discard unsent responses."""
         self._apply(ClientEvent.ABORTED)
 
     def is_client_disconnected(self) -> bool:
-        """Whether the client has closed its side or reset, also where the loop has not read so far."""
+        """Return whether the client has closed its side or reset the connection.
+
+        This asks the kernel, so it also detects a disconnect that the event loop has not reported yet.
+        """
         if self.transport is None or self.transport.is_closing():
             return True
         if self.probe is None:
@@ -329,10 +361,11 @@
         return bool(self.probe.pending_events())
 
     def close_if_client_disconnected(self) -> bool:
-        """End all that is pending if the client has left; whether it has. Due before an attempt begins.
+        """If the client has disconnected, close the connection and end its requests; return whether it has.
 
-        A connection that is not read tells of no close, and one that is read tells a turn late: an attempt
-        for a client that has left would take capacity from others.
+        Must be called before an attempt starts, because an attempt for a disconnected client would take
+        capacity from other clients. The event loop reports a disconnect only in its next iteration, and does
+        not report it at all while reading is paused.
         """
         is_disconnected = self.is_client_disconnected()
         if is_disconnected:
@@ -346,7 +379,10 @@
     # Timeouts
 
     def check_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
-        """End what takes too long, and what a client that is not read has left behind."""
+        """Close the connection if a timeout has expired.
+
+        While reading is paused, the event loop does not report a disconnect, so this checks for it too.
+        """
         if self.state is CLOSING:
             self._check_lingering_close(now_s)
             return
@@ -359,15 +395,18 @@
             self._check_idle_timeout(now_s, idle_timeout_s)
 
     def _check_lingering_close(self, now_s: float) -> None:
-        """A client that neither reads its last response nor closes must not keep the descriptor."""
+        """Abort the connection if the client does not close it in time after the last response.
+
+        Otherwise such a client would keep a file descriptor in use.
+        """
         if now_s - self.last_active_s > LINGERING_CLOSE_TIMEOUT_S:
             self.abort()
 
     def _check_request_timeout(self, now_s: float) -> None:
-        """Reject a request that came too slowly, and fail what still waits ahead of it.
+        """If the request timeout has expired, reply to the incomplete request and end the pending ones.
 
-        The time is for the whole request, so that one byte at a time buys no more of it. Behind a stream that
-        cannot be read on, it bounds how long its rejection waits for the responses ahead.
+        The timeout applies to the whole request, so a client cannot extend it by sending single bytes. In
+        ERROR_PENDING, it limits how long the error response waits for the responses before it.
         """
         if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
             return
--- a/yardlane/proxy/client_request.py
+++ b/yardlane/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request between its connection and the handler that answers it."""
+"""A request of a client, and the interfaces between the connection it arrived on and its handler."""
 
 from __future__ import annotations
 
@@ -8,43 +8,49 @@
 
 
 class RequestConnection(Protocol):
-    """What a handler may ask of the connection that a request came on."""
+    """The part of a client connection's interface that requests and their handler use."""
 
     def reply(self, request: ClientRequest, status: int, body: bytes, header_lines: bytes) -> None:
-        """Answer `request` in its turn."""
+        """Answer `request`: write the response now, or once all earlier requests have been answered."""
 
     def close_if_client_disconnected(self) -> bool:
-        """End all that is pending if the client has left; whether it has. Due before an attempt begins."""
+        """If the client has disconnected, close the connection and end its requests; return whether it has.
+
+        Must be called before an attempt starts.
+        """
 
 
 class ClientRequest:
-    """A client's request in its place among the responses of its connection."""
+    """A request of a client, with its response once it has been answered."""
 
     __slots__ = ("closes_connection", "connection", "parsed", "request_id", "response")
 
     def __init__(self, connection: RequestConnection) -> None:
         self.connection = connection
-        self.parsed: ParsedRequest | None = None  # stays so where it is not valid
-        self.request_id = -1  # given by the handler
-        self.response = b""
-        self.closes_connection = False
+        self.parsed: ParsedRequest | None = None  # None if the request is invalid
+        self.request_id = -1  # assigned by the handler
+        self.response = b""  # empty until the request is answered
+        self.closes_connection = False  # whether the connection closes after the response
 
     def reply(self, status: int, body: bytes, header_lines: bytes = b"") -> None:
-        """The final response; any further one is dropped. `header_lines` holds whole lines."""
+        """Send the final response; a second one is discarded.
+
+        `header_lines` holds complete header lines, each with its CRLF.
+        """
         self.connection.reply(self, status, body, header_lines)
 
 
 class RequestHandler(Protocol):
-    """What serves the requests of all connections."""
+    """Serves the requests of all client connections."""
 
     def handle_request(self, request: ClientRequest, parsed: ParsedRequest) -> None:
-        """Take charge of a valid request: `request.reply` is due, now or later."""
+        """Serve a valid request by calling `request.reply`, now or later."""
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """The client has left: `request` cannot be answered any more."""
+        """Called when `request` can no longer be answered, as its client has disconnected."""
 
     def abandon_request(self, request: ClientRequest) -> None:
-        """The connection ends with an error: answer `request` at once."""
+        """Answer `request` at once, because its connection is about to be closed after an error."""
 
     def is_ready(self) -> bool:
-        """Whether the health check passes."""
+        """Return whether the health check passes."""
--- a/yardlane/proxy/client_response.py
+++ b/yardlane/proxy/client_response.py
@@ -1,4 +1,4 @@
-"""How a response to a client is encoded."""
+"""Encodes the responses to clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Status(IntEnum):
-    """The statuses that clients are answered with."""
+    """The HTTP status codes of the proxy's responses to clients."""
 
     OK = 200
     BAD_REQUEST = 400
@@ -42,7 +42,7 @@
 
 
 def encode_response(status: int, body: bytes, header_lines: bytes, closes_connection: bool) -> bytes:
-    """The bytes of a final response. `header_lines` holds whole header lines, each with its line end."""
+    """Encode a final response. `header_lines` holds complete header lines, each with its CRLF."""
     reason = REASON_PHRASES.get(status, UNKNOWN_REASON_PHRASE)
     return b"".join(
         (
@@ -55,9 +55,10 @@
 
 
 def retry_after_line(delay_us: int) -> bytes:
-    """The header line that says when to send the request again; empty for a delay of 0.
+    """Return the Retry-After header line for a delay, or no bytes if the delay is not positive.
 
-    The delay is in seconds with three decimals, rounded up so that no client comes back too early.
+    The header gives the delay in seconds with three decimals. It is rounded up, so that clients do not retry
+    too early.
     """
     if delay_us <= 0:
         return b""
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -1,4 +1,4 @@
-"""All client connections of this process: accepting, making room, timeouts and draining."""
+"""Manages all client connections of the process: their number, their timeouts and their draining."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from yardlane.proxy.listener import Listener
 from yardlane.proxy.request_validation import RequestRules
 
-IDLE_TIMEOUT_S = 15.0  # between requests
-# From this share of the connections on, responses end their connections, and an idle one gets less time.
+# How long a connection may be idle between requests.
+IDLE_TIMEOUT_S = 15.0
+# Above this share of `max_connections`, connections close after a response, and the shorter timeout for idle
+# connections applies.
 NEAR_LIMIT_SHARE = 0.85
 NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
 REAP_INTERVAL_S = 0.2
 
 
 class ClientServer:
-    """Accepts up to `max_connections` clients and closes those that take too long."""
+    """Accepts up to `max_connections` client connections and closes them on timeout."""
 
     def __init__(
         self,
@@ -36,26 +38,29 @@
         self.loop = loop
         self.now = now or loop.time
         self.rules = RequestRules.from_config(config)
-        self.connections: dict[ClientConnection, None] = {}  # the oldest first
+        self.connections: dict[ClientConnection, None] = {}  # in the order of acceptance
         self.open_trace_ids: set[bytes] = set()
         self.is_draining = False
         self.reap_due_s = 0.0
         self.listener = Listener(self.make_connection, loop)
 
     def listen(self) -> None:
-        """Begin to accept; raises OSError where the address cannot be had."""
+        """Start accepting connections. Raises OSError if the configured address is not available."""
         self.listener.listen(self.config.listen)
         self.reap_due_s = self.now() + REAP_INTERVAL_S
         self.loop.call_later(REAP_INTERVAL_S, self._on_reap_timer)
 
     def port(self) -> int:
-        """The port that is listened on."""
+        """Return the port of the listening socket."""
         return self.listener.port()
 
     # Connections
 
     def make_connection(self) -> ClientConnection | None:
-        """A new connection, if there is room for it or another one makes room."""
+        """Create and register a connection for a new client; return None if the server is full.
+
+        If the limit is reached, a connection that serves no request is closed to make room.
+        """
         if len(self.connections) >= self.max_connections and not self._evict_connection():
             return None
         connection = ClientConnection(self)
@@ -63,18 +68,19 @@
         return connection
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """Its place is free."""
+        """Called when a connection has been closed; removes it from the registered connections."""
         self.connections.pop(connection, None)
 
     def is_near_connection_limit(self) -> bool:
-        """Whether connections are so many that responses should end them."""
+        """Return whether connections must close after a response because too many are open."""
         return len(self.connections) > NEAR_LIMIT_SHARE * self.max_connections
 
     def _evict_connection(self) -> bool:
-        """Abort one connection that serves nothing; whether there was one.
+        """Abort one connection that serves no request; return whether there was one.
 
-        First one that closes or has never sent a request, else the one that has been idle for longest. Busy
-        ones stay, and so do those idle for a short time, whose next request may be on its way.
+        The first choice is a connection that is closing or has never sent a request, the second the one that
+        has been idle for longest. Connections that became idle a short time ago are kept, because their next
+        request may be on its way.
         """
         connection = self._find_unused() or self._find_longest_idle()
         if connection is None:
@@ -102,10 +108,10 @@
     # Timeouts
 
     def _on_reap_timer(self) -> None:
-        """Look for timeouts, unless this process stood still.
+        """Check all timeouts, unless this call comes late because the process was stalled.
 
-        After a standstill the bytes that came meanwhile are not read yet, and their clients would be taken
-        for slow ones.
+        After a stall, bytes that arrived in the meantime have not been read yet, so clients would time out
+        although they were not slow.
         """
         self.loop.call_later(REAP_INTERVAL_S, self._on_reap_timer)
         now_s = self.now()
@@ -124,28 +130,31 @@
     # Draining
 
     def stop_listening(self) -> None:
-        """Accept what waits, and no more."""
+        """Accept the connections that are waiting, then stop accepting."""
         self.listener.close()
 
     def close_used_idle_connections(self) -> None:
-        """Close what is idle and has been served; the first request of a new connection may be on its way."""
+        """Close the idle connections that have sent a request.
+
+        New connections stay open, because their first request may be on its way.
+        """
         for connection in list(self.connections):
             if connection.is_idle() and connection.has_sent_request:
                 connection.close_idle()
 
     def close_idle_connections(self) -> None:
-        """Close all that is idle."""
+        """Close all idle connections."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.close_idle()
 
     def awaits_first_request(self) -> bool:
-        """Whether a connection has sent no request so far."""
+        """Return whether any open connection has not sent a request yet."""
         return any(
             not (connection.has_sent_request or connection.state is ClientState.CLOSING)
             for connection in self.connections
         )
 
     def has_pending_work(self) -> bool:
-        """Whether any request is unanswered or being read, or a last response still to be sent."""
+        """Return whether any request is pending or being read, or any last response is not yet sent."""
         return any(connection.has_pending_work() for connection in self.connections)
--- a/yardlane/proxy/client_state.py
+++ b/yardlane/proxy/client_state.py
@@ -1,4 +1,4 @@
-"""The life of a client's connection: its states, what may happen to it, and the one table of both."""
+"""The state machine of a client's connection: its states, events and transitions. It does no I/O."""
 
 from __future__ import annotations
 
@@ -6,38 +6,40 @@
 
 
 class ClientState(IntEnum):
-    """Where a client's connection stands."""
+    """The state of a client's connection."""
 
-    ACCEPTED = auto()  # its transport is not up yet
+    ACCEPTED = auto()  # accepted; its transport has not been created yet
     OPEN = auto()  # requests are read and handled
-    LAST_REQUEST = auto()  # no further request is handled, and not all that were are answered
-    ERROR_PENDING = auto()  # what came cannot be read on: the error waits for its turn among the responses
-    CLOSING = auto()  # no request is pending; what is written may still be read, for a limited time
-    CLOSED = auto()  # the transport is lost, or aborted
+    LAST_REQUEST = auto()  # no further requests are handled; some responses are still pending
+    ERROR_PENDING = auto()  # after a fatal error; its response waits for the responses before it
+    CLOSING = auto()  # no request is pending; the client has a limited time to read what has been written
+    CLOSED = auto()  # the transport has been lost or aborted
 
 
 class ClientEvent(IntEnum):
-    """What happens to a client's connection."""
+    """An event that changes the state of a client's connection."""
 
-    CONNECTED = auto()  # its transport is up
-    LAST_REQUEST_READ = auto()  # no request is handled after the newest
-    FATAL_REQUEST_ERROR = auto()  # its bytes are no requests, or come too slowly
+    CONNECTED = auto()  # the transport has been created
+    LAST_REQUEST_READ = auto()  # the newest request is the last one that is handled
+    FATAL_REQUEST_ERROR = auto()  # the received bytes are no valid request, or arrive too slowly
     LAST_RESPONSE_WRITTEN = auto()
-    IDLE_CLOSED = auto()  # closed by us between requests
-    CLIENT_DISCONNECTED = auto()  # the client has closed its side, or reset the connection
-    ABORTED = auto()  # ended by us at once
-    TRANSPORT_LOST = auto()  # the transport's last call
+    IDLE_CLOSED = auto()  # the proxy closes the connection between requests
+    CLIENT_DISCONNECTED = auto()  # the client has closed its side or reset the connection
+    ABORTED = auto()  # the proxy closes the connection at once
+    TRANSPORT_LOST = auto()  # the transport has called `connection_lost`
 
 
-# The state after each event that a state may meet. An event that is missing here is a fault of ours: it is
-# logged and changes nothing. docs/design.md shows the same table, and a test holds both together.
+# For each state, the events that it allows and the state that follows each of them. Any other event is a
+# bug in this program: the connection logs it and keeps its state. docs/design.md documents the same table,
+# and a test compares the two.
 #
-# - LAST_REQUEST ignores a broken stream: what follows the last request is not read, whatever it is, so it
-#   must not take away the responses ahead of it.
-# - CLOSING is never closed a second time. Closing a socket with unread bytes resets the connection, and the
-#   reset would take the last response from a client that is still reading it. Only ABORTED ends it early.
-# - CLOSED may still see its transport come up: one accepted connection may be aborted to make room for
-#   another before that.
+# - LAST_REQUEST ignores FATAL_REQUEST_ERROR: bytes after the last request are discarded whatever they are, so
+#   an error in them must not end the pending requests.
+# - CLOSING ignores IDLE_CLOSED and CLIENT_DISCONNECTED, as the connection must not be closed a second time.
+#   Closing a socket with unread bytes resets the connection, and the client could lose the last response
+#   while it is still reading. Only ABORTED and TRANSPORT_LOST end this state.
+# - CLOSED allows CONNECTED: an accepted connection may be aborted to make room for another one before its
+#   transport has been created.
 TRANSITIONS: dict[ClientState, dict[ClientEvent, ClientState]] = {
     ClientState.ACCEPTED: {
         ClientEvent.CONNECTED: ClientState.OPEN,
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -1,7 +1,8 @@
-"""The listening socket. It accepts no more connections than there is room for.
+"""Accepts client connections, up to the number that the server has room for.
 
-The loop's own server accepts all that waits before it tells of the first: a burst of connections would take
-every descriptor that backends, counter and discovery need.
+The event loop's own server is not used, because it accepts all waiting connections before it reports the
+first. A burst of connections could take all file descriptors, including those that the connections to
+upstreams, the counter and discovery need.
 """
 
 from __future__ import annotations
@@ -18,23 +19,26 @@
 log = logging.getLogger("yardlane.proxy.listener")
 
 BACKLOG = 1024
-MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop; the other connections wait for the next
-ACCEPT_BACKOFF_S = 0.05  # once descriptors have run out
+MAX_ACCEPTS_PER_ITERATION = 16  # per event loop iteration; further connections wait for the next one
+ACCEPT_BACKOFF_S = 0.05  # the pause after file descriptors or memory have run out
 RESOURCE_EXHAUSTION_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class AcceptedConnection(Protocol):
-    """What the listener needs of a connection that was admitted."""
+    """The part of a client connection's interface that the listener uses."""
 
     def protocol_factory(self) -> asyncio.Protocol:
-        """What its transport is to be made for."""
+        """Return the protocol that the transport is created for."""
 
     def on_connect_failed(self) -> None:
-        """It was lost before it had a transport."""
+        """Called when the client's connection was lost before its transport was created."""
 
 
 class Listener:
-    """Hands each accepted socket to the connection that `make_connection` returns; None closes the socket."""
+    """Accepts sockets and creates a transport for each.
+
+    `make_connection` returns the connection that a new socket belongs to, or None to close the socket.
+    """
 
     def __init__(
         self, make_connection: Callable[[], AcceptedConnection | None], loop: asyncio.AbstractEventLoop
@@ -45,12 +49,14 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, address: Address) -> None:
-        """Bind and begin to accept; raises OSError."""
+        """Bind to the address and start accepting connections. Raises OSError if that fails."""
         host, port = address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listening_socket = socket.socket(family, socket.SOCK_STREAM)
         try:
-            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # a restart binds at once
+            listening_socket.setsockopt(
+                socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
+            )  # allows a restart to bind at once
             listening_socket.bind((host.strip("[]"), port))
             listening_socket.listen(BACKLOG)
             listening_socket.setblocking(False)
@@ -61,12 +67,15 @@
         self.loop.add_reader(listening_socket, self._accept)
 
     def port(self) -> int:
-        """The port that is listened on."""
+        """Return the port of the listening socket."""
         assert self.socket is not None
         return int(self.socket.getsockname()[1])
 
     def close(self) -> None:
-        """Stop, but first accept what waits: the kernel would reset it, with the request that it brought."""
+        """Accept the connections that are waiting, then stop accepting and close the socket.
+
+        Otherwise the kernel would reset the waiting connections, and the requests on them would be lost.
+        """
         if self.socket is not None:
             self.loop.remove_reader(self.socket)
             self._accept(BACKLOG)
@@ -86,7 +95,7 @@
                 if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._pause_accepting(self.socket, error)
                     return
-                continue  # the client was gone before its turn
+                continue  # the client disconnected before its connection was accepted
             self._handle_accepted_socket(accepted_socket)
 
     def _handle_accepted_socket(self, accepted_socket: socket.socket) -> None:
@@ -95,12 +104,15 @@
             accepted_socket.close()
             return
         task = self.loop.create_task(self._connect(accepted_socket, connection))
-        self.tasks.add(task)  # the loop holds tasks weakly
+        self.tasks.add(task)  # the event loop only holds a weak reference to the task
         task.add_done_callback(self.tasks.discard)
 
     def _pause_accepting(self, listening_socket: socket.socket, error: OSError) -> None:
-        """The socket stays readable: without a pause the loop would do nothing but fail to accept."""
-        log.warning("cannot accept: %s", error)
+        """Stop accepting for a short time.
+
+        The socket stays readable, so without a pause the event loop would call `accept` again and again.
+        """
+        log.warning("cannot accept client connections: %s; retrying after a pause", error)
         self.loop.remove_reader(listening_socket)
         self.loop.call_later(ACCEPT_BACKOFF_S, self._resume_accepting, listening_socket)
 
@@ -109,7 +121,7 @@
             self.loop.add_reader(listening_socket, self._accept)
 
     async def _connect(self, accepted_socket: socket.socket, connection: AcceptedConnection) -> None:
-        """Make the transport; the client may have reset meanwhile."""
+        """Create the transport. This fails if the client has reset the connection in the meantime."""
         try:
             accepted_socket.setblocking(False)
             accepted_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
