--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -1,4 +1,4 @@
-"""Set-up that the tests of the client side share."""
+"""Helpers for the tests of client connections."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from yardlane.proxy.client_connection import ClientConnection
 from yardlane.proxy.client_server import ClientServer
 
-SMALL_BUFFER_BYTES = 4096  # of the kernel's: far less than one large answer
+SMALL_BUFFER_BYTES = 4096  # for socket buffers; far less than `LARGE_BODY`
 LARGE_BODY = b"y" * 60_000
-# Deadlines that no test meets.
+# Request classes whose deadlines are too long to expire in a test.
 LONG_DEADLINE_CLASSES = [
     {**request_class, "deadline_us": 60_000_000} for request_class in settings_dict()["profiles"]
 ]
 
 
 class ManualClock:
-    """A server's clock, which the test moves."""
+    """Replaces the clock of a `ClientServer` by one that the test advances."""
 
     def __init__(self, server: ClientServer, time_s: float = 1000.0) -> None:
         self.server = server
@@ -31,13 +31,13 @@
         server.now = lambda: self.time_s
 
     def advance(self, seconds: float) -> None:
-        """Time passes, then the reaper runs."""
+        """Advance the clock, then check the timeouts of all connections."""
         self.time_s += seconds
         self.server.reap()
 
 
 async def connect_clients(server: RunningServer, count: int) -> list[Streams]:
-    """So many new clients, each with its connection up at the proxy."""
+    """Connect `count` clients, and wait until the proxy has a transport for each connection."""
     streams = [await server.connect_client() for _ in range(count)]
     connections = server.clients.connections
     while len(connections) < count or not all(connection.transport for connection in connections):
@@ -46,25 +46,28 @@
 
 
 def pipelined_requests(count: int, **changes: str | None) -> bytes:
-    """So many requests in one write, with trace ids of their own."""
+    """Return the bytes of `count` requests with different trace ids."""
     return b"".join(make_request("look", f"t{n}", **changes) for n in range(count))
 
 
 def only_connection(server: RunningServer) -> ClientConnection:
-    """The one client connection that is open."""
+    """Return the only open client connection. Raises ValueError if there is not exactly one."""
     [connection] = server.clients.connections
     return connection
 
 
 def limit_send_buffer(connection: ClientConnection) -> None:
-    """The kernel takes only a part of a large answer; the rest stays in the transport."""
+    """Shrink the kernel's send buffer, so that most of a large response stays in the transport."""
     assert connection.transport is not None
     client_socket = connection.transport.get_extra_info("socket")
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
 
 
 async def wait_until_released(server: RunningServer) -> None:
-    """All that the requests held is given back: their entries, their attempts, their descriptors."""
+    """Wait until no request and no upstream connection is left.
+
+    Also assert that each request has ended once, and that its trace id is free.
+    """
     while server.proxy.requests or server.pool.connections:
         await asyncio.sleep(0)
     assert server.open_request_count == 0 and not server.clients.open_trace_ids
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Answers of a connection: in order, one for each request, and not lost at the connection's end."""
+"""Tests that each request on a connection gets one response, in order, and that closing loses none."""
 
 import asyncio
 import gc
@@ -29,14 +29,15 @@
 
 
 def test_make_response_writes_status_body_and_extra_headers() -> None:
-    """A test's own backend writes a response that is not what the test says. Whatever that test shows would
-    be shown of something else."""
+    """Many tests build their backend's response with `make_response`. If it wrote a different response than
+    the test asks for, these tests would check something other than they state."""
     assert make_response(204, b"", "A: b\r\n") == b"HTTP/1.1 204 X\r\nContent-Length: 0\r\nA: b\r\n\r\n"
 
 
 @uvloop_test
 async def test_pipelined_requests_are_answered_once_and_in_order() -> None:
-    """The decisions answer three requests in the reverse order, and each answer waits for its turn."""
+    """The gateway answers three pipelined requests in reverse order. Each response must wait until all
+    earlier requests have been answered."""
     arrived: list[int] = []
 
     def reject_in_reverse_order(event: Event) -> list[Action]:
@@ -49,13 +50,14 @@
         writer.write(make_request(trace="1") + make_request(trace="2") + make_request(trace="3"))
         retry_after = [(await read_message(reader))[1]["retry-after"] for _ in range(3)]
         assert retry_after == ["0.001", "0.002", "0.003"]
-        writer.write(HEALTH_CHECK)  # nothing stands between
+        writer.write(HEALTH_CHECK)  # its response must come next
         assert await read_status(reader) == "503"
 
 
 @uvloop_test
 async def test_requests_of_one_read_beyond_the_pipelining_limit_are_rejected() -> None:
-    """More requests come in one read than a connection may have pending: the others are rejected at once."""
+    """One read brings more requests than a connection may have pending. Pausing the socket is too late for
+    the excess requests, so they must be rejected with 503."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         reader, writer = await server.connect_client()
@@ -73,7 +75,8 @@
 
 @uvloop_test
 async def test_too_many_pipelined_requests_close_the_connection() -> None:
-    """A client writes hundreds of requests without reading: their answers must not fill the memory."""
+    """A client sends hundreds of requests without reading any response. The responses must not fill the
+    memory, so the connection is closed."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         reader, writer = await server.connect_client()
         writer.write(pipelined_requests(600))
@@ -83,7 +86,8 @@
 
 @uvloop_test
 async def test_client_that_is_still_sending_receives_the_error_response() -> None:
-    """A close with bytes unread resets the connection and may take the answer along."""
+    """Closing a socket with unread bytes resets the connection, and the client could lose the response that
+    tells it why its request was rejected."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         reader, writer = await server.connect_client()
         writer.write(TOO_LARGE_REQUEST)
@@ -93,10 +97,9 @@
 
 @uvloop_test
 async def test_draining_does_not_close_a_closing_connection_again() -> None:
-    """A client still sends as its last answer is written, and the proxy closes idle connections.
-
-    A second close with bytes unread would reset the connection, and the answer would be lost.
-    """
+    """A client is still sending when its last response is written, and the proxy then closes all idle
+    connections. Closing this one again with unread bytes would reset it, and the client would lose the
+    response."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clients = server.clients
         reader, writer = await server.connect_client()
@@ -112,10 +115,8 @@
 
 @uvloop_test
 async def test_partial_request_after_the_last_one_does_not_time_out_pending_requests() -> None:
-    """While draining, the answer to the second request is to be the last, with half a third one behind it.
-
-    The half is never completed. Its timeout must not end the first request, which is still pending.
-    """
+    """While draining, the connection is to close after the second request. Part of a third request follows
+    and is never completed. Its timeout must not end the first request, which is still pending."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         clients = server.clients
@@ -135,10 +136,8 @@
     [b"", make_request()[:40], b"noise\r\n\r\n", make_request(Plan="unheard-of") + make_request()[:40]],
 )
 def test_closed_connection_leaves_no_reference_cycle(sent: bytes) -> None:
-    """Parser, connection and errors refer to each other.
-
-    Left as a cycle they stay until the collector runs, whose pauses grow with all that waits for it.
-    """
+    """The parser, the connection and exceptions refer to each other. A reference cycle would keep them in
+    memory until the garbage collector runs, and its pauses grow with the number of objects to collect."""
 
     @uvloop_test
     async def run() -> None:
@@ -148,7 +147,7 @@
                 [(_, writer)] = await connect_clients(server, 1)
                 connection = weakref.ref(only_connection(server))
                 writer.write(sent)
-                await asyncio.sleep(0.01)  # the proxy reads it
+                await asyncio.sleep(0.01)  # lets the proxy read the bytes
                 writer.transport.abort()
                 while connection() is not None:
                     await asyncio.sleep(0)
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -1,8 +1,8 @@
-"""No attempt begins for a client that has left, and what its requests held is released.
+"""Tests that no attempt starts for a client that has disconnected, and that its requests are released.
 
-A client that gives up closes its connection. Attempts made for it after that take capacity from the requests
-of others. The event loop may notice late (a turn later) or never (where the connection is not read), so the
-proxy asks the socket itself.
+A client that gives up closes its connection. Attempts that start after that take capacity from the requests
+of other clients. The event loop reports a disconnect only in its next iteration, and does not report it at
+all while reading is paused. Therefore the proxy checks the socket itself.
 """
 
 import asyncio
@@ -49,9 +49,7 @@
 
 Disconnect = Callable[[asyncio.StreamWriter], None]
 
-NOT_RUN_RESPONSE = make_response(
-    503, extra="X-Never-Ran: 1\r\n"
-)  # the request may be sent to another endpoint
+NOT_RUN_RESPONSE = make_response(503, extra="X-Never-Ran: 1\r\n")  # allows a retry at another endpoint
 CONCURRENCY_1_SETTINGS = settings_dict(packages=[{**settings_dict()["packages"][0], "concurrency": 1}])
 
 
@@ -61,7 +59,8 @@
 
 def reset(writer: asyncio.StreamWriter) -> None:
     client_socket = writer.get_extra_info("socket")
-    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")  # close sends a reset
+    # With a linger time of 0, closing the socket sends a reset.
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     writer.transport.abort()
 
 
@@ -70,7 +69,7 @@
 
 
 def parametrize_disconnect(test: Callable[[Disconnect], Awaitable[None]]) -> Callable[[Disconnect], None]:
-    """The test for a client that closes, resets, and half-closes."""
+    """Parametrize a test by how the client disconnects: with a close, a reset or a half-close."""
 
     def run(disconnect: Disconnect) -> None:
         async def run_test() -> None:
@@ -82,14 +81,15 @@
     return pytest.mark.parametrize("disconnect", [close, reset, half_close])(run)
 
 
-# The client leaves, and the loop or the reaper notices.
+# Disconnects that the event loop reports or the reaper finds.
 
 
 @parametrize_disconnect
 async def test_disconnect_during_upstream_connect_ends_the_attempt_as_not_sent(
     disconnect: Disconnect,
 ) -> None:
-    """Nothing is written on the connection once it is up."""
+    """The client disconnects while the connection to the backend is being established. The attempt must end
+    as NOT_SENT, and the backend must not get a connection."""
     script = ScriptedDecider(forward_all)
     async with running_server_with_backend(script) as (server, backend):
         delayed = DelayedConnectLoop(server, backend.port)
@@ -112,11 +112,11 @@
 async def answer_next_request(
     backend: FakeServer, idle: tuple[asyncio.StreamReader, asyncio.StreamWriter]
 ) -> str:
-    """Answer the next request, on the idle connection or on a new one, and return its trace id."""
+    """Answer the next request, on the `idle` connection or a new one; return the request's trace id."""
     on_idle = asyncio.ensure_future(read_message(idle[0]))
     on_new = asyncio.ensure_future(backend.accept_connection())
     done, _ = await asyncio.wait((on_idle, on_new), return_when=asyncio.FIRST_COMPLETED)
-    if on_new in done:  # the idle one is still within its reuse delay
+    if on_new in done:  # the idle connection is still within its reuse delay
         on_idle.cancel()
         reader, writer = on_new.result()
         message = await read_message(reader)
@@ -130,7 +130,8 @@
 
 @parametrize_disconnect
 async def test_disconnect_while_queued_frees_the_place_in_the_queue(disconnect: Disconnect) -> None:
-    """Its place in the queue goes to the request behind it, and nothing of it is left in the books."""
+    """The client of a queued request disconnects. The next request must take its place in the queue, and the
+    gateway must keep no record of the request."""
     async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
         gateway = cast(Gateway, server.proxy.decisions.decider)
         first, to_first = await server.connect_client()
@@ -163,7 +164,8 @@
 
 @parametrize_disconnect
 async def test_disconnect_before_a_retry_prevents_the_retry(disconnect: Disconnect) -> None:
-    """The first endpoint has not run the request: it could be retried at the other one, and must not be."""
+    """The client disconnects during the first attempt. The endpoint has not run the request, so the request
+    could be retried at the other endpoint, but it must not be."""
     async with (
         FakeServer() as one,
         FakeServer() as two,
@@ -194,7 +196,8 @@
 
 @parametrize_disconnect
 async def test_disconnect_on_a_paused_connection_is_found_by_the_reaper(disconnect: Disconnect) -> None:
-    """With as many requests pending as a connection may have, it is not read: the reaper looks at it."""
+    """A connection with the maximum number of pending requests is not read, so the event loop does not report
+    the disconnect. The reaper must find it."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script, settings=settings_dict(profiles=LONG_DEADLINE_CLASSES)) as server:
         _, to_proxy = await server.connect_client()
@@ -205,12 +208,12 @@
         await wait_until_released(server)
 
 
-# The client leaves, and neither the loop nor the reaper has noticed: the reaper does not run, and the loop
-# says nothing of a connection that it does not read.
+# Disconnects that neither the event loop reports nor the reaper finds, because reading is paused and the
+# reaper is stopped.
 
 
 def stop_reaper_and_record_attempts(server: RunningServer) -> list[Attempt]:
-    """Stop the reaper; returns the list of the attempts that begin or connect from now on."""
+    """Stop the reaper; return a list that collects the attempts that start from now on."""
     server.clients.reap = lambda: None  # type: ignore[method-assign]
     started_attempts: list[Attempt] = []
     send = server.pool.send
@@ -224,7 +227,7 @@
 
 
 async def fill_pipeline(server: RunningServer) -> asyncio.StreamWriter:
-    """A client with so many requests pending that its connection is not read."""
+    """Connect a client and make so many of its requests pending that its connection is not read."""
     _, to_proxy = await server.connect_client()
     to_proxy.write(pipelined_requests(MAX_PIPELINED))
     while len(server.proxy.requests) < MAX_PIPELINED:
@@ -233,7 +236,7 @@
 
 
 async def wait_until_disconnect_detectable(server: RunningServer) -> None:
-    """The client's leaving has arrived, on a connection that is not read."""
+    """Wait until the kernel knows that the client has disconnected; assert that reading is paused."""
     connection = only_connection(server)
     assert connection.transport is not None and not connection.transport.is_reading()
     while not connection.is_client_disconnected():
@@ -241,7 +244,7 @@
 
 
 async def read_first_byte(reader: asyncio.StreamReader) -> bytes:
-    """The first byte of a request, if one is written."""
+    """Return the first byte of a request, or no bytes if the connection is closed before one arrives."""
     with suppress(ConnectionError):
         return await reader.read(1)
     return b""
@@ -249,7 +252,8 @@
 
 @parametrize_disconnect
 async def test_first_attempt_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
-    """The other requests of the connection end with it."""
+    """The gateway decides to start the first attempt of a request after the client has disconnected. The
+    proxy must not start it, and must end all requests of the connection."""
     script = ScriptedDecider(leave_pending)
     async with running_server_with_backend(script) as (server, _):
         started_attempts = stop_reaper_and_record_attempts(server)
@@ -263,7 +267,8 @@
 
 @parametrize_disconnect
 async def test_queued_request_is_not_sent_after_disconnect(disconnect: Disconnect) -> None:
-    """One request runs and the others are queued for its slot, which none of them may take."""
+    """One request is in flight, and the others of the same connection are queued by the concurrency limit.
+    When the first one ends after the disconnect, none of the queued requests may be sent."""
     async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
         started_attempts = stop_reaper_and_record_attempts(server)
         to_proxy = await fill_pipeline(server)
@@ -282,7 +287,8 @@
 
 @parametrize_disconnect
 async def test_retry_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
-    """All four attempts end without having run, and the decisions ask for a retry of each."""
+    """After the disconnect, the backend answers that it has not run any of the four requests, and the gateway
+    asks for a retry of each. None of the retries may start."""
 
     def retry(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and not event.request_ended:
@@ -310,7 +316,8 @@
 async def test_nothing_is_sent_on_an_upstream_connection_established_after_disconnect(
     disconnect: Disconnect,
 ) -> None:
-    """The attempts have begun, and their connections come up for nobody."""
+    """The attempts have started, and their upstream connections are established after the disconnect. Nothing
+    may be sent on them."""
     script = ScriptedDecider(forward_all)
     async with running_server_with_backend(script) as (server, backend):
         stop_reaper_and_record_attempts(server)
@@ -333,7 +340,10 @@
 async def connect_slow_reader(
     server: RunningServer, requests: int
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
-    """A client that reads no answers for now, over buffers of the kernel that hold far less than one."""
+    """Connect a client that sends requests and reads no responses until the test resumes reading.
+
+    The kernel's buffers on both sides hold far less than one response with `LARGE_BODY`.
+    """
     client_socket = socket.socket()
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     client_socket.connect(("127.0.0.1", server.clients.port()))
@@ -349,7 +359,7 @@
 
 
 def forward_all_except(held_id: int) -> ScriptedDecider:
-    """All requests but one are sent on."""
+    """Return a decider that forwards all requests except one, which stays pending."""
 
     def reply(event: Event) -> list[Action]:
         return [] if isinstance(event, RequestArrived) and event.request_id == held_id else forward_all(event)
@@ -361,7 +371,8 @@
 async def test_attempt_does_not_start_after_a_client_that_reads_no_responses_disconnects(
     disconnect: Disconnect,
 ) -> None:
-    """The answers fill the write buffer, so the connection is not read although little is pending."""
+    """Large responses fill the write buffer, so reading is paused although only one request is pending. That
+    request's attempt must not start after the disconnect."""
     script = forward_all_except(4)
     async with running_server_with_backend(script) as (server, backend):
         _, to_proxy, connection = await connect_slow_reader(server, 4)
@@ -381,13 +392,14 @@
 
 @uvloop_test
 async def test_attempt_does_not_start_after_half_close_while_a_response_is_being_written() -> None:
-    """The close is seen while the transport holds an answer: that answer is still delivered."""
+    """The client half-closes the connection while a response is still in the write buffer. The pending
+    request must get no attempt, but the response must still be delivered."""
     script = forward_all_except(2)
     async with running_server_with_backend(script) as (server, backend):
         client, to_proxy, connection = await connect_slow_reader(server, 2)
         reader, writer = await backend.accept_connection()
         await read_message(reader)
-        writer.write(make_response(200, LARGE_BODY))  # little enough for the connection to be read on
+        writer.write(make_response(200, LARGE_BODY))  # too little to pause reading
         while len(connection.pending) > 1:
             await asyncio.sleep(0)
         started_attempts = stop_reaper_and_record_attempts(server)
@@ -408,7 +420,8 @@
 def test_attempt_does_not_start_for_a_request_that_arrives_together_with_the_close(
     disconnect: Callable[[socket.socket], None],
 ) -> None:
-    """Request and close arrive in the same turn: the loop has read neither, and reads the request first."""
+    """A request and the close arrive in the same event loop iteration, and the event loop reads the request
+    first. The proxy must notice the close before it starts an attempt."""
 
     @uvloop_test
     async def run() -> None:
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -1,4 +1,4 @@
-"""Who makes room where all connections are taken, and what happens where descriptors run out."""
+"""Tests which connections the server closes at the connection limit, and accepting without descriptors."""
 
 import asyncio
 
@@ -19,13 +19,14 @@
 
 @uvloop_test
 async def test_full_server_closes_silent_connections_but_not_busy_ones() -> None:
-    """Silent clients take all connections: each new one ends a silent one, until all are busy."""
+    """Clients that send nothing hold all connections and could lock out the others. Each new client must
+    replace one of them, until all connections have a pending request; then a new client is refused."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         clients = server.clients
         clients.max_connections = 4
         first, *_ = await connect_clients(server, 4)
-        _, to_proxy = await server.connect_client()  # ends the one that has been silent for longest
+        _, to_proxy = await server.connect_client()  # replaces the oldest silent connection
         to_proxy.write(make_request(trace="a0"))
         assert await read_until_closed(first[0]) == b""
         await script.wait_for(RequestArrived)
@@ -40,7 +41,8 @@
 
 @uvloop_test
 async def test_full_server_closes_the_longest_idle_connection_only_after_two_seconds() -> None:
-    """A client that was answered a moment ago may have its next request on the way."""
+    """A client whose last response was sent a moment ago may be sending its next request. Closing its
+    connection would lose that request."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
         clock = ManualClock(clients)
@@ -64,7 +66,8 @@
 
 @uvloop_test
 async def test_listener_accepts_again_after_running_out_of_descriptors() -> None:
-    """The kernel refuses a descriptor once: the waiting connection is accepted after a pause."""
+    """The first call of `accept` fails because no file descriptor is free. The waiting connection must be
+    accepted after the pause."""
     loop = asyncio.get_running_loop()
     async with running_server(ScriptedDecider(leave_pending)) as server:
         listener: Listener = server.clients.listener
@@ -73,7 +76,7 @@
         accept_calls = 0
 
         class SocketWithoutDescriptors:
-            """The listening socket; its first accept fails."""
+            """Wraps the listening socket; the first call of `accept` raises EMFILE."""
 
             def __getattr__(self, name: str) -> object:
                 return getattr(real_socket, name)
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -1,4 +1,4 @@
-"""The connection follows the table of states and events that docs/design.md shows."""
+"""Tests that a client's connection follows its transition table, as docs/design.md documents it."""
 
 import logging
 import re
@@ -16,7 +16,7 @@
 from yardlane.proxy.client_request import ClientRequest
 from yardlane.proxy.client_state import TRANSITIONS, ClientEvent, ClientState
 
-# A row for each event, with the state after it; a dot is an event that the state never meets.
+# The documented table: the state that follows each event. A dot marks an event that the state does not allow.
 DESIGN_PAGE = (Path(__file__).parent.parent.parent / "docs" / "design.md").read_text()
 STATE_ROW = re.search(r"^\| \| (ACCEPTED .*) \|$", DESIGN_PAGE, re.M)
 EVENT_ROWS = {
@@ -27,7 +27,7 @@
 
 @contextmanager
 def capture_connection_logs() -> Iterator[list[str]]:
-    """The lines that connections log meanwhile."""
+    """Collect the messages that client connections log within the context."""
     lines: list[str] = []
     handler = logging.Handler()
     handler.emit = lambda record: lines.append(record.getMessage())  # type: ignore[method-assign]
@@ -40,8 +40,8 @@
 
 
 def test_design_page_lists_all_states_and_events() -> None:
-    """A state or event is added to the code alone. Whoever reads the page by night would miss it, and
-    the test below would not try it."""
+    """A state or event that is missing on the page would mislead an operator who relies on the page during an
+    incident, and the test below would not cover it."""
     assert STATE_ROW is not None and STATE_ROW[1].split(" | ") == [state.name for state in ClientState]
     assert list(EVENT_ROWS) == [event.name for event in ClientEvent]
     assert list(TRANSITIONS) == list(ClientState)
@@ -49,10 +49,8 @@
 
 @uvloop_test
 async def test_each_event_in_each_state_follows_the_design_page() -> None:
-    """An event that the table does not have must be logged and change nothing.
-
-    Wherever a connection comes to its end, its pending requests are given back.
-    """
+    """An event that the table does not allow must be logged and change nothing. A connection that changes to
+    CLOSING or CLOSED must release its pending requests; in CLOSED, the server must no longer count it."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clients = server.clients
         with capture_connection_logs() as lines:
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""Slow clients are ended in time, and only for time that they took themselves."""
+"""Tests that slow clients time out, and that time lost by the proxy itself does not count against clients."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 @uvloop_test
 async def test_connection_without_a_request_is_closed() -> None:
-    """A client connects and sends nothing: it must not keep its descriptor."""
+    """A client that connects and sends nothing must not keep a file descriptor in use."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(reader, _)] = await connect_clients(server, 1)
@@ -34,7 +34,8 @@
 
 @uvloop_test
 async def test_request_sent_byte_by_byte_times_out() -> None:
-    """A byte now and then must not keep a connection busy: the time is for the whole request."""
+    """A client must not keep its connection open by sending a byte now and then. The timeout applies to the
+    whole request."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(reader, writer)] = await connect_clients(server, 1)
@@ -51,10 +52,9 @@
 
 @pytest.mark.parametrize("rest", [make_request(trace="a2")[:20], b"noise\r\n\r\n"])
 def test_fatal_request_error_behind_a_pending_request_ends_both_in_time(rest: bytes) -> None:
-    """The error waits for its turn behind the pending request, but for no longer than a request may take.
-
-    The pending one is answered without a promise, as it may have had its effect.
-    """
+    """The error response has to wait for the response to the pending request, but no longer than the request
+    timeout. The pending request is then answered with 502 rather than rejected, because it may have been
+    run."""
 
     @uvloop_test
     async def run() -> None:
@@ -77,7 +77,8 @@
 
 @uvloop_test
 async def test_client_that_stays_connected_after_the_last_response_is_aborted() -> None:
-    """The last answer is written and the client keeps its side open: it must not keep its descriptor."""
+    """After the last response, the client does not close its side. It must not keep a file descriptor in
+    use."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(_, writer)] = await connect_clients(server, 1)
@@ -92,11 +93,9 @@
 
 @uvloop_test
 async def test_clients_do_not_time_out_while_the_proxy_is_stalled() -> None:
-    """The process stands still for longer than a request may take to come.
-
-    The rest of a request may have arrived meanwhile, unread. Only a client that is late while the proxy runs
-    is ended.
-    """
+    """The process stalls for longer than the request timeout. The rest of a request may have arrived in the
+    meantime without being read, so the request must not time out. A request must time out only if the client
+    is late while the proxy is running."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
         reader, writer = await server.connect_client()
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""File descriptors are divided so that no kind of connection takes those of another."""
+"""Tests that client connections cannot take the file descriptors that other connections need."""
 
 import asyncio
 import contextlib
@@ -28,12 +28,12 @@
 )
 from yardlane.descriptors import RESERVED_DESCRIPTORS, connection_limits
 
-DESCRIPTORS = 128  # that the process may hold
+DESCRIPTORS = 128  # the process's limit (`ulimit -n`)
 MAX_CLIENTS = connection_limits(DESCRIPTORS).clients
 
 
 class IdleClients:
-    """Clients that connect and stay; every third has sent a request before, and was answered."""
+    """Clients that connect and stay connected. Every third one sends one request and gets its response."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -42,7 +42,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def connect(self, count: int) -> None:
-        """Until all have been accepted: the front door has closed those that are over its limit."""
+        """Connect `count` further clients, and wait until at most `MAX_CLIENTS` are still connected."""
         self.tasks += [asyncio.create_task(self._stay_connected(n)) for n in range(count)]
         while len(self.tasks) - self.ended > MAX_CLIENTS:
             self.changed.clear()
@@ -60,7 +60,7 @@
         self.changed.set()
 
     async def _open_connection(self) -> Streams:
-        while True:  # from before the process listens
+        while True:  # the process may not listen yet
             try:
                 return await asyncio.open_connection("127.0.0.1", self.port)
             except ConnectionRefusedError:
@@ -75,7 +75,10 @@
 async def serve_endpoint_list(
     discovery: FakeServer, snapshot: dict[str, Any], watched: asyncio.Event
 ) -> None:
-    """Answer each fetch with the whole list, also those that wait already; a watch gets no answer."""
+    """Answer each fetch with the snapshot, including fetches that are already waiting.
+
+    A watch gets no response, but sets `watched`.
+    """
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -89,7 +92,7 @@
 
 
 async def serve_counter(counter: FakeServer, calls: list[bytes]) -> None:
-    """Answer each call, and note it in `calls`."""
+    """Answer each call and append it to `calls`."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
@@ -102,7 +105,10 @@
 
 
 async def send_requests(port: int, *backends: FakeServer) -> None:
-    """One request of a new client for each backend; each backend gets one before any is answered."""
+    """Send as many requests as there are backends, each from a new client, and assert that all succeed.
+
+    Each backend answers one request, and no backend answers before all have received one.
+    """
 
     async def send(n: int) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -132,8 +138,8 @@
 
 
 def test_connection_limits_stay_within_the_available_descriptors() -> None:
-    """All connections that the limits allow are open at once. What the process itself needs must still be
-    left, and neither clients nor upstreams may be cut to next to nothing."""
+    """All connections that the limits allow may be open at once. The limits must leave the descriptors that
+    the process itself needs, and must give at least a third of all to clients and to upstreams each."""
     for descriptors in (256, 384, 512, 1024):
         limits = connection_limits(descriptors)
         assert limits.clients + limits.upstreams + RESERVED_DESCRIPTORS <= descriptors
@@ -141,14 +147,15 @@
 
 
 @pytest.mark.parametrize("configured", [DESCRIPTORS, 1024])
-@pytest.mark.parametrize("is_silent", [False, True])  # else discovery refuses while it is down
+# While it is down, discovery accepts connections without answering if `is_silent`, and refuses them otherwise.
+@pytest.mark.parametrize("is_silent", [False, True])
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(
     is_silent: bool, configured: int, tmp_path: Path
 ) -> None:
-    """Discovery is down, and more idle clients connect than the process has descriptors, at its start and
-    again before discovery moves. Were they let have all of them, nothing could connect to discovery on its
-    return, to the counter or to a backend, and no request would ever be served again. It must not matter
-    that the configuration claims more descriptors than the process may hold."""
+    """Discovery is down, and more idle clients connect than the process has descriptors: when it starts, and
+    again before discovery moves to another address. If the clients could take all descriptors, the process
+    could not connect to discovery once it is back, to the counter or to a backend, and could not serve any
+    request. This must also hold if the configuration allows more descriptors than the process's own limit."""
 
     @uvloop_test
     async def run() -> None:
@@ -196,7 +203,7 @@
                     )
                 )
                 await watched.wait()
-                await idle_clients.connect(DESCRIPTORS)  # to the limit again
+                await idle_clients.connect(DESCRIPTORS)  # up to the limit again
                 await send_requests(port, *backends)
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: after SIGTERM, whatever arrives in time is answered before the process ends."""
+"""Tests that every request that arrives in time is answered during the graceful shutdown."""
 
 import asyncio
 import socket
@@ -25,7 +25,7 @@
 from yardlane.proxy.client_state import ClientState
 from yardlane.server import ACCEPT_AFTER_SIGTERM_S, shutdown_timeout_us
 
-LATEST_NEW_CONNECTION_S = 0.4  # after SIGTERM, by the pages
+LATEST_NEW_CONNECTION_S = 0.4  # after SIGTERM, as the protocol defines it
 
 
 async def wait_until_listener_closed(server: RunningServer) -> None:
@@ -34,14 +34,14 @@
 
 
 def test_accept_period_after_sigterm_covers_the_latest_new_connection() -> None:
-    """A client connects at the last moment that the protocol allows after SIGTERM. Were the listener closed
-    by then, its connection would be reset."""
+    """Clients may connect for some time after SIGTERM. If the listener were closed earlier, their connections
+    would be reset."""
     assert ACCEPT_AFTER_SIGTERM_S > LATEST_NEW_CONNECTION_S
 
 
 def test_shutdown_timeout_ends_before_sigkill() -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, of which 3 s count at most. A request that is open then
-    gets no response at all; so every one is answered 0.3 s before."""
+    """SIGKILL follows SIGTERM after the longest deadline, of which at most 3 s count, plus 0.7 s. A request
+    that is open at that time gets no response. Therefore every request must be answered 0.3 s earlier."""
 
     def timeout_us(*deadlines_us: int) -> int:
         [look, file] = settings_dict()["profiles"]
@@ -56,8 +56,8 @@
 
 @uvloop_test
 async def test_request_completed_after_the_shutdown_timeout_is_answered_with_500() -> None:
-    """The end of the shutdown has come and all open requests were answered with 500; then a request arrives
-    whose head was being read. Its backend does not answer. It gets its 500 as well."""
+    """The shutdown timeout has expired and all open requests have been answered with 500. Then the rest of an
+    incomplete request arrives, and its backend does not answer. The request must be answered with 500 too."""
     short = [{**c, "deadline_us": 200_000} for c in settings_dict()["profiles"]]
     script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
@@ -85,8 +85,8 @@
 
 @uvloop_test
 async def test_shutdown_waits_for_a_request_that_is_still_being_read() -> None:
-    """Half a request has arrived as the listener closes. Nothing is in flight, but a response is owed: the
-    process must not end before the other half has come and was answered."""
+    """When the listener closes, part of a request has been read, and no request is in flight. The process
+    must not stop before the rest has arrived and the request has been answered."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
@@ -110,8 +110,8 @@
 
 @uvloop_test
 async def test_first_request_after_the_listener_closed_is_answered() -> None:
-    """A client has connected and sends its first request after the listener was closed. Its connection is
-    idle, but it was not closed with the other idle ones: its request is answered."""
+    """A client connects before the listener closes, and sends its first request afterwards. Its connection
+    must not be closed together with the other idle connections, and the request must be answered."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
@@ -130,18 +130,20 @@
 
 @uvloop_test
 async def test_listener_accepts_waiting_connections_before_it_closes() -> None:
-    """Many clients have connected, and the kernel holds them until they are accepted. A listener that is
-    closed resets them, and their requests with them; so it accepts all of them first."""
+    """Many connections wait in the kernel's backlog. Closing the listening socket would reset them, and their
+    requests would be lost. So the listener must accept all of them first."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
         running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
     ):
         address = ("127.0.0.1", server.clients.port())
-        waiting = [socket.create_connection(address) for _ in range(20)]  # more than one turn accepts
+        waiting = [
+            socket.create_connection(address) for _ in range(20)
+        ]  # more than the listener accepts in one event loop iteration
         for n, connection in enumerate(waiting):
             connection.sendall(make_request(trace=f"t{n}"))
-        server.clients.stop_listening()  # in the same turn: the loop has accepted none of them yet
+        server.clients.stop_listening()  # the event loop has not run, so none of them has been accepted yet
         for _ in waiting:
             reader, writer = await backend.accept_connection()
             await read_message(reader)
@@ -155,17 +157,17 @@
 
 @uvloop_test
 async def test_responses_are_not_lost_when_further_bytes_stay_unread() -> None:
-    """A connection is closed behind its last response while bytes of further requests wait unread. The kernel
-    would answer them by a reset, which discards the responses that the client has not read yet."""
+    """A connection is closed after its last response while further bytes of the client are unread. If the
+    socket were closed completely, the kernel would send a reset, and the client would lose the responses
+    that it has not read yet."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
         running_server(script, known=endpoint_list_dict(member_dict("s-1", backend.port))) as server,
     ):
         reader, writer = await server.connect_client()
-        writer.write(
-            b"".join(make_request(trace=f"t{n}") for n in range(4))
-        )  # as many as a connection may pipeline
+        # With the maximum number of pending requests, the proxy pauses reading.
+        writer.write(b"".join(make_request(trace=f"t{n}") for n in range(4)))
         streams = [await backend.accept_connection() for _ in range(4)]
         writer.write(b"x" * 200_000)  # left unread
         await writer.drain()
@@ -179,8 +181,9 @@
 
 @uvloop_test
 async def test_response_encoded_before_draining_closes_its_connection() -> None:
-    """The second of two pipelined requests is answered before the shutdown, the first one after it began. The
-    second response goes out last, and its connection must close behind it, not once it was idle for long."""
+    """The second of two pipelined requests is answered before draining begins, the first one after that. The
+    second response is written last, without `Connection: close`. The connection must still close right after
+    it, not only when the idle timeout expires."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         reader, writer = await server.connect_client()
@@ -198,8 +201,8 @@
 
 @uvloop_test
 async def test_shutdown_waits_until_a_slow_client_has_received_its_response() -> None:
-    """A client reads slowly: its response is complete, but most of it is still in our buffers. If the process
-    ended now, the rest would be lost."""
+    """A client reads slowly, so most of its response is still in the process's buffers. If the process
+    stopped now, the rest of the response would be lost."""
     body = b"y" * 60_000
     script = ScriptedDecider(forward_all)
     async with (
@@ -230,8 +233,9 @@
 
 @uvloop_test
 async def test_new_connections_during_shutdown_are_closed_after_one_response() -> None:
-    """Clients learn late that a front door drains, and connect to it for a while. Were the listener closed
-    at once, they would be refused. Each connection says that it closes, so that its client goes elsewhere."""
+    """Clients learn only after some time that a front door is draining, and connect to it until then. The
+    listener must not refuse them. Each response must say that its connection closes, so that the client goes
+    to another front door."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
@@ -262,7 +266,8 @@
 
 @uvloop_test
 async def test_unanswered_request_is_answered_with_500_before_the_shutdown_ends() -> None:
-    """A backend hangs as the shutdown begins. Its request is answered with 500 before SIGKILL could come."""
+    """A backend hangs when the shutdown begins. Its request must be answered with 500 before the process is
+    stopped."""
     script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -53,7 +53,7 @@
         """Return the time of the event loop's clock in seconds."""
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether connections must close after a response because too many are open."""
+        """Return whether so many connections are open that each must close after its next response."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
         """Called when the connection has been closed and no longer counts towards the limit."""
@@ -147,7 +147,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called when the transport has been created.
 
-        The transport is aborted if the connection has been closed in the meantime to accept another one.
+        The transport is aborted if the connection has been closed in the meantime to make room for another.
         """
         transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
         self.transport = transport
@@ -160,7 +160,7 @@
         self._apply(ClientEvent.TRANSPORT_LOST)
 
     def data_received(self, data: bytes) -> None:
-        """Called when bytes have been received; discards them if no further request is accepted."""
+        """Called when bytes have been received; discards them if no further request is handled."""
         if self.state is not OPEN:
             return
         try:
@@ -207,7 +207,7 @@
     def on_request(self) -> None:
         """Called when a complete request has been read; answers it or passes it to the handler."""
         if self.state is not OPEN:
-            return  # pipelined after the last request that this connection accepts
+            return  # pipelined after the last request that this connection handles
         self.has_sent_request = True
         if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
             raise FatalRequestError(Status.SERVICE_UNAVAILABLE, "too many requests at once")
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -72,7 +72,7 @@
         self.connections.pop(connection, None)
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether connections must close after a response because too many are open."""
+        """Return whether so many connections are open that each must close after its next response."""
         return len(self.connections) > NEAR_LIMIT_SHARE * self.max_connections
 
     def _evict_connection(self) -> bool:
