--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -49,9 +49,7 @@
 
 Disconnect = Callable[[asyncio.StreamWriter], None]
 
-NOT_RUN_RESPONSE = make_response(
-    503, header_lines="X-Never-Ran: 1\r\n"
-)  # allows a retry at another endpoint
+NOT_RUN_RESPONSE = make_response(503, header_lines="X-Never-Ran: 1\r\n")  # allows a retry at another endpoint
 CONCURRENCY_1_SETTINGS = settings_dict(packages=[{**settings_dict()["packages"][0], "concurrency": 1}])
 
 
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("configured", [DESCRIPTORS, 1024])
-# While it is down, discovery accepts connections without answering if `is_silent`, and refuses them otherwise.
+# While discovery is down, it accepts connections without answering if `is_silent`, else it refuses them.
 @pytest.mark.parametrize("is_silent", [False, True])
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(
     is_silent: bool, configured: int, tmp_path: Path
