--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -287,7 +287,7 @@
 
 @parametrize_disconnect
 async def test_retry_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
-    """After the disconnect, the backend answers that it has not run any of the four requests, and the gateway
+    """After the disconnect, the backend reports that it has not run any of the four requests, and the gateway
     asks for a retry of each. None of the retries may start."""
 
     def retry(event: Event) -> list[Action]:
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -54,9 +54,8 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listening_socket = socket.socket(family, socket.SOCK_STREAM)
         try:
-            listening_socket.setsockopt(
-                socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
-            )  # allows a restart to bind at once
+            # After a restart, the address can be bound again at once.
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening_socket.bind((host.strip("[]"), port))
             listening_socket.listen(BACKLOG)
             listening_socket.setblocking(False)
