--- a/tests/counter_calls.py
+++ b/tests/counter_calls.py
@@ -11,12 +11,12 @@
     return settings_dict(family_info={"shared_counter": True, "count_wait_us": 5_000_000, **changes})
 
 
-def add(server: RunningServer, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
+def add_to_counter(server: RunningServer, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
     """Let the decisions ask for a call."""
     server.proxy.apply(AddToCounter(key, amount, lifetime_us))
 
 
-async def first_call(counter: FakeServer) -> Streams:
+async def accept_first_call(counter: FakeServer) -> Streams:
     """The connection, whose first call has been read."""
     reader, writer = await counter.accept_connection()
     await reader.readuntil(b"\r\n")
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.counter_calls import add, first_call, settings_with_counter
+from tests.counter_calls import accept_first_call, add_to_counter, settings_with_counter
 from tests.loopback import (
     FakeServer,
     RunningServer,
@@ -21,7 +21,7 @@
 from yardlane.proxy.counter_protocol import parse_reply
 
 
-def with_counter(counter: FakeServer, **changes: Any) -> dict[str, Any]:
+def config_with_counter(counter: FakeServer, **changes: Any) -> dict[str, Any]:
     return {"counter": f"127.0.0.1:{counter.port}", "settings": settings_with_counter(**changes)}
 
 
@@ -30,18 +30,21 @@
     script: ScriptedDecider, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
     """The program beside a counter that the test plays; `changes` are of its settings."""
-    async with FakeServer() as counter, running_server(script, **with_counter(counter, **changes)) as server:
+    async with (
+        FakeServer() as counter,
+        running_server(script, **config_with_counter(counter, **changes)) as server,
+    ):
         yield server, counter
 
 
 @uvloop_test
-async def test_answers_are_matched_in_order() -> None:
+async def test_replies_are_matched_to_calls_in_order() -> None:
     """Four calls are written before any is answered, and the answers come cut in odd places. Each answer
     belongs to the oldest call; taken for another's, its total would be another key's."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         for amount in (2.5, -1.0, 0.0, 7.0):
-            add(server, 0xAB, amount, 4_000_000)
+            add_to_counter(server, 0xAB, amount, 4_000_000)
         reader, writer = await counter.accept_connection()
         lines = [await reader.readuntil(b"\r\n") for _ in range(4)]
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
@@ -57,38 +60,38 @@
 
 
 @uvloop_test
-async def test_a_reset_after_writing_may_have_added() -> None:
+async def test_call_ends_as_timed_out_if_the_connection_is_reset_after_it_is_written() -> None:
     """The counter resets the connection after a call was written. Nobody knows whether it was added, so the
     result must not say that it was not: that would let the decisions add it twice."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
-        add(server)
-        _, writer = await first_call(counter)
+        add_to_counter(server)
+        _, writer = await accept_first_call(counter)
         writer.transport.abort()
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 @uvloop_test
-async def test_a_refused_connection_added_nothing() -> None:
+async def test_call_ends_as_not_connected_if_the_connection_is_refused() -> None:
     """Nobody listens at the counter's address. The call was never written, and its result says so."""
     script = ScriptedDecider(leave_pending)
     async with FakeServer() as counter:
-        configuration = with_counter(counter)
+        configuration = config_with_counter(counter)
     async with running_server(script, **configuration) as server:
-        add(server)
+        add_to_counter(server)
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
 
 
 @uvloop_test
-async def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
+async def test_late_reply_is_not_matched_to_the_next_call() -> None:
     """A call times out, the next one is written, then both are answered. The first answer belongs to the call
     that timed out; taken for the next one, every later total would be a wrong one."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=300_000) as (server, counter):
-        add(server)
-        reader, writer = await first_call(counter)
+        add_to_counter(server)
+        reader, writer = await accept_first_call(counter)
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
-        add(server)
+        add_to_counter(server)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\nok 2\r\n")
         results = await script.wait_for(CounterResult, 2)
@@ -96,13 +99,13 @@
 
 
 @uvloop_test
-async def test_a_silent_counter_gets_no_backlog_of_calls() -> None:
+async def test_number_of_unanswered_calls_is_limited() -> None:
     """The counter accepts a connection and stays silent while calls go on. Only so many are written; the
     others end at once, so that a counter that comes back is not met by a backlog."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         for _ in range(100):
-            add(server)
+            add_to_counter(server)
         results = await script.wait_for(CounterResult, 100 - 16)
         assert {r.outcome for r in results} == {Outcome.NOT_CONNECTED}
         reader, writer = await counter.accept_connection()
@@ -113,20 +116,20 @@
 
 
 @uvloop_test
-async def test_a_connection_without_answers_is_dropped() -> None:
+async def test_connection_without_replies_is_closed() -> None:
     """The counter's host is gone without a reset: calls are written and never answered. After some timeouts
     the connection is closed from our side, so that the next calls get another one."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=20_000) as (server, counter):
-        add(server)
+        add_to_counter(server)
         reader, _ = await counter.accept_connection()
         await reader.read()
         assert len(await script.wait_for(CounterResult)) == 1
 
 
-TOTALS_THAT_ARE_NONE = (b"", b" nan", b" 1_0", b" inf", b" 1e999", b" 1 2")
+INVALID_TOTALS = (b"", b" nan", b" 1_0", b" inf", b" 1e999", b" 1 2")
 MALFORMED_REPLIES = [
-    *(b"ok" + total + b"\r\n" for total in TOTALS_THAT_ARE_NONE),
+    *(b"ok" + total + b"\r\n" for total in INVALID_TOTALS),
     b"what\r\n",
     b"x" * 1000,
     b"pong\r\n",
@@ -135,20 +138,20 @@
 
 
 @uvloop_test
-async def test_a_malformed_reply_ends_the_connection_and_not_the_process() -> None:
+async def test_call_ends_as_timed_out_after_a_malformed_reply() -> None:
     """The counter sends a line that answers no call. The call may have been added, and no later answer on
     this connection can be trusted."""
     for reply in MALFORMED_REPLIES:
         script = ScriptedDecider(leave_pending)
         async with running_with_counter(script) as (server, counter):
-            add(server)
-            _, writer = await first_call(counter)
+            add_to_counter(server)
+            _, writer = await accept_first_call(counter)
             writer.write(reply)
             assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 @pytest.mark.parametrize("reply", MALFORMED_REPLIES, ids=lambda reply: repr(reply[:12]))
-def test_a_malformed_reply_raises_the_typed_error(reply: bytes) -> None:
+def test_parse_reply_raises_on_a_malformed_reply(reply: bytes) -> None:
     """The counter sends a line that is no answer, or a total that no sum could hold. Read as a number, it
     would spoil the quota of its key for all gateways."""
     with pytest.raises(MalformedCounterReply):
@@ -156,43 +159,43 @@
 
 
 @uvloop_test
-async def test_after_a_malformed_reply_the_next_call_is_answered_on_a_new_connection() -> None:
+async def test_call_after_a_malformed_reply_reconnects_at_once() -> None:
     """A connection that has answered breaks by a malformed reply. A quarter of all keys share it: they get
     another one at once, without a reconnect delay."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
-        add(server)
-        reader, writer = await first_call(counter)
+        add_to_counter(server)
+        reader, writer = await accept_first_call(counter)
         writer.write(b"ok 1\r\n")
         await script.wait_for(CounterResult)
-        add(server)
+        add_to_counter(server)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok {}\r\n")
         await script.wait_for(CounterResult, 2)
-        add(server)
-        _, writer = await first_call(counter)
+        add_to_counter(server)
+        _, writer = await accept_first_call(counter)
         writer.write(b"ok 3\r\n")
         results = await script.wait_for(CounterResult, 3)
         assert [r.outcome for r in results] == [Outcome.OK, Outcome.TIMED_OUT, Outcome.OK]
 
 
 @uvloop_test
-async def test_a_line_without_an_end_costs_one_call_and_no_other() -> None:
+async def test_incomplete_reply_line_times_out_only_one_call() -> None:
     """The counter sends half a line and nothing more. The call times out, and as answers behind the half line
     could not be told apart, the connection is closed; the next call is answered on another one."""
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=200_000) as (server, counter):
-        add(server)
-        reader, writer = await first_call(counter)
+        add_to_counter(server)
+        reader, writer = await accept_first_call(counter)
         writer.write(b"ok 1")
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
         assert await reader.read() == b""
         client = server.proxy.counter
         assert client is not None
-        connection = next(one for one in client.connections if one.reconnect_not_before_s)
+        connection = next(each for each in client.connections if each.reconnect_not_before_s)
         while asyncio.get_running_loop().time() < connection.reconnect_not_before_s:
             await asyncio.sleep(0.01)
-        add(server)
-        _, writer = await first_call(counter)
+        add_to_counter(server)
+        _, writer = await accept_first_call(counter)
         writer.write(b"ok 2\r\n")
         assert (await script.wait_for(CounterResult, 2))[1].total == 2.0
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.counter_calls import add, first_call, settings_with_counter
+from tests.counter_calls import accept_first_call, add_to_counter, settings_with_counter
 from tests.front_door_process import free_port, start_process
 from tests.loopback import (
     FakeServer,
@@ -78,10 +78,10 @@
         FakeServer() as new,
         running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
-        add(server)
-        reader, writer = await first_call(old)
+        add_to_counter(server)
+        reader, writer = await accept_first_call(old)
         server.proxy.move_counter(("127.0.0.1", new.port))
-        add(server, amount=2.0)
+        add_to_counter(server, amount=2.0)
         to_new, counter = await new.accept_connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -101,7 +101,7 @@
         FakeServer() as new,
         running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
-        add(server)
+        add_to_counter(server)
         server.proxy.move_counter(("127.0.0.1", new.port))
         reader, writer = await new.accept_connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
@@ -119,8 +119,8 @@
         FakeServer() as new,
         running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
-        add(server)
-        reader, _ = await first_call(old)
+        add_to_counter(server)
+        reader, _ = await accept_first_call(old)
         server.proxy.move_counter(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -50,37 +50,39 @@
 from yardlane.simulator.codec import read_batch, write_reply
 
 
-def record(code: int, body: bytes) -> bytes:
+def make_record(code: int, body: bytes) -> bytes:
     return struct.pack("<HI", code, len(body)) + body
 
 
-def frame(*records: bytes, clock: int = 9) -> bytes:
+def make_frame(*records: bytes, clock: int = 9) -> bytes:
     body = b"".join(records)
     return struct.pack("<IIQ", len(records), 16 + len(body), clock) + body
 
 
-def read(*records: bytes) -> list[tuple[int, Any]]:
-    return list(read_batch(frame(*records), {3: ("concurrent", "depth")})[1])
+def read_events(*records: bytes) -> list[tuple[int, Any]]:
+    return list(read_batch(make_frame(*records), {3: ("concurrent", "depth")})[1])
 
 
-def init(instance: int = 3, text: bytes = SETTINGS_TEXT) -> bytes:
-    return record(1050, struct.pack("<IQI", instance, 4, len(text)) + text)
+def make_init(instance: int = 3, text: bytes = SETTINGS_TEXT) -> bytes:
+    return make_record(1050, struct.pack("<IQI", instance, 4, len(text)) + text)
 
 
-def test_event_records_are_decoded() -> None:
+def test_event_records_are_decoded_in_order() -> None:
     endpoint_id = b"\x0a\x01\x02\x03\x50\x00"
-    row = struct.pack("<fQHHBH6s", 2.0, 5, 1, 0, 2, 4, endpoint_id)
-    got = read(
-        record(1060, struct.pack("<IQfBHfQIfB", 3, 77, 1.0, 0, 2, 2.0, 55, 9000, 3.0, 2)),
-        record(1000, struct.pack("<IQIBHB6sHHB2f", 3, 77, 50, 1, 302, 0, endpoint_id, 41, 6, 2, 7.0, 1.0)),
-        record(1040, struct.pack("<IIQHf", 3, 12, 99, 100, 4.5)),
-        record(1080, struct.pack("<IQ", 3, 78)),
-        record(1010, struct.pack("<II", 3, 6)),
-        record(1100, struct.pack("<IBII", 3, 1, 8, 1) + row),
-        record(4321, b"skipped"),
+    entry = struct.pack("<fQHHBH6s", 2.0, 5, 1, 0, 2, 4, endpoint_id)
+    decoded = read_events(
+        make_record(1060, struct.pack("<IQfBHfQIfB", 3, 77, 1.0, 0, 2, 2.0, 55, 9000, 3.0, 2)),
+        make_record(
+            1000, struct.pack("<IQIBHB6sHHB2f", 3, 77, 50, 1, 302, 0, endpoint_id, 41, 6, 2, 7.0, 1.0)
+        ),
+        make_record(1040, struct.pack("<IIQHf", 3, 12, 99, 100, 4.5)),
+        make_record(1080, struct.pack("<IQ", 3, 78)),
+        make_record(1010, struct.pack("<II", 3, 6)),
+        make_record(1100, struct.pack("<IBII", 3, 1, 8, 1) + entry),
+        make_record(4321, b"skipped"),
     )
-    events = [event for _, event in got]
-    assert [instance for instance, _ in got] == [3] * 6
+    events = [event for _, event in decoded]
+    assert [instance for instance, _ in decoded] == [3] * 6
     assert events[0] == RequestArrived(77, 55, 2, 0, 9000, 3.0, 1, 2, True, False)
     ended = events[1]
     assert isinstance(ended, AttemptEnded) and ended.outcome is Outcome.REJECTED
@@ -92,15 +94,15 @@
     )
 
 
-def test_omitted_fields_read_as_0() -> None:
-    [(_, event)] = read(record(1060, struct.pack("<IQfBHfQ", 3, 77, 1.0, 0, 2, 2.0, 55)))
+def test_omitted_fields_are_read_as_0() -> None:
+    [(_, event)] = read_events(make_record(1060, struct.pack("<IQfBHfQ", 3, 77, 1.0, 0, 2, 2.0, 55)))
     assert event == RequestArrived(77, 55, 2, 0, 0, 0.0, 1, 2)
 
 
-def test_an_action_record_is_what_the_wire_has() -> None:
-    out = encode_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
-    assert out == record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
-    assert write_reply([out]) == struct.pack("<II", 8 + len(out), 1) + out
+def test_action_and_reply_have_the_documented_layout() -> None:
+    record = encode_action(3, StartAttempt(77, b"\x0a\x01\x02\x03\x50\x00", 80))
+    assert record == make_record(1020, struct.pack("<IQi6s", 3, 77, 80, b"\x0a\x01\x02\x03\x50\x00"))
+    assert write_reply([record]) == struct.pack("<II", 8 + len(record), 1) + record
 
 
 FIRST_ENDPOINT = bytes.fromhex("0a124a07c32b")
@@ -159,17 +161,17 @@
 ]
 
 
-@pytest.mark.parametrize(("example", "event"), EVENT_EXAMPLES, ids=lambda of: type(of).__name__)
-def test_event_examples_of_the_page_are_decoded(example: str, event: Event) -> None:
-    assert read(bytes.fromhex(example)) == [(3, event)]
+@pytest.mark.parametrize(("example", "event"), EVENT_EXAMPLES, ids=lambda value: type(value).__name__)
+def test_documented_event_examples_are_decoded(example: str, event: Event) -> None:
+    assert read_events(bytes.fromhex(example)) == [(3, event)]
 
 
-@pytest.mark.parametrize(("action", "example"), ACTION_EXAMPLES, ids=lambda of: type(of).__name__)
-def test_action_examples_of_the_page_are_encoded(action: Action, example: str) -> None:
+@pytest.mark.parametrize(("action", "example"), ACTION_EXAMPLES, ids=lambda value: type(value).__name__)
+def test_documented_action_examples_are_encoded(action: Action, example: str) -> None:
     assert encode_action(3, action) == bytes.fromhex(example)
 
 
-def test_every_action_has_an_example_and_so_has_the_exception() -> None:
+def test_every_action_and_the_exception_have_an_example() -> None:
     assert {type(action) for action, _ in ACTION_EXAMPLES} == set(ENCODERS)
     example = "2e04 18000000 03000000 1200 696e646578206f7574206f662072616e6765"
     assert encode_exception(3, "index out of range") == bytes.fromhex(example)
@@ -177,45 +179,46 @@
 
 @settings(deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**52), strategies.integers(0, 2**32 - 1), strategies.integers(0, 120))
-def test_a_cut_off_frame_is_malformed(request_id: int, left_us: int, cut: int) -> None:
+def test_truncated_frame_raises_codec_error(request_id: int, time_left_us: int, cut_bytes: int) -> None:
     """The simulator ends in the middle of a frame. Whatever the place, the adapter must not take the rest for
     a batch, nor wait for more."""
-    whole = frame(
-        init(), record(1060, struct.pack("<IQfBHfQIfB", 3, request_id, 0.0, 0, 0, 1.0, 5, left_us, 1.0, 0))
+    complete_frame = make_frame(
+        make_init(),
+        make_record(1060, struct.pack("<IQfBHfQIfB", 3, request_id, 0.0, 0, 0, 1.0, 5, time_left_us, 1.0, 0)),
     )
-    [_, (_, event)] = list(read_batch(whole, {})[1])
-    assert (event.request_id, event.time_left_us) == (request_id, left_us)  # type: ignore[union-attr]
+    [_, (_, event)] = list(read_batch(complete_frame, {})[1])
+    assert (event.request_id, event.time_left_us) == (request_id, time_left_us)  # type: ignore[union-attr]
     with pytest.raises(CodecError):
-        serve(io.BytesIO(whole[: len(whole) - 1 - cut]), io.BytesIO())
+        serve(io.BytesIO(complete_frame[: len(complete_frame) - 1 - cut_bytes]), io.BytesIO())
 
 
 @pytest.mark.parametrize(
     ("malformed", "message"),
     [
-        (frame(record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
-        (frame(init(text=b"rank=1")), "discovery is missing"),
-        (frame(init(text=SETTINGS_TEXT.replace(b"rank=0", b"rank=x"))), "rank is not a number"),
-        (frame(record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
+        (make_frame(make_record(1010, struct.pack("<II", 8, 1))), "unknown instance 8"),
+        (make_frame(make_init(text=b"rank=1")), "discovery is missing"),
+        (make_frame(make_init(text=SETTINGS_TEXT.replace(b"rank=0", b"rank=x"))), "rank is not a number"),
+        (make_frame(make_record(1010, b"\x03\0\0\0\1\0")), "inside a field"),
         (struct.pack("<IIQ", 2, 16, 0), "record 0 of 2 is missing"),
     ],
 )
-def test_malformed_input_is_named_in_one_line(malformed: bytes, message: str) -> None:
+def test_malformed_input_ends_the_process_with_a_one_line_error(malformed: bytes, message: str) -> None:
     """Input that does not follow the wire, or settings that are wrong: the process ends with one line that
     says what, and writes no reply."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "yardlane.simulator.adapter"],
         input=malformed,
         capture_output=True,
         check=False,
     )
-    assert done.returncode != 0 and done.stdout == b""
-    assert message in done.stderr.decode() and done.stderr.count(b"\n") == 1
+    assert completed.returncode != 0 and completed.stdout == b""
+    assert message in completed.stderr.decode() and completed.stderr.count(b"\n") == 1
 
 
-def test_halt_then_init_in_one_batch_and_the_end_of_input() -> None:
+def test_instance_is_halted_and_initialized_again_in_one_batch() -> None:
     sink = io.BytesIO()
-    halt = record(1020, struct.pack("<I", 3))
-    serve(io.BytesIO(frame(init()) + frame(halt, init()) + frame()), sink)
+    halt = make_record(1020, struct.pack("<I", 3))
+    serve(io.BytesIO(make_frame(make_init()) + make_frame(halt, make_init()) + make_frame()), sink)
     replies = sink.getvalue()
     sizes = []
     offset = 0
@@ -225,7 +228,7 @@
     assert len(sizes) == 3 and sizes[-1] == 8
 
 
-def test_a_decision_that_raises_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     """A fault of the decisions raises. The simulator gets its text in a record, as the process must not end
     without a reply."""
 
@@ -233,5 +236,5 @@
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr("yardlane.simulator.adapter.Gateway.handle", fail)
-    reply = Adapter().reply(frame(init()))
+    reply = Adapter().handle_batch(make_frame(make_init()))
     assert struct.unpack_from("<H", reply, 8)[0] == 1070 and b"out of luck" in reply
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -28,7 +28,7 @@
         (r"quota_plans\[1\].rate_per_s", {"quota_plans": (PLANS[0], replace(PLANS[1], rate_per_s=-2.0))}),
     ],
 )
-def test_wrong_settings_name_their_field(field: str, changes: dict[str, Any]) -> None:
+def test_error_for_invalid_settings_names_the_field(field: str, changes: dict[str, Any]) -> None:
     with pytest.raises(SettingsError, match=field):
         make_settings(**changes)
 
@@ -36,13 +36,15 @@
 @pytest.mark.parametrize(
     ("field", "quota_plan", "request_class"), [("quota_plan", 9, 0), ("request_class", 0, 7)]
 )
-def test_an_unknown_class_or_plan_is_named(field: str, quota_plan: int, request_class: int) -> None:
+def test_error_for_an_unknown_class_or_plan_names_the_field(
+    field: str, quota_plan: int, request_class: int
+) -> None:
     gateway = Gateway(make_settings(), seed=1)
     with pytest.raises(SettingsError, match=field):
         gateway.handle(0, [RequestArrived(1, 5, quota_plan, request_class, 1_000_000, 1.0, 0, 3)])
 
 
-def test_an_outcome_of_an_unknown_request_changes_nothing() -> None:
+def test_end_of_an_attempt_of_an_unknown_request_is_ignored() -> None:
     """The end of an attempt arrives for a request that the gateway has no record of. Counted, it would make
     the attempts in flight wrong for good."""
     driver = GatewayDriver()
@@ -50,7 +52,7 @@
     assert driver.gateway.concurrency.in_flight == 0
 
 
-def test_wrong_settings_end_the_adapter_with_one_line(
+def test_invalid_settings_end_the_adapter_with_a_one_line_error(
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -14,7 +14,7 @@
 from yardlane.units import US_PER_S
 
 # One that stalls or is lost holds up its part of the keys alone; each costs a descriptor.
-CONNECTIONS = 4
+CONNECTION_COUNT = 4
 
 
 class CounterClient:
@@ -41,7 +41,7 @@
         """Start a call."""
         self._send(CounterCall(action.counter_key, format_add(action), self.loop.time()))
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Send new calls to another address; each call that is written ends where it was written."""
         if address == self.address:
             return
@@ -55,14 +55,14 @@
     def _make_connections(self) -> list[CounterConnection]:
         return [
             CounterConnection(self.address, self.timeout_s, self.on_result, self.loop)
-            for _ in range(CONNECTIONS)
+            for _ in range(CONNECTION_COUNT)
         ]
 
     def _send(self, call: CounterCall) -> None:
-        index = zlib.crc32(b"%x" % call.key) % CONNECTIONS
+        index = zlib.crc32(b"%x" % call.key) % CONNECTION_COUNT
         self.connections[index].send(call)
 
     def _check_connections(self) -> None:
         self.loop.call_later(PING_INTERVAL_S / 2, self._check_connections)
         for connection in self.connections:
-            connection.check_alive()
+            connection.check_liveness()
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -92,7 +92,7 @@
         self.reconnect_not_before_s = 0.0
         self.last_progress_at_s = 0.0  # the last line, or the first call after a time without any
         self.last_call_at_s = 0.0
-        self.has_answered = False  # this connection has
+        self.has_received_reply = False  # this connection has
         self.is_failing = False  # a failure was logged, and no answer came since
         self.is_closing = False  # for good: the counter has moved
 
@@ -116,7 +116,7 @@
             left_s = call.started_at_s + self.timeout_s - self.loop.time()
             self.call_timer = self.loop.call_later(max(0.0, left_s), self._time_out_calls)
 
-    def check_alive(self) -> None:
+    def check_liveness(self) -> None:
         """Drop the connection if it is dead; ping if it is idle, as the counter would close it."""
         if self.transport is None:
             return
@@ -174,7 +174,7 @@
             return
         self.transport = transport
         self.buffer = b""
-        self.has_answered = False
+        self.has_received_reply = False
         self.last_progress_at_s = self.loop.time()
         self.calls = deque(call for call in self.calls if not call.has_result)
         for call in self.calls:
@@ -196,7 +196,7 @@
         transport = self.transport
         self.transport = None
         # One that has just answered is worth another connection at once.
-        delay_s = 0.0 if transport is not None and self.has_answered else RECONNECT_DELAY_S
+        delay_s = 0.0 if transport is not None and self.has_received_reply else RECONNECT_DELAY_S
         self.reconnect_not_before_s = self.loop.time() + delay_s
         calls = self.calls
         self.calls = deque()
@@ -216,7 +216,7 @@
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         try:
             for line in lines:
-                self._take_line(line)
+                self._handle_line(line)
             if len(self.buffer) > MAX_LINE_BYTES:
                 raise MalformedCounterReply(self.buffer[:MAX_LOGGED_BYTES])
         except MalformedCounterReply as error:
@@ -225,7 +225,7 @@
         if self.is_closing and not self.calls:
             self._drop("moved")
 
-    def _take_line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         """Answer the oldest call. MalformedCounterReply where the line does not answer it."""
         self.last_progress_at_s = self.loop.time()
         if not self.calls:
@@ -239,15 +239,15 @@
         except MalformedCounterReply:
             self._finish(call, call.unanswered_outcome())
             raise
-        self._note_answer()
+        self._record_reply()
         if reply.is_error:
             log.warning(
                 "counter answered %r to call %r", line[:MAX_LOGGED_BYTES], call.line[:MAX_LOGGED_BYTES]
             )
         self._finish(call, reply.outcome, reply.total)
 
-    def _note_answer(self) -> None:
-        self.has_answered = True
+    def _record_reply(self) -> None:
+        self.has_received_reply = True
         if self.is_failing:
             self.is_failing = False
             log.info("counter answers again")
--- a/yardlane/proxy/counter_protocol.py
+++ b/yardlane/proxy/counter_protocol.py
@@ -19,7 +19,7 @@
 
 PING = b"ping\r\n"
 # float() takes more than this: 1_0, nan.
-TOTAL = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,3})?")
+TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,3})?")
 MAX_LOGGED_BYTES = 80
 
 
@@ -45,7 +45,7 @@
         return CounterReply(Outcome.REJECTED)
     if words[:1] == [b"error"]:
         return CounterReply(Outcome.REJECTED, is_error=True)
-    if len(words) == 2 and words[0] == b"ok" and TOTAL.fullmatch(words[1]):
+    if len(words) == 2 and words[0] == b"ok" and TOTAL_PATTERN.fullmatch(words[1]):
         total = float(words[1])
         if math.isfinite(total):
             return CounterReply(Outcome.OK, total)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -153,7 +153,7 @@
     def move_counter(self, address: Address | None) -> None:
         """The counter has another address; None changes nothing."""
         if self.counter is not None and address is not None:
-            self.counter.move(address)
+            self.counter.change_address(address)
 
     def drain(self, deadline_us: int) -> None:
         """Answer by then all requests in flight, and all that still come."""
--- a/yardlane/simulator/action_encoder.py
+++ b/yardlane/simulator/action_encoder.py
@@ -47,11 +47,11 @@
     FETCH_ENDPOINTS = 1120  # READ_LIST
 
 
-def _encoder(code: ActionCode, formats: str) -> Callable[..., bytes]:
+def _make_encoder(code: ActionCode, formats: str) -> Callable[..., bytes]:
     """Encodes the values of a record that has fixed fields; the first is the instance."""
-    packed = struct.Struct("<HI" + formats)
-    length = packed.size - RECORD_HEADER.size
-    return lambda *values: packed.pack(code, length, *values)
+    record_struct = struct.Struct("<HI" + formats)
+    length = record_struct.size - RECORD_HEADER.size
+    return lambda *values: record_struct.pack(code, length, *values)
 
 
 def _encode_content(code: ActionCode, fields: bytes, content: bytes) -> bytes:
@@ -70,29 +70,29 @@
     return _encode_content(ActionCode.SEND_GOSSIP, struct.pack("<II", instance, recipient), action.content)
 
 
-_fail = _encoder(ActionCode.FAIL, "IQ")
-_watch_endpoints = _encoder(ActionCode.WATCH_ENDPOINTS, "IB")
-_start_attempt = _encoder(ActionCode.START_ATTEMPT, "IQi6s")
-_check_health = _encoder(ActionCode.CHECK_HEALTH, "I6s")
-_reject = _encoder(ActionCode.REJECT, "IQI")
-_close_idle_connections = _encoder(ActionCode.CLOSE_IDLE_CONNECTIONS, "I6s")
-_set_timer = _encoder(ActionCode.SET_TIMER, "III")
-_add_to_counter = _encoder(ActionCode.ADD_TO_COUNTER, "IQfI")
-_cancel_attempt = _encoder(ActionCode.CANCEL_ATTEMPT, "IQB")
-_fetch_endpoints = _encoder(ActionCode.FETCH_ENDPOINTS, "I")
+_encode_fail = _make_encoder(ActionCode.FAIL, "IQ")
+_encode_watch_endpoints = _make_encoder(ActionCode.WATCH_ENDPOINTS, "IB")
+_encode_start_attempt = _make_encoder(ActionCode.START_ATTEMPT, "IQi6s")
+_encode_check_health = _make_encoder(ActionCode.CHECK_HEALTH, "I6s")
+_encode_reject = _make_encoder(ActionCode.REJECT, "IQI")
+_encode_close_idle_connections = _make_encoder(ActionCode.CLOSE_IDLE_CONNECTIONS, "I6s")
+_encode_set_timer = _make_encoder(ActionCode.SET_TIMER, "III")
+_encode_add_to_counter = _make_encoder(ActionCode.ADD_TO_COUNTER, "IQfI")
+_encode_cancel_attempt = _make_encoder(ActionCode.CANCEL_ATTEMPT, "IQB")
+_encode_fetch_endpoints = _make_encoder(ActionCode.FETCH_ENDPOINTS, "I")
 
 ENCODERS: dict[type, Callable[[int, Any], bytes]] = {
     # The wire has no field for `send_within_us`.
-    StartAttempt: lambda i, a: _start_attempt(i, a.request_id, a.timeout_us, a.endpoint_id),
-    CancelAttempt: lambda i, a: _cancel_attempt(i, a.request_id, a.attempt_index),
-    Reject: lambda i, a: _reject(i, a.request_id, a.retry_after_us),
-    Fail: lambda i, a: _fail(i, a.request_id),
-    AddToCounter: lambda i, a: _add_to_counter(i, a.counter_key, a.amount, a.lifetime_us),
-    SetTimer: lambda i, a: _set_timer(i, a.delay_us, a.token),
-    CheckHealth: lambda i, a: _check_health(i, a.endpoint_id),
-    CloseIdleConnections: lambda i, a: _close_idle_connections(i, a.endpoint_id),
-    FetchEndpoints: lambda i, a: _fetch_endpoints(i),
-    WatchEndpoints: lambda i, a: _watch_endpoints(i, a.enabled),
+    StartAttempt: lambda i, a: _encode_start_attempt(i, a.request_id, a.timeout_us, a.endpoint_id),
+    CancelAttempt: lambda i, a: _encode_cancel_attempt(i, a.request_id, a.attempt_index),
+    Reject: lambda i, a: _encode_reject(i, a.request_id, a.retry_after_us),
+    Fail: lambda i, a: _encode_fail(i, a.request_id),
+    AddToCounter: lambda i, a: _encode_add_to_counter(i, a.counter_key, a.amount, a.lifetime_us),
+    SetTimer: lambda i, a: _encode_set_timer(i, a.delay_us, a.token),
+    CheckHealth: lambda i, a: _encode_check_health(i, a.endpoint_id),
+    CloseIdleConnections: lambda i, a: _encode_close_idle_connections(i, a.endpoint_id),
+    FetchEndpoints: lambda i, a: _encode_fetch_endpoints(i),
+    WatchEndpoints: lambda i, a: _encode_watch_endpoints(i, a.enabled),
     SendGossip: _encode_gossip,
     LogMessage: lambda i, a: _encode_text(ActionCode.LOG_MESSAGE, i, a.text),
 }
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -27,7 +27,7 @@
         self.gateways: dict[int, Gateway] = {}
         self.columns: dict[int, Columns] = {}
 
-    def reply(self, frame: bytes) -> bytes:
+    def handle_batch(self, frame: bytes) -> bytes:
         """The reply to one batch."""
         clock_us, records = read_batch(frame, self.columns)
         events_by_instance: dict[int, list[Event]] = {}
@@ -67,7 +67,7 @@
         frame = header + source.read(size - len(header))
         if len(frame) < size:
             raise CodecError(f"frame of {size} bytes cut off after {len(frame)}")
-        sink.write(adapter.reply(frame))
+        sink.write(adapter.handle_batch(frame))
         sink.flush()
 
 
--- a/yardlane/simulator/codec.py
+++ b/yardlane/simulator/codec.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 
 from yardlane.errors import CodecError
-from yardlane.simulator.event_decoder import Columns, Decoded, decode_event
+from yardlane.simulator.event_decoder import Columns, DecodedRecord, decode_event
 
 BATCH_HEADER = struct.Struct("<IIQ")
 RECORD_HEADER = struct.Struct("<HI")
@@ -26,7 +26,7 @@
     return size
 
 
-def read_batch(data: bytes, columns: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, Decoded]]]:
+def read_batch(data: bytes, columns: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, DecodedRecord]]]:
     """The clock in µs, and the events, each with its instance. CodecError for a frame that is not whole.
 
     Events are decoded as they are taken: an `Init` may bring the `columns` by which a later one is read.
@@ -41,7 +41,7 @@
 
 def _read_records(
     frame: memoryview, count: int, columns: dict[int, Columns]
-) -> Iterator[tuple[int, Decoded]]:
+) -> Iterator[tuple[int, DecodedRecord]]:
     offset = BATCH_HEADER.size
     for number in range(count):
         if offset + RECORD_HEADER.size > len(frame):
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -68,7 +68,7 @@
     """An instance was killed."""
 
 
-Decoded = Event | Init | Halt
+DecodedRecord = Event | Init | Halt
 
 
 INSTANCE = struct.Struct("<I")  # door_id, the first field of each record
@@ -123,7 +123,7 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_SENT,
 }
-STATES = {
+ENDPOINT_STATES = {
     0: EndpointState.REMOVED,
     1: EndpointState.READY,
     2: EndpointState.DRAINING,
@@ -138,7 +138,7 @@
 
 def decode_event(
     code: int, frame: memoryview, start: int, end: int, columns: dict[int, Columns]
-) -> tuple[int, Decoded] | None:
+) -> tuple[int, DecodedRecord] | None:
     """The instance and the event of a record whose fields are `frame[start:end]`; None for an unknown code.
 
     CodecError where the fields do not follow the wire, SettingsError where an instance's settings are wrong.
@@ -159,24 +159,26 @@
         raise CodecError(f"unknown {name} {value} in the record at byte {start}") from None
 
 
-def _content(frame: memoryview, start: int, end: int, size: int, name: str) -> memoryview:
+def _read_content(frame: memoryview, start: int, end: int, size: int, name: str) -> memoryview:
     """What follows the fields, of a size that one of them gives."""
     if start + size > end:
         raise CodecError(f"{name} of {size} bytes passes the end of its record at byte {end}")
     return frame[start : start + size]
 
 
-def _load_report(frame: memoryview, start: int, end: int, count: int, columns: Columns) -> LoadReport | None:
+def _decode_load_report(
+    frame: memoryview, start: int, end: int, count: int, columns: Columns
+) -> LoadReport | None:
     if count == 0:
         return None
     size = count * LOAD_VALUE.size
-    values = struct.unpack(f"<{count}f", _content(frame, start, end, size, "load report"))
+    values = struct.unpack(f"<{count}f", _read_content(frame, start, end, size, "load report"))
     reported = dict(zip(columns, values, strict=False))
     fields = {field: reported[name] for name, field in LOAD_REPORT_FIELDS.items() if name in reported}
     return LoadReport(**fields)
 
 
-def _attempt_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_attempt_ended(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     fields = ATTEMPT_ENDED_LAYOUT.read(frame, start, end)
     _, request_id, elapsed_us, attempt_index, outcome, request_ended, endpoint_id, usage, _, count = fields
     return AttemptEnded(
@@ -187,40 +189,42 @@
         elapsed_us=elapsed_us,
         request_ended=bool(request_ended),
         usage_percent=usage - 1 if usage else None,  # 1 more than the percentage; 0 is absent
-        load=_load_report(frame, start + ATTEMPT_ENDED_LAYOUT.size, end, count, columns),
+        load=_decode_load_report(frame, start + ATTEMPT_ENDED_LAYOUT.size, end, count, columns),
     )
 
 
-def _timer_fired(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_timer_fired(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, token = TIMER_FIRED_LAYOUT.read(frame, start, end)
     return TimerFired(token)
 
 
-def _halt(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_halt(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     return Halt()
 
 
-def _health_check_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_health_check_ended(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, elapsed_us, endpoint_id, outcome, count = HEALTH_CHECK_ENDED_LAYOUT.read(frame, start, end)
-    load = _load_report(frame, start + HEALTH_CHECK_ENDED_LAYOUT.size, end, count, columns)
+    load = _decode_load_report(frame, start + HEALTH_CHECK_ENDED_LAYOUT.size, end, count, columns)
     return HealthCheckEnded(endpoint_id, _look_up(OUTCOMES, outcome, "outcome", start), elapsed_us, load)
 
 
-def _counter_result(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_counter_result(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, elapsed_us, counter_key, outcome, total = COUNTER_RESULT_LAYOUT.read(frame, start, end)
     return CounterResult(counter_key, _look_up(OUTCOMES, outcome, "outcome", start), total, elapsed_us)
 
 
-def _init(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_init(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, seed, size = INIT_LAYOUT.read(frame, start, end)
-    text = bytes(_content(frame, start + INIT_LAYOUT.size, end, size, "settings")) if size else b""
+    text = bytes(_read_content(frame, start + INIT_LAYOUT.size, end, size, "settings")) if size else b""
     settings, own_columns = parse_settings(text)
     return Init(seed, settings, own_columns)
 
 
-def _request_arrived(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_request_arrived(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     fields = REQUEST_ARRIVED_LAYOUT.read(frame, start, end)
-    _, request_id, first, request_class, plan, gateway_count, tenant, time_left_us, units, attrs = fields
+    _, request_id, first_gateway, request_class, plan, gateway_count, tenant, time_left_us, units, attrs = (
+        fields
+    )
     return RequestArrived(
         request_id=request_id,
         tenant=tenant,
@@ -228,39 +232,39 @@
         request_class=request_class,
         time_left_us=time_left_us,
         units=units,
-        first_gateway=int(first),
+        first_gateway=int(first_gateway),
         gateway_count=int(gateway_count),
         is_retry=bool(attrs & IS_RETRY_BIT),
         is_write=bool(attrs & IS_WRITE_BIT),
     )
 
 
-def _stream_started(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_stream_started(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, request_id, attempt_index, endpoint_id, elapsed_us = STREAM_STARTED_LAYOUT.read(frame, start, end)
     return StreamStarted(request_id, attempt_index, endpoint_id, elapsed_us)
 
 
-def _request_ended(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_request_ended(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, request_id = REQUEST_ENDED_LAYOUT.read(frame, start, end)
     return RequestEnded(request_id)
 
 
-def _gossip(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_gossip(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, sender, size = GOSSIP_LAYOUT.read(frame, start, end)
-    content = bytes(_content(frame, start + GOSSIP_LAYOUT.size, end, size, "message")) if size else b""
+    content = bytes(_read_content(frame, start + GOSSIP_LAYOUT.size, end, size, "message")) if size else b""
     return Gossip(sender, content)
 
 
-def _endpoint_list_update(frame: memoryview, start: int, end: int, columns: Columns) -> Decoded:
+def _decode_endpoint_list_update(frame: memoryview, start: int, end: int, columns: Columns) -> DecodedRecord:
     _, update_kind, version, count = ENDPOINT_LIST_UPDATE_LAYOUT.read(frame, start, end)
     entries: bytes | memoryview = b""
     if count:
         size = count * LIST_ENTRY.size
-        entries = _content(frame, start + ENDPOINT_LIST_UPDATE_LAYOUT.size, end, size, "endpoint list")
+        entries = _read_content(frame, start + ENDPOINT_LIST_UPDATE_LAYOUT.size, end, size, "endpoint list")
     endpoints = tuple(
         Endpoint(
             endpoint_id,
-            _look_up(STATES, state, "endpoint state", start),
+            _look_up(ENDPOINT_STATES, state, "endpoint state", start),
             started_at_us,
             weight,
             zone,
@@ -274,16 +278,16 @@
     return EndpointListUpdate(_look_up(UPDATE_KINDS, update_kind, "list kind", start), version, endpoints)
 
 
-DECODERS: dict[int, Callable[[memoryview, int, int, Columns], Decoded]] = {
-    EventCode.ATTEMPT_ENDED: _attempt_ended,
-    EventCode.TIMER_FIRED: _timer_fired,
-    EventCode.HALT: _halt,
-    EventCode.HEALTH_CHECK_ENDED: _health_check_ended,
-    EventCode.COUNTER_RESULT: _counter_result,
-    EventCode.INIT: _init,
-    EventCode.REQUEST_ARRIVED: _request_arrived,
-    EventCode.STREAM_STARTED: _stream_started,
-    EventCode.REQUEST_ENDED: _request_ended,
-    EventCode.GOSSIP: _gossip,
-    EventCode.ENDPOINT_LIST_UPDATE: _endpoint_list_update,
+DECODERS: dict[int, Callable[[memoryview, int, int, Columns], DecodedRecord]] = {
+    EventCode.ATTEMPT_ENDED: _decode_attempt_ended,
+    EventCode.TIMER_FIRED: _decode_timer_fired,
+    EventCode.HALT: _decode_halt,
+    EventCode.HEALTH_CHECK_ENDED: _decode_health_check_ended,
+    EventCode.COUNTER_RESULT: _decode_counter_result,
+    EventCode.INIT: _decode_init,
+    EventCode.REQUEST_ARRIVED: _decode_request_arrived,
+    EventCode.STREAM_STARTED: _decode_stream_started,
+    EventCode.REQUEST_ENDED: _decode_request_ended,
+    EventCode.GOSSIP: _decode_gossip,
+    EventCode.ENDPOINT_LIST_UPDATE: _decode_endpoint_list_update,
 }
