--- a/yardlane/proxy/__init__.py
+++ b/yardlane/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP on sockets: client connections, upstream connections, discovery and counter. Decides nothing."""
+"""HTTP on sockets: client and upstream connections, discovery and the shared counter. Makes no decisions."""
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -1,16 +1,22 @@
-"""The loop round the decisions: all events of one turn of the event loop go to them together.
-
-A fault in the decisions must not stop the requests beside it. It shows as an exception of `Decider.handle`.
-Then the request of the event that was being handled fails, what was decided before the exception stands, and
-the events behind it come once more in the next turn. So a request that always raises costs only itself. An
-event that names no request (`EndpointListUpdate`, `CounterResult`) is lost; a request that waits for that
-result is left to its deadline.
-
-Two cases lie outside the events. A timer that raises, once all events are handled, counts against the last
-event: its request fails although it was handled, as nothing here tells the two apart. What raises before the
-first event fails no request: all events come once more in the next turn, without a pause, and if it raised
-each time that would be a busy loop. `Decider.actions` may still be those of the call before then, and would
-be carried out once more. `Gateway` reads no event there, it only updates its own clock and timers.
+"""Runs the decider: passes all events of one turn of the event loop to it in one call.
+
+An exception of `Decider.handle` must not stop the other requests. It is handled as follows:
+
+- The request of the event that was being handled fails.
+- The actions that were decided before the exception are carried out.
+- The events after that event are passed to the decider again in the next turn.
+
+So a request whose events always raise an exception only harms itself. An event that names no request
+(`EndpointListUpdate`, `CounterResult`) is lost; a request that waits for its result waits until its deadline.
+
+In two cases the exception does not belong to an event:
+
+- A timer of the decider raises it after all events have been handled. This cannot be told apart from an
+  exception of the last event, so the request of that event fails although the event was handled.
+- It is raised before the first event. No request fails, and all events are passed to the decider again in
+  the next turn, without a delay. If the exception recurred each time, this would be a busy loop.
+  `Decider.actions` may still hold the actions of the previous call, which would then be carried out again.
+  `Gateway` reads no event at that point; it only updates its own state, such as its clock and timers.
 """
 
 from __future__ import annotations
@@ -27,13 +33,15 @@
 
 log = logging.getLogger("yardlane.proxy.decision_loop")
 
-# Between a failed decision and the next look at what is due: a timer that raises each time is no busy loop.
+# The delay between an exception in the decider and the extra turn for what is due. It prevents a busy loop if
+# a timer raises an exception each time.
 RECOVERY_DELAY_US = 10_000
-ANY_TOKEN = 0  # of a timer that nobody set; the decisions look at all that is due, whatever the token
+# The token of a `TimerFired` without a `SetTimer`. The decider handles all that is due, whatever the token.
+ANY_TOKEN = 0
 
 
 class EventBatch(list[Event]):
-    """The events of one turn; `started_count` counts those that the decisions have begun to handle."""
+    """The events of one turn; `started_count` of them have been handled or are being handled."""
 
     started_count = 0
 
@@ -43,27 +51,27 @@
             yield self[index]
 
     def last_started(self) -> Event | None:
-        """The event whose handling began last; None where the decisions raised before the first one."""
+        """Return the event whose handling began last, or None if no event has been started."""
         if not self.started_count:
             return None
         return self[self.started_count - 1]
 
 
 class ActionHandler(Protocol):
-    """What carries out the decisions."""
+    """Carries out the actions that the decider returns."""
 
     def apply(self, action: Action) -> None:
         """Carry out one action."""
 
     def fail_request(self, request_id: int) -> None:
-        """Give the request its final answer: the decisions have failed on it."""
+        """Fail the request, because the decider raised an exception while handling one of its events."""
 
     def forget_request(self, request_id: int) -> None:
-        """The decisions have been notified of its end, and refer to it no more."""
+        """Forget the request: the decider has been notified of its end and will not refer to it any more."""
 
 
 class DecisionLoop:
-    """Hands events to one `Decider`, and its actions to one handler."""
+    """Passes events to one `Decider`, and the actions that it returns to one `ActionHandler`."""
 
     def __init__(
         self, decider: Decider, handler: ActionHandler, clock: Clock, loop: asyncio.AbstractEventLoop
@@ -77,21 +85,21 @@
         self.is_scheduled = False
 
     def post(self, event: Event) -> None:
-        """Queue an event for the next turn."""
+        """Queue an event for the next turn, and schedule that turn if it is not scheduled yet."""
         self.events.append(event)
         if not self.is_scheduled:
             self.is_scheduled = True
             self.loop.call_soon(self._run_turn)
 
     def schedule_turn(self) -> None:
-        """Let the decisions look at what is due, though nothing has happened."""
+        """Schedule a turn although nothing has happened, so that the decider handles what is due."""
         self.post(TimerFired(ANY_TOKEN))
 
     def forget_after_turn(self, request_id: int) -> None:
-        """Forget a request whose end is posted next, once the decisions have been notified.
+        """Forget a request after the next turn; the caller posts the event of its end right after this call.
 
-        No sooner: an attempt that they start in the same turn, before they read of the end, is owed an
-        `AttemptEnded` as well.
+        The request cannot be forgotten earlier. The decider may start an attempt in the same turn, before it
+        handles the end of the request, and an `AttemptEnded` must follow for that attempt too.
         """
         self.ended_request_ids.append(request_id)
 
@@ -105,26 +113,32 @@
             actions = self.decider.handle(self.clock.now_us(), events)
         except Exception:
             event = events.last_started()
-            log.exception("a decision failed on %s", "no event" if event is None else type(event).__name__)
+            log.exception(
+                "the decider raised an exception; the last event that it began to handle: %s",
+                "no event" if event is None else type(event).__name__,
+            )
             actions = self._recover(events)
-            # The decisions may not have read of these ends; they do so in the next turn.
+            # The decider may not have handled the ends of these requests yet; it does so in the next turn.
             self.ended_request_ids = ended_request_ids + self.ended_request_ids
             ended_request_ids = []
         for action in actions:
             try:
                 self.handler.apply(action)
-            except Exception:  # one action's failure must not stop the others
-                log.exception("%r failed", action)
+            except Exception:  # a failing action must not stop the others
+                log.exception("could not carry out action %r", action)
         for request_id in ended_request_ids:
             self.handler.forget_request(request_id)
 
     def _recover(self, events: EventBatch) -> list[Action]:
-        """Fail the request of the event begun last, post the events behind it; the actions until then."""
+        """Fail the request of the event started last, and post the later events again.
+
+        Return the actions that were decided before the exception.
+        """
         request_id = getattr(events.last_started(), "request_id", None)
         if request_id is not None:
             self.handler.fail_request(request_id)
         for event in events[events.started_count :]:
             self.post(event)
-        # Work that was due in this turn may be undone, and no timer is left to ask for it.
+        # Work that was due in this turn may not have been done, and no timer is left that would trigger it.
         call_after(self.loop, RECOVERY_DELAY_US, self.schedule_turn)
         return list(self.decider.actions)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -1,8 +1,9 @@
-"""Serves the clients' requests: notifies the decisions, and carries out what they decide.
+"""Serves the requests of clients: passes events to the decider and carries out the actions that it returns.
 
-A request ends in one place, `Proxy._end_request`: by a response, by `Reject` or `Fail`, by its client's
-leaving, or, where the decisions let its time pass, by its watchdog timer. It is forgotten once all its
-attempts have ended and the decisions have been notified of that.
+Every request ends in `Proxy._end_request`: with the response of an upstream, with a `Reject` or a `Fail` of
+the decider, when its client connection ends, at the end of the graceful shutdown, or, if the decider does not
+answer it, by its watchdog timer or after an exception in the decider. The proxy forgets a request once all
+its attempts have ended and the decider has been notified of that.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
 
 
 class Proxy:
-    """Transport for one `Decider`: it decides nothing itself."""
+    """Connects one `Decider` to the sockets of clients and upstreams; makes no decisions itself."""
 
     def __init__(
         self, config: Config, decider: Decider, pool: UpstreamPool, loop: asyncio.AbstractEventLoop
@@ -76,7 +77,7 @@
         self.last_request_id = 0
         self.addresses: Addresses = {}
         self.has_endpoint_list = False
-        self.drain_deadline_us = 0  # when all must be answered; 0 while in service
+        self.drain_deadline_us = 0  # when all requests must be answered; 0 before the graceful shutdown
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
             CancelAttempt: self._cancel_attempt,
@@ -84,13 +85,13 @@
             Fail: self._fail,
             AddToCounter: self._add_to_counter,
             SetTimer: self._set_timer,
-            WatchEndpoints: lambda _: None,  # the watch always runs
+            WatchEndpoints: lambda _: None,  # the endpoint list is always watched
         }
 
-    # From the clients
+    # Called by the client connections
 
     def handle_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
-        """A valid request of a client."""
+        """Start to serve a valid request: register it and notify the decider of its arrival."""
         now_us = self.clock.now_us()
         time_left_us = parsed.time_left_us
         if self.drain_deadline_us:
@@ -120,26 +121,36 @@
         )
 
     def on_client_disconnected(self, client_request: ClientRequest) -> None:
-        """The client has left; attempts that may have run go on and still count as in flight."""
+        """Called when the client of a request has disconnected; ends the request without an answer.
+
+        Attempts that the upstream may have begun to process continue and still count as in flight.
+        """
         self._end_without_decision(client_request.request_id)
 
     def abandon_request(self, client_request: ClientRequest) -> None:
-        """The connection ends and cannot wait for the answer; attempts go on as above."""
+        """Fail a request with status 502 at once, because its connection is about to be closed.
+
+        Attempts that the upstream may have begun to process continue and still count as in flight.
+        """
         self._end_without_decision(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
     def is_ready(self) -> bool:
-        """Whether there is an endpoint list; a cached one counts once a poll of discovery has failed."""
+        """Return whether there is an endpoint list to use.
+
+        A cached list counts only once a poll of discovery has failed.
+        """
         return self.has_endpoint_list
 
-    # From discovery and the configuration
+    # Called by discovery, on a reload of the configuration and on the graceful shutdown
 
     def apply_update(self, update: EndpointListUpdate, addresses: Addresses) -> None:
-        """A change of the endpoint list, with the addresses that could be read."""
+        """Apply an update of the endpoint list; `addresses` holds the addresses decoded from it."""
         if update.kind is not UpdateKind.CACHED:
             self.has_endpoint_list = True
         old_addresses = self.addresses
         self.addresses = addresses_after(old_addresses, update, addresses)
-        # Posted before the attempts that end by it, so that no retry goes to an endpoint that drains as well.
+        # The update is posted before the attempts that it ends. Otherwise the decider could send a retry to
+        # another endpoint that the same update marks as draining.
         self.post(update)
         for endpoint_id, address in old_addresses.items():
             if self.addresses.get(endpoint_id) != address:
@@ -149,16 +160,22 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def on_poll_failed(self) -> None:
-        """No list came of a poll: the cached one must do, though it may name what has long gone."""
+        """Called when a poll of discovery has failed; lets the cached endpoint list count, if there is one.
+
+        The cached list may name endpoints that no longer exist.
+        """
         self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
 
     def set_counter_address(self, address: Address | None) -> None:
-        """The counter has another address; None changes nothing."""
+        """Use the shared counter at another address from now on; None changes nothing."""
         if self.counter is not None and address is not None:
             self.counter.move(address)
 
     def drain(self, deadline_us: int) -> None:
-        """Answer by then all requests in flight, and all that still come."""
+        """Answer all requests by `deadline_us`, including those that have yet to arrive.
+
+        Requests that are still unanswered then are failed with status 500.
+        """
         self.drain_deadline_us = deadline_us
         call_after(self.loop, deadline_us - self.clock.now_us(), self._end_all_requests)
 
@@ -166,10 +183,13 @@
         for request_id in list(self.requests):
             self._end_without_decision(request_id, Status.INTERNAL_SERVER_ERROR, SHUTDOWN_BODY)
 
-    # The end of a request
+    # Ending requests
 
     def _end_request(self, request: RequestInFlight) -> None:
-        """The one place where a request ends. Attempts that may have run go on; the others are not sent."""
+        """End a request. No other function does this.
+
+        Attempts that the upstream may have begun to process continue; the others are not sent.
+        """
         request.has_ended = True
         if request.watchdog_timer is not None:
             request.watchdog_timer.cancel()
@@ -178,7 +198,10 @@
                 attempt.finish(Outcome.NOT_SENT)
 
     def _end_without_decision(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
-        """End a request without a decision, and notify the decisions. Without a status it gets no answer."""
+        """End a request for which there is no decision, and notify the decider.
+
+        With a `status` of 0 the client gets no answer. A request that has already ended is left as it is.
+        """
         request = self.requests.get(request_id)
         if request is None or request.has_ended:
             return
@@ -190,57 +213,62 @@
         self.post(RequestEnded(request_id))
 
     def _end_by_decision(self, request_id: int, request: RequestInFlight) -> None:
-        """End a request by a decision, of which the decisions need no notice."""
+        """End a request by a decision. The decider made that decision, so it needs no notification."""
         self._end_request(request)
         if not request.attempts_in_flight:
             self.forget_request(request_id)
 
     def _on_watchdog_expired(self, request_id: int) -> None:
-        """A request's time and its grace are over. The decisions may still answer first.
+        """Called when the deadline of a request and the grace period after it have passed.
 
-        Where the process stood still, their own timer is due only now, and a rejection of theirs tells the
-        client more than a failure. So they get a turn, and the watchdog answers behind it.
+        The decider gets a turn first, and the request fails only if it is unanswered after that. If the
+        process was stalled, the decider's own timer is only due now as well. A rejection by the decider tells
+        the client more than a failure does.
         """
         self.decision_loop.schedule_turn()
         self.loop.call_soon(self._fail_if_unanswered, request_id)
 
     def _fail_if_unanswered(self, request_id: int) -> None:
-        """The decisions have let the request's time pass; its client is still owed an answer."""
+        """Fail the request if the decider has not answered it in time: its client must get an answer."""
         request = self.requests.get(request_id)
         if request is not None and not request.has_ended:
             trace_id = request.parsed.trace_id.decode("latin-1")
-            log.error("request %s (internal number %d) was left unanswered", trace_id, request_id)
+            log.error(
+                "request %s (request id %d) got no answer from the decider in time; failing it",
+                trace_id,
+                request_id,
+            )
             self.fail_request(request_id)
 
-    # For the decision loop
+    # Called by the decision loop
 
     def apply(self, action: Action) -> None:
         """Carry out one action."""
         handler = self.action_handlers.get(type(action))
-        if handler is None:  # one that the gateway never asks for
-            log.warning("no handler for action %s", type(action).__name__)
+        if handler is None:  # an action that `Gateway` never returns
+            log.warning("ignoring action %s: the proxy has no handler for it", type(action).__name__)
         else:
             handler(action)
 
     def fail_request(self, request_id: int) -> None:
-        """Give the request its final answer where the decisions do not."""
+        """Fail the request with status 500 because the decider gives it no answer."""
         self._end_without_decision(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
 
     def forget_request(self, request_id: int) -> None:
-        """The decisions refer to the request no more."""
+        """Forget the request: the decider will not refer to it any more."""
         self.requests.pop(request_id, None)
 
     # Attempts
 
     def _start_attempt(self, action: StartAttempt) -> None:
-        """Each `StartAttempt` of a known request gets one `AttemptEnded`, also where nothing is sent.
+        """Start an attempt. For a known request, exactly one `AttemptEnded` follows, even if nothing is sent.
 
-        One function for all steps, as it runs for each attempt and a call costs time: register the attempt,
-        find what forbids it, fill it in, hand it to the pool.
+        All steps are in one function, because it runs for each attempt and every call costs time: register
+        the attempt, check whether it may be sent, fill in its details, pass it to the pool.
         """
         request = self.requests.get(action.request_id)
         if request is None:
-            log.error("an attempt for a request (internal number %d) not in flight", action.request_id)
+            log.error("ignoring a StartAttempt for request id %d, which is not in flight", action.request_id)
             return
         now_us = self.clock.now_us()
         attempt_index = len(request.attempts)
@@ -250,13 +278,13 @@
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not request.has_ended:
-            request.client_request.connection.close_if_client_left()  # ends the request if so
+            request.client_request.connection.close_if_client_left()  # if so, this ends the request
         address = self.addresses.get(action.endpoint_id)
         time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
             time_left_us = min(time_left_us, action.timeout_us)
-        # The decisions keep `max_attempts` themselves. A faulty decider that retries without end would flood
-        # the upstreams until the deadline; here its attempts beyond the limit end as NOT_SENT.
+        # The decider is expected to respect `max_attempts`. A faulty decider that retried without end would
+        # flood the upstreams until the deadline, so attempts beyond the limit end as NOT_SENT here.
         is_allowed = time_left_us > 0 and attempt_index < self.settings.max_attempts
         if request.has_ended or address is None or not is_allowed:
             attempt.finish(Outcome.NOT_SENT)
@@ -264,20 +292,27 @@
         attempt.address = address
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
-        # A connection may come up long after the attempt's start: its client must still be there.
+        # A connection may be established long after the attempt's start; the client must still be connected.
         attempt.on_connected = request.client_request.connection.close_if_client_left
         if action.send_within_us:
             self._set_send_deadline(attempt, action.send_within_us)
         self.pool.send(attempt)
 
     def _set_send_deadline(self, attempt: Attempt, send_within_us: int) -> None:
-        """The last byte must not be sent later: an upstream forgets an idempotency key after a time."""
+        """Limit when the last byte of the attempt's request may be sent.
+
+        An upstream forgets an idempotency key after some time, so the request must not be sent later.
+        """
         send_by_us = attempt.started_at_us + send_within_us
         attempt.on_connected = partial(self._on_connected, attempt, send_by_us, attempt.on_connected)
         attempt.send_deadline_timer = call_after(self.loop, send_within_us, attempt.on_send_deadline)
 
     def _on_connected(self, attempt: Attempt, send_by_us: int, next_callback: Callable[[], object]) -> None:
-        """The clock is asked too: where the process stood still, the timer is over and has not fired yet."""
+        """Called when the connection of an attempt with a send deadline has been established.
+
+        The clock is checked in addition to the timer: after a stall of the process, the timer may be due but
+        not have fired yet.
+        """
         if self.clock.now_us() > send_by_us:
             attempt.on_send_deadline()
         else:
@@ -286,7 +321,7 @@
     def _on_attempt_finished(
         self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
-        """An attempt's one end. The first good response goes to the client and is final."""
+        """Called once for each attempt, when it has ended; answers the client with the first good response."""
         request = self.requests[attempt.request_id]
         request.attempts_in_flight -= 1
         if outcome is Outcome.OK and response is not None and not request.has_ended:
@@ -314,14 +349,14 @@
         if request is not None and 0 <= action.attempt_index < len(request.attempts):
             request.attempts[action.attempt_index].cancel()
 
-    # Answers without a response
+    # Final answers without an upstream response
 
     def _reject(self, action: Reject) -> None:
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
-        # The decisions bound this themselves. A faulty decider could name a longer time, or one at all where
-        # the settings forbid the header; a client would stay away for as long.
+        # The decider is expected to respect these limits. A faulty decider could return a longer delay, or a
+        # delay although the settings forbid the header, and clients would stay away for that time.
         retry_after_us = 0
         if self.settings.may_send_retry_after:
             retry_after_us = min(action.retry_after_us, self.settings.max_retry_after_us)
@@ -337,7 +372,7 @@
         request.client_request.reply(Status.BAD_GATEWAY, FAILED_BODY)
         self._end_by_decision(action.request_id, request)
 
-    # Counter and timers
+    # Shared counter and timers
 
     def _add_to_counter(self, action: AddToCounter) -> None:
         if self.counter is None:
@@ -349,8 +384,9 @@
         self._post_when_due(self.clock.now_us() + action.delay_us, TimerFired(action.token))
 
     def _post_when_due(self, due_us: int, event: TimerFired) -> None:
-        """The loop's timers may fire up to a millisecond early; the decisions would then
-        find nothing due.
+        """Post the event at `due_us` or later, never earlier.
+
+        The event loop's timers may fire up to a millisecond early; the decider would find nothing due then.
         """
         left_us = due_us - self.clock.now_us()
         if left_us > 0:
--- a/yardlane/proxy/request_in_flight.py
+++ b/yardlane/proxy/request_in_flight.py
@@ -1,4 +1,4 @@
-"""One request of a client, from its arrival until the decisions know that it and its attempts have ended."""
+"""A request of a client, from its arrival until it is forgotten."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class RequestInFlight:
-    """`has_ended` once it has its final answer or its client has left; its attempts may then still go on."""
+    """A request that the proxy keeps until the decider knows that it and all its attempts have ended.
+
+    `has_ended` is true once the request has its final answer or its client has disconnected; its attempts may
+    still be in flight then.
+    """
 
     __slots__ = (
         "attempts",
@@ -35,7 +39,7 @@
         self.watchdog_timer: asyncio.TimerHandle | None = None
 
     def encode(self, time_left_us: int) -> bytes:
-        """The request as an upstream gets it, with the time that is left for it."""
+        """Return the bytes of the request to an upstream; `time_left_us` becomes the X-Expires-In header."""
         parsed = self.parsed
         content_length = b"Content-Length: %d\r\n" % len(parsed.body) if parsed.is_write else b""
         expires_in_ms = max(MIN_EXPIRES_IN_MS, time_left_us // US_PER_MS)
