--- a/yardlane/proxy/clock.py
+++ b/yardlane/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the decisions' events, and timers in its unit."""
+"""The clock that the proxy and the decider use, and timers in its unit."""
 
 from __future__ import annotations
 
@@ -12,19 +12,25 @@
 
 
 class Clock:
-    """Whole microseconds that never go back, and that agreed with Unix time as the clock was made."""
+    """A monotonic clock in whole microseconds, set to Unix time when it is created."""
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """Microseconds of Unix time, but for what was set on the system's clock since."""
+        """Return the Unix time in microseconds.
+
+        Adjustments of the system clock since the creation of this object are not included.
+        """
         return (time.monotonic_ns() + self.offset_ns) // NS_PER_US
 
 
 def call_after(
     loop: asyncio.AbstractEventLoop, delay_us: int, callback: Callable[..., None], *args: object
 ) -> asyncio.TimerHandle:
-    """Call back after a delay, rounded up: the loop's timers count whole milliseconds."""
+    """Call `callback(*args)` after a delay; return the handle that cancels the call.
+
+    The delay is rounded up to whole milliseconds, because the timers of the event loop have that resolution.
+    """
     delay_ms = -(-max(0, delay_us) // US_PER_MS)
     return loop.call_later(delay_ms / MS_PER_S, callback, *args)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -321,7 +321,7 @@
     def _on_attempt_finished(
         self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
-        """Called once for each attempt, when it has ended; answers the client with the first good response."""
+        """Called once for each attempt, when it has ended; forwards the first good response to the client."""
         request = self.requests[attempt.request_id]
         request.attempts_in_flight -= 1
         if outcome is Outcome.OK and response is not None and not request.has_ended:
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -1,8 +1,8 @@
-"""From a client's bytes to whole HTTP requests: framing and size limits. No I/O and no clock.
+"""Parses the bytes of a client into complete HTTP requests. Checks framing and sizes; no I/O and no clock.
 
-httptools splits the bytes and calls back for each part; `RequestParser` collects the parts of one message and
-raises `FatalRequestError` where the rest of the connection cannot be trusted any more. What a request means
-is read in `request_validation`.
+httptools parses the bytes and calls a method of `RequestParser` for each part of a message. `RequestParser`
+collects the parts of one message. It raises `FatalRequestError` if the rest of the connection can no longer
+be parsed reliably. `request_validation` interprets the collected request.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 MAX_HEAD_BYTES = 16_384
 MAX_BODY_BYTES = 65_536
-HEADER_LINE_EXTRA_BYTES = 4  # the colon, the space and the line end
+HEADER_LINE_EXTRA_BYTES = 4  # the colon, the space and the CRLF
 
 CONTENT_LENGTH = b"content-length"
 TRANSFER_ENCODING = b"transfer-encoding"
 EXPECT = b"expect"
 FRAMING_HEADERS = frozenset((CONTENT_LENGTH, TRANSFER_ENCODING))
-# The wire's names of what a request says. `request_validation` maps each to a field of `ParsedRequest`.
+# The headers that describe a request. `request_validation` checks them and fills in `ParsedRequest`.
 TRACE_ID_HEADER = b"x-trace-id"
 REQUEST_CLASS_HEADER = b"x-qos"
 QUOTA_PLAN_HEADER = b"plan"
@@ -35,6 +35,7 @@
 QUOTA_INFO_HEADER = b"quota-info"
 RETRY_HEADER = b"x-second-try"
 HOST_HEADER = b"host"
+# Headers that a request may contain only once.
 SINGLETON_HEADERS = frozenset(
     (
         TRACE_ID_HEADER,
@@ -48,7 +49,7 @@
         HOST_HEADER,
     )
 )
-# Headers that are about one connection, or that the proxy writes anew.
+# Headers that apply to a single connection only, or that the proxy writes itself.
 NON_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
@@ -66,20 +67,20 @@
 
 
 class RequestReceiver(Protocol):
-    """Who is notified of the requests that a parser finds."""
+    """Is notified by a `RequestParser` about the requests that it parses."""
 
     def on_request_begin(self) -> None:
-        """The first byte of a request was read."""
+        """Called when the first byte of a request has been parsed."""
 
     def on_expect_continue(self) -> None:
-        """The client waits for 100 Continue before it sends the body."""
+        """Called when a client waits for 100 Continue before it sends the body."""
 
     def on_request(self) -> None:
-        """A whole request was read. Its parts stay in the parser until the next one begins."""
+        """Called when a complete request has been parsed; its parts stay in the parser until the next one."""
 
 
 class RequestParser:
-    """Collects the parts of one request at a time."""
+    """Parses the requests of one client connection, one at a time."""
 
     __slots__ = (
         "_has_framing_header",
@@ -101,11 +102,11 @@
         self._receiver: RequestReceiver | None = receiver
         self._http: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.is_in_message = False
-        self.method = b""  # as it came; like the next, only known from `on_request` on
+        self.method = b""  # as received; valid from `on_request` on, like the next attribute
         self.should_keep_alive = True
         self.url = b""
-        self.headers: dict[bytes, bytes] = {}  # those that are read here, by their name in lower case
-        self.header_parts: list[bytes] = []  # name, separator, value, line end of each that is forwarded
+        self.headers: dict[bytes, bytes] = {}  # those that the proxy reads, by lower-case name
+        self.header_parts: list[bytes] = []  # name, separator, value and CRLF of each forwarded one
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.head_bytes = 0
@@ -113,18 +114,20 @@
         self._is_in_trailer = False
 
     def close(self) -> None:
-        """Drop the references to the receiver, which holds this one: nothing is left to the collector."""
+        """Drop the references that form cycles with the receiver, so that no garbage collection is needed."""
         self._http = None
         self._receiver = None
 
     def abandon_message(self) -> None:
-        """No more is read of the message that has begun."""
+        """Stop regarding the current message as unfinished; the rest of it is not read."""
         self.is_in_message = False
 
     def feed(self, data: bytes) -> bool:
-        """Parse `data`; False if the client asked for another protocol, which what follows may be.
+        """Parse `data`; return False if the client asked for another protocol.
 
-        Raises `FatalRequestError`.
+        The bytes that follow may then be of that protocol.
+
+        Raises `FatalRequestError` if the data is malformed or exceeds a limit.
         """
         if self._http is None:
             return True
@@ -137,14 +140,14 @@
         return True
 
     def http_version(self) -> str:
-        """The version alone, such as `1.1`."""
+        """Return the HTTP version as a number only, such as `1.1`."""
         assert self._http is not None
         return self._http.get_http_version()
 
-    # The calls of httptools
+    # Called by httptools
 
     def on_message_begin(self) -> None:
-        """A message's first byte."""
+        """Called at the first byte of a message."""
         self.is_in_message = True
         self.url = b""
         self.headers = {}
@@ -158,14 +161,14 @@
             self._receiver.on_request_begin()
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target."""
+        """Called with each part of the request target."""
         self.url += url
         self.head_bytes += len(url)
         if self.head_bytes > MAX_HEAD_BYTES:
             raise _head_too_long()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A whole header, or one of the trailer of a chunked body."""
+        """Called with each complete header, including those in the trailer of a chunked body."""
         self.head_bytes += len(name) + len(value) + HEADER_LINE_EXTRA_BYTES
         if self.head_bytes > MAX_HEAD_BYTES:
             raise _head_too_long()
@@ -184,9 +187,10 @@
             self.header_parts += (name, b": ", value, b"\r\n")
 
     def _check_framing(self, key: bytes, value: bytes) -> None:
-        """One framing header at most, and no transfer coding but chunked.
+        """Raise `FatalRequestError` if the framing headers are ambiguous or the body is too long.
 
-        Where a body's length can be read in two ways, a backend may take a part of the body for a further
+        A request may have at most one framing header, and its transfer coding may only be chunked. If the
+        length of a body could be understood in two ways, an upstream might take part of the body for another
         request (request smuggling).
         """
         is_unsupported_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
@@ -197,7 +201,7 @@
             raise _body_too_long()
 
     def on_headers_complete(self) -> None:
-        """The head's end."""
+        """Called at the end of the head."""
         self._is_in_trailer = True
         if EXPECT not in self.headers or self._receiver is None:
             return
@@ -205,34 +209,39 @@
             self._receiver.on_expect_continue()
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body, without the framing of a chunked one."""
+        """Called with each part of the body; for a chunked body, without the chunk framing."""
         self.body_bytes += len(part)
         if self.body_bytes > MAX_BODY_BYTES:
             raise _body_too_long()
         self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """A message's last byte."""
+        """Called at the last byte of a message."""
         self.is_in_message = False
         if self._http is None or self._receiver is None:
             return
         self.method = self._http.get_method()
-        self.should_keep_alive = self._http.should_keep_alive()  # only valid within this call
+        self.should_keep_alive = self._http.should_keep_alive()  # only valid during this call
         self._receiver.on_request()
 
 
 def _to_client_error(error: httptools.HttpParserError) -> ClientProtocolError:
-    """What a callback raised, which httptools keeps as the context of its own error."""
+    """Return the error that answers the client after an error of httptools.
+
+    If a callback raised an exception, httptools raises its own error with that exception as the context.
+    """
     cause = error.__context__
     if isinstance(cause, ClientProtocolError):
         return cause
     if cause is not None:
-        log.error("reading a client's request failed: %r", cause)
+        log.error(
+            "unexpected exception while parsing a request, which is answered with status 400: %r", cause
+        )
     return FatalRequestError(Status.BAD_REQUEST, "malformed request")
 
 
 def _head_too_long() -> FatalRequestError:
-    """A head without end would fill the memory."""
+    """Return the error for a head over the limit; a head without a limit would fill the memory."""
     return FatalRequestError(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
 
 
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -1,13 +1,13 @@
-"""From a whole HTTP request to a typed one, or to the error that answers it.
+"""Validates a complete HTTP request and converts it to a `ParsedRequest`.
 
-This is the one place where the wire's names become the terms that the rest of the program uses:
+Only this module maps the names on the wire to the terms that the rest of the program uses:
 
     X-Trace-Id        trace_id          X-Qos             request_class
     Plan              quota_plan        Account           tenant
     X-Expires-In      time_left_us      X-Second-Try      is_retry
     Quota-Info        units, gateway_count (spread), first_gateway (first)
 
-The units of X-Expires-In are `m` for milliseconds and `u` for microseconds: `250m` is a quarter second.
+The unit in X-Expires-In is `m` for milliseconds or `u` for microseconds: `250m` is a quarter of a second.
 """
 
 from __future__ import annotations
@@ -37,13 +37,15 @@
 from yardlane.units import US_PER_MS
 
 MAX_TIME_LEFT_US = 3_600_000_000
-TRANSIT_MARGIN_US = 10_000  # the way here and back, and our own turn, out of the client's time
-# No bucket bounds the units of a request under a plan without a rate; a huge number must not enter the sums.
+# Deducted from the client's time for the transit of request and response, and for the proxy's own processing.
+TRANSIT_MARGIN_US = 10_000
+# A plan without a rate has no bucket that limits the units of a request. This limit keeps huge numbers out of
+# the sums of units.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
 MAX_QUOTA_INFO_BYTES = 100
-QUOTA_INFO_CACHE_SIZE = 512  # few texts recur; the others must not fill the memory
+QUOTA_INFO_CACHE_SIZE = 512  # few values recur; the other values must not fill the memory
 TENANT_BASE = 16
-TENANT_LIMIT = 2**33  # of the protocol, though 16 hex digits could hold more
+TENANT_LIMIT = 2**33  # set by the protocol; 16 hexadecimal digits could hold more
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
@@ -53,12 +55,13 @@
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-@dataclass(slots=True)  # frozen, each field would cost a call more when it is made
+@dataclass(slots=True)  # if frozen, construction makes one extra call per field
 class ParsedRequest:
     """A valid request. `request_class` and `quota_plan` are indices into the settings.
 
-    `units` is its cost against the plan's rates. The tenant's requests come to `gateway_count` gateways, from
-    rank `first_gateway` on. `head` is what is forwarded, up to the headers that the proxy writes itself.
+    `units` is the cost of the request, which counts against the rates of its plan. The tenant's requests go
+    to `gateway_count` gateways with consecutive ranks, beginning with rank `first_gateway`. `head` is the
+    forwarded head without the headers that the proxy writes itself.
     """
 
     trace_id: bytes
@@ -76,7 +79,11 @@
 
 
 class QuotaInfo(NamedTuple):
-    """What the client's gateway list says of its tenant."""
+    """The content of a Quota-Info header.
+
+    `units` is the cost of the request. The other fields name the gateways that serve the tenant, according to
+    the client's gateway list.
+    """
 
     units: float
     gateway_count: int
@@ -84,7 +91,7 @@
 
 
 class ClassRule(NamedTuple):
-    """What a request of one class must look like. `settings_index` is the class's index in the settings."""
+    """The requirements for requests of one class, which has the index `settings_index` in the settings."""
 
     settings_index: int
     method: bytes
@@ -93,14 +100,14 @@
 
 
 class PlanRule(NamedTuple):
-    """What a request under one plan may ask for. `settings_index` is the plan's index in the settings."""
+    """The limit for requests under one plan, which has the index `settings_index` in the settings."""
 
     settings_index: int
     max_units: float
 
 
 class RequestRules(NamedTuple):
-    """What requests are checked against; classes and plans by their names on the wire."""
+    """The rules that requests are checked against; classes and plans are keyed by their names on the wire."""
 
     classes: Mapping[bytes, ClassRule]
     plans: Mapping[bytes, PlanRule]
@@ -108,7 +115,7 @@
 
     @classmethod
     def from_config(cls, config: Config) -> RequestRules:
-        """The rules of a process, which hold until its end."""
+        """Return the rules that follow from the configuration; they stay the same until the process ends."""
         settings = config.settings
         return cls(
             classes={
@@ -134,7 +141,10 @@
 
 
 def max_units(plan: QuotaPlan) -> float:
-    """A request of more units never passes: no bucket of the plan is deep enough."""
+    """Return the maximum cost of a request under `plan`.
+
+    A request that costs more than the depth of a token bucket of the plan could never be admitted.
+    """
     depths = []
     if plan.rate_per_s > 0:
         depths.append(plan.burst)
@@ -146,7 +156,10 @@
 def parse_request(
     parser: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
 ) -> ParsedRequest:
-    """The request that `parser` holds; raises `InvalidRequest`."""
+    """Return the request that `parser` has collected. Raises `InvalidRequest` if it is not valid.
+
+    `open_trace_ids` holds the trace ids of the pending requests, which a new request must not use.
+    """
     headers = parser.headers
     class_rule = _read_class(headers, rules)
     plan_rule = _read_plan(headers, rules)
@@ -206,7 +219,11 @@
 
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
-    """Backends name a request by its trace id: two open ones of the same id could not be told apart."""
+    """Return the trace id. Raises `InvalidRequest` if it is malformed or belongs to a pending request.
+
+    Upstreams identify a request by its trace id, so they could not tell two pending requests with the same
+    trace id apart.
+    """
     trace_id = headers.get(TRACE_ID_HEADER, b"")
     if not TOKEN_PATTERN.fullmatch(trace_id):
         raise _bad_request("bad X-Trace-Id")
@@ -231,9 +248,9 @@
 
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
-    """What is left of the client's time (X-Expires-In) or of the class's deadline, the shorter of the two.
+    """Return the shorter of the client's remaining time (X-Expires-In) and the deadline of the class.
 
-    `TRANSIT_MARGIN_US` is taken off for the way of the response.
+    `TRANSIT_MARGIN_US` is deducted, so that the response reaches the client in time.
     """
     duration = DURATION_PATTERN.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
@@ -258,7 +275,10 @@
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
 def decode_quota_info(text: bytes, gateway_count: int) -> QuotaInfo | None:
-    """The header's value in a fleet of `gateway_count`; None where it is malformed."""
+    """Return the content of a Quota-Info header, or None if the header is malformed.
+
+    `gateway_count` is the number of gateways of the fleet.
+    """
     fields: dict[bytes, bytes] = {}
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
