--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -278,7 +278,7 @@
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not request.has_ended:
-            request.client_request.connection.close_if_client_left()  # if so, this ends the request
+            request.client_request.connection.close_if_client_disconnected()  # if so, this ends the request
         address = self.addresses.get(action.endpoint_id)
         time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
@@ -293,7 +293,7 @@
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
         # A connection may be established long after the attempt's start; the client must still be connected.
-        attempt.on_connected = request.client_request.connection.close_if_client_left
+        attempt.on_connected = request.client_request.connection.close_if_client_disconnected
         if action.send_within_us:
             self._set_send_deadline(attempt, action.send_within_us)
         self.pool.send(attempt)
