--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The loop round the decisions: what a fault in them costs, and when a request is forgotten."""
+"""Tests what happens when the decider raises an exception, and when a request is forgotten."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 from yardlane.proxy.decision_loop import DecisionLoop
 
 UNUSABLE_ACTION = SetTimer(0)
-UNUSED_REQUEST_ID = 0  # ids begin at 1
+UNUSED_REQUEST_ID = 0  # request ids begin at 1
 
 
 class RecordingHandler:
-    """Carries out nothing, and records what it was asked for."""
+    """Carries out nothing, and records what it is asked to do."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
@@ -24,7 +24,7 @@
 
     def apply(self, action: Action) -> None:
         if action == UNUSABLE_ACTION:
-            raise RuntimeError("an action that cannot be carried out")
+            raise RuntimeError("action that cannot be carried out")
         self.actions.append(action)
 
     def fail_request(self, request_id: int) -> None:
@@ -40,13 +40,13 @@
 
 
 def reject_or_raise_on(request_id: int) -> Callable[[Event], list[Action]]:
-    """Rejects each request that ends, but for one, on which it raises."""
+    """Return a `reply` that rejects each request that ends, but raises an exception on one of them."""
 
     def reply(event: Event) -> list[Action]:
         if not isinstance(event, RequestEnded):
             return []
         if event.request_id == request_id:
-            raise RuntimeError("a fault of the decisions")
+            raise RuntimeError("exception in the decider")
         return [Reject(event.request_id)]
 
     return reply
@@ -54,8 +54,9 @@
 
 @uvloop_test
 async def test_all_events_of_a_turn_are_handled_in_one_call() -> None:
-    """Events come faster than turns. One call of the decisions for each would cost their fixed work for each;
-    and a retry could go to an endpoint of which the same turn already says that it drains."""
+    """Several events arrive before the next turn. If each had its own call of the decider, the fixed cost of
+    a call would be spent on each. A retry could also go to an endpoint that a later event of the same turn
+    reports as draining."""
     batches: list[list[Event]] = []
     script = ScriptedDecider(leave_pending)
     handle = script.handle
@@ -76,8 +77,9 @@
 
 @uvloop_test
 async def test_exception_in_decider_keeps_earlier_actions_and_reposts_later_events() -> None:
-    """The decisions raise on the second of three events. The first one's action is carried out, the second
-    one's request fails, the third event comes in the next turn, and no timer that was due is lost."""
+    """The decider raises an exception on the second of three events. The action of the first event must be
+    carried out, the request of the second must fail, the third event must be handled in the next turn, and an
+    extra turn must follow for timers that were due."""
     script = ScriptedDecider(reject_or_raise_on(2))
     decision_loop, handler = make_decision_loop(script)
     for request_id in (1, 2, 3):
@@ -96,8 +98,8 @@
 
 @uvloop_test
 async def test_failing_action_does_not_stop_later_actions() -> None:
-    """Carrying out one action raises. The actions behind it belong to other requests, which would get no
-    answer if they were dropped with it."""
+    """Carrying out an action raises an exception. The later actions belong to other requests, which would get
+    no answer if those actions were dropped."""
 
     def reject_after_unusable_action(event: Event) -> list[Action]:
         return [UNUSABLE_ACTION, Reject(1)]
@@ -110,7 +112,7 @@
 
 
 class DeciderRaisingOutsideEvents(ScriptedDecider):
-    """Raises in its first call, before the first event or after the last one."""
+    """Raises an exception in its first call, before the first event or after the last one."""
 
     def __init__(self, *, is_after_events: bool) -> None:
         super().__init__(reject_or_raise_on(UNUSED_REQUEST_ID))
@@ -122,14 +124,15 @@
             self.has_raised = True
             if self.is_after_events:
                 super().handle(now_us, events)
-            raise RuntimeError("a fault outside the events")
+            raise RuntimeError("exception outside the events")
         return super().handle(now_us, events)
 
 
 @uvloop_test
 async def test_exception_after_the_last_event_fails_the_request_of_that_event() -> None:
-    """A timer raises once both events are handled. Nothing tells it apart from the last event, whose request
-    fails; what was decided stands, and no event is handled twice."""
+    """A timer of the decider raises an exception after both events have been handled. The loop cannot tell
+    this from an exception of the last event, so the request of that event fails. The actions must still be
+    carried out, and no event may be handled twice."""
     script = DeciderRaisingOutsideEvents(is_after_events=True)
     decision_loop, handler = make_decision_loop(script)
     decision_loop.post(RequestEnded(1))
@@ -142,8 +145,8 @@
 
 @uvloop_test
 async def test_exception_before_the_first_event_fails_no_request() -> None:
-    """The decisions raise before they read an event. Whose fault it was is unknown, so no request pays for
-    it: all events come again in the next turn."""
+    """The decider raises an exception before it reads an event. The exception belongs to no known request, so
+    no request may fail, and all events must be handled in the next turn."""
     script = DeciderRaisingOutsideEvents(is_after_events=False)
     decision_loop, handler = make_decision_loop(script)
     decision_loop.post(RequestEnded(1))
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A request's way through the proxy and back, on sockets."""
+"""Tests that requests and responses are forwarded through the proxy, on real sockets."""
 
 from tests.loopback import (
     HEALTH_CHECK,
@@ -18,8 +18,9 @@
 
 @uvloop_test
 async def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
-    """The usual way there and back. A header or byte changed on it would break the client's call or its
-    idempotency key, and a deadline passed on whole would let the backend work for nobody."""
+    """A request is forwarded and its response returned. A changed header or body would break the client's
+    call or its idempotency key. If the deadline were passed on without a deduction, the backend could work on
+    a request whose client no longer waits."""
     async with running_server_with_backend() as (server, backend):
         client, to_proxy = await server.connect_client()
         to_proxy.write(make_request("file", Content_Length="5") + b"claim")
@@ -35,8 +36,8 @@
 
 @uvloop_test
 async def test_health_check_fails_until_there_is_an_endpoint_list() -> None:
-    """The process starts and discovery has not answered yet. A health check that passed already would bring
-    clients whose requests have no endpoint to go to."""
+    """The process has started and discovery has not answered yet. If the health check passed already, clients
+    would send requests that no endpoint can serve."""
     async with FakeServer() as discovery, running_server(discovery=f"127.0.0.1:{discovery.port}") as server:
         assert (await server.fetch(HEALTH_CHECK))[0].startswith("HTTP/1.1 503")
         reader, writer = await discovery.accept_connection()
@@ -48,7 +49,8 @@
 
 @uvloop_test
 async def test_client_disconnect_ends_its_request() -> None:
-    """The client resets while its attempt is out: the request ends, and the late response goes nowhere."""
+    """The client resets its connection while an attempt is in flight. The request must end, and the late
+    response must be discarded."""
     async with running_server_with_backend() as (server, backend):
         _, to_proxy = await server.connect_client()
         to_proxy.write(make_request())
@@ -62,7 +64,8 @@
 
 @uvloop_test
 async def test_upstream_connection_is_reused() -> None:
-    """The parser says only within its own call whether the peer keeps the connection."""
+    """httptools reports only during its callback whether the upstream keeps the connection open, so the value
+    must be read there."""
     async with running_server_with_backend() as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 0.0
         client, to_proxy = await server.connect_client()
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy round the decisions: what it owes a client whatever they do, and how it keeps their time."""
+"""Tests that clients get an answer whatever the decider does, and that timers do not fire early."""
 
 import asyncio
 import time
@@ -39,12 +39,12 @@
 
 @uvloop_test
 async def test_exception_in_decider_fails_only_the_request_at_fault() -> None:
-    """The decisions raise on one request out of three that came in one read. It is answered with 500; the
-    others, and those that come later, are decided as ever."""
+    """The decider raises an exception on one of three requests that arrive in one read. That request is
+    answered with 500; the others and later requests must be decided as usual."""
 
     def raise_on_one_tenant(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived) and event.tenant == int(FAILING_TENANT, 16):
-            raise RuntimeError("a fault of the decisions")
+            raise RuntimeError("exception in the decider")
         return [Reject(event.request_id)] if isinstance(event, RequestArrived) else []
 
     async with running_server(ScriptedDecider(raise_on_one_tenant)) as server:
@@ -59,8 +59,8 @@
 
 @uvloop_test
 async def test_unusable_action_does_not_stop_later_actions() -> None:
-    """The decisions ask for what cannot be done, and behind it for a rejection. Were the turn to end at the
-    first, the client would wait for its answer until the watchdog timer fails the request."""
+    """The decider returns actions that cannot be carried out, followed by a rejection. If the turn ended at
+    the first of them, the client would wait until the watchdog timer fails its request."""
 
     def return_unusable_actions(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
@@ -80,8 +80,8 @@
 
 @uvloop_test
 async def test_cancelling_a_nonexistent_attempt_has_no_effect() -> None:
-    """The decisions cancel attempts that no request has had. An index of -1 taken as Python's would end the
-    last attempt, and a request that a backend is serving would get no response."""
+    """The decider cancels attempts that do not exist. If the index -1 were used as a Python index, it would
+    end the last attempt, and a request that a backend is processing would get no response."""
 
     def cancel_nonexistent_attempts(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
@@ -101,9 +101,9 @@
 
 @uvloop_test
 async def test_decider_answers_an_overdue_request_after_a_process_stall() -> None:
-    """The process stands still for longer than a queued request's time and grace. The timer of the decisions
-    and the watchdog timer are due at once then; the decisions reject the request, and a rejection promises
-    the client more than the watchdog's failure does."""
+    """The process is stalled for longer than the remaining time of a queued request and the grace period. The
+    decider's timer and the watchdog timer are then due at the same time. The decider must go first: its
+    rejection tells the client that it may retry safely, which the failure by the watchdog does not."""
     plans = [{**settings_dict()["packages"][0], "concurrency": 1}]
     async with running_server_with_backend(settings=settings_dict(packages=plans)) as (server, backend):
         _, first_writer = await server.connect_client()
@@ -119,8 +119,8 @@
 
 @uvloop_test
 async def test_watchdog_fails_a_request_that_the_decider_never_answers() -> None:
-    """The decisions let a request's time pass without a word. Without the watchdog its client would never get
-    the one final answer that it is owed, and the proxy would keep the request for good."""
+    """The decider never answers a request. Without the watchdog timer, the client would never get its final
+    answer, and the proxy would never forget the request."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         line, _, _ = await server.fetch(make_request(X_Expires_In="50m"))
         assert line.split()[1] == "500"
@@ -129,7 +129,8 @@
 
 @uvloop_test
 async def test_decider_may_still_answer_when_the_watchdog_expires() -> None:
-    """No timer of the decisions is left, as after a failed decision. The watchdog gives them a turn first."""
+    """No timer of the decider is set, as after an exception in the decider. The watchdog must give the
+    decider a turn before it fails the request."""
 
     def reject_on_timer(event: Event) -> list[Action]:
         return [Reject(1)] if isinstance(event, TimerFired) else []
@@ -141,8 +142,8 @@
 
 @uvloop_test
 async def test_watchdog_is_cancelled_when_its_request_is_answered() -> None:
-    """A watchdog timer holds its request and the request's body; with long deadlines that would
-    be much memory."""
+    """The watchdog timer keeps the request and its body in memory. If it ran until the deadline of an
+    answered request, long deadlines would take much memory."""
     script = ScriptedDecider(attempt_at_each(b"s-1"))
     async with running_server_with_backend(script) as (server, backend):
         (client, _), (_, writer) = await forward(server, backend)
@@ -155,8 +156,8 @@
 
 @uvloop_test
 async def test_attempt_beyond_max_attempts_is_not_sent() -> None:
-    """A faulty decider starts one attempt more than the settings allow. Sent, such attempts would multiply
-    the load of backends that are failing already."""
+    """A faulty decider starts one attempt more than the settings allow. If such attempts were sent, they
+    would multiply the load of backends that are already failing."""
     max_attempts = settings_dict()["permissions"]["max_attempts"]
     script = ScriptedDecider(attempt_at_each(*[b"s-1"] * (max_attempts + 1)))
     async with running_server_with_backend(script) as (server, backend):
@@ -169,7 +170,7 @@
 
 
 class EarlyTimerLoop(EventLoopWrapper):
-    """Its timers fire early; uvloop's do by up to a millisecond."""
+    """Fires timers early, as uvloop does by up to a millisecond."""
 
     def call_later(self, delay: float, call: Callable[..., object], *args: object) -> asyncio.TimerHandle:
         return self.loop.call_later(max(0.0, delay - EARLY_BY_S), call, *args)
@@ -177,8 +178,8 @@
 
 @uvloop_test
 async def test_decider_timer_never_fires_early() -> None:
-    """The loop's timer fires early. Notified then, the decisions would find nothing due, and would not ask to
-    be called again: what waits would wait for good."""
+    """A timer of the event loop fires early. If the decider were called then, it would find nothing due and
+    set no further timer, so queued requests would wait forever."""
     script = ScriptedDecider(
         lambda event: [SetTimer(5_000, 7)] if isinstance(event, EndpointListUpdate) else []
     )
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: discovery and the counter get other addresses, and what is in flight goes on."""
+"""Tests a reload on SIGHUP: discovery and the counter get new addresses, and work in flight continues."""
 
 import asyncio
 import json
@@ -39,8 +39,9 @@
 
 @uvloop_test
 async def test_full_list_is_fetched_when_the_discovery_address_changes() -> None:
-    """Discovery moves while a watch is open. Each discovery counts its own versions, so the version that we
-    have says nothing at the new one: the whole list is fetched there, and ours stands until it comes."""
+    """The address of discovery changes while a watch is open. Each discovery server numbers its versions
+    itself, so the version of the old list means nothing to the new server. The complete list must be fetched
+    there, and the old list must be kept until it arrives."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
@@ -51,11 +52,11 @@
         await read_message(reader)
         writer.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-1", 9), revision=41))))
         await read_message(reader)
-        for _ in range(3):  # several in a row
+        for _ in range(3):  # several changes in a row
             server.discovery.move(("127.0.0.1", new.port))
-        assert await reader.read() == b""  # the watch there is dropped
+        assert await reader.read() == b""  # the watch at the old address is closed
         assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
-        while True:  # the connections of the first moves only end
+        while True:  # the connections of the earlier changes are closed without a request
             to_new, new_writer = await new.accept_connection()
             if line := await to_new.readline():
                 break
@@ -72,8 +73,9 @@
 
 @uvloop_test
 async def test_written_counter_call_ends_at_the_old_address() -> None:
-    """The counter moves while a call is written and not answered. Written again at the new address it would
-    be added twice; so its answer is awaited at the old one, and only later calls go to the new."""
+    """The address of the counter changes while a call has been written but not answered. If the call were
+    written again at the new address, it could be added twice. Its reply is therefore awaited at the old
+    address, and only later calls go to the new one."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
@@ -95,8 +97,8 @@
 
 @uvloop_test
 async def test_unwritten_counter_call_goes_to_the_new_address() -> None:
-    """The counter moves before the connection to it has come up. The call that waits for it was written
-    nowhere, so it may go to the new address."""
+    """The address of the counter changes before the connection to it is established. The call that waits for
+    the connection has not been written anywhere, so it may go to the new address."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
@@ -113,8 +115,8 @@
 
 @uvloop_test
 async def test_connection_to_a_silent_old_counter_is_closed() -> None:
-    """The counter moves, and the old one never answers the call that is written there. After a while the
-    connection is closed all the same, and the call ends as one that may have been added."""
+    """The address of the counter changes, and the old counter never replies to a written call. The connection
+    must be closed after a time limit, and the call must end as one that may have been added."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
@@ -129,8 +131,9 @@
 
 
 def test_sighup_reloads_the_configuration_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """First a file that is no JSON: the old configuration is kept. Then one with another discovery: it is
-    used. At last SIGHUP comes during the graceful shutdown, which goes on to its end."""
+    """The first SIGHUP finds a file that is not JSON, and the old configuration must be kept. The second
+    finds another discovery address, which must be used. The third arrives during the graceful shutdown, which
+    must still complete."""
     path = tmp_path / "config.json"
 
     async def run() -> None:
@@ -139,17 +142,18 @@
             listen = f"127.0.0.1:{await free_port()}"
             process = await start_process(path, configuration_dict(old, counter, listen=listen))
             assert process.stderr is not None
-            await old.accept_connection()  # it has started
+            await old.accept_connection()  # the process has started
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             while b"keeping the old configuration" not in await process.stderr.readline():
                 pass
             path.write_text(json.dumps(configuration_dict(new, counter, listen=listen)))
             process.send_signal(signal.SIGHUP)
-            reader, _ = await new.accept_connection()  # the file goes before the variable now
+            # On a reload, the address in the file takes precedence over `EDGE_DISCOVERY`.
+            reader, _ = await new.accept_connection()
             assert await reader.readline() == b"GET /catalog/members HTTP/1.1\r\n"
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGHUP)  # in a drain
+            process.send_signal(signal.SIGHUP)  # during the graceful shutdown
             await process.communicate()
             assert process.returncode == 0
 
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -1,4 +1,4 @@
-"""What a client's bytes are read as, and the answer to those that are no valid request."""
+"""Tests how requests are parsed and validated, and how invalid requests are answered."""
 
 import pytest
 
@@ -100,7 +100,8 @@
     ],
 )
 def test_invalid_request_never_reaches_the_decider(request_bytes: bytes, status: int) -> None:
-    """A client sends what the protocol does not allow, or what two readers could read in two ways."""
+    """A client sends a request that the protocol does not allow, or one whose length two parsers could
+    understand differently."""
 
     @uvloop_test
     async def run() -> None:
@@ -115,8 +116,8 @@
 
 @uvloop_test
 async def test_complete_chunked_body_is_accepted() -> None:
-    """A client sends its body in chunks, with no length ahead. That is legal: the request reaches the
-    decisions, which reject it here, and it must not be taken for malformed framing."""
+    """A client sends a chunked body without a Content-Length, which HTTP allows. It must not be treated as
+    malformed: the request must reach the decider, which rejects it here."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         request = make_request("file", Content_Length=None, Transfer_Encoding="chunked")
         line, _, _ = await server.fetch(request + b"3\r\nabc\r\n0\r\n\r\n")
@@ -125,7 +126,7 @@
 
 @uvloop_test
 async def test_trailers_are_not_read_as_headers() -> None:
-    """A trailer behind a chunked body names another trace id: it must not replace that of the head."""
+    """The trailer of a chunked body contains another trace id. It must not replace the one in the head."""
     async with running_server_with_backend(ScriptedDecider(attempt_at_each(b"s-1"))) as (server, backend):
         _, to_proxy = await server.connect_client()
         to_proxy.write(
@@ -139,8 +140,8 @@
 
 @uvloop_test
 async def test_time_left_is_limited_by_the_deadline_of_the_class() -> None:
-    """A client claims to wait for far longer than its class allows. The class's deadline holds, so that no
-    request is kept queued for a time that was never promised."""
+    """A client claims a remaining time far longer than the deadline of its request class. The deadline must
+    apply, so that no request stays queued for longer than its class allows."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         _, to_proxy = await server.connect_client()
@@ -151,7 +152,8 @@
 
 @uvloop_test
 async def test_trace_id_of_a_pending_request_is_rejected() -> None:
-    """Two clients use one trace id: with both pending, the answers could not be told apart."""
+    """Two clients use the same trace id. If both requests were pending, their responses could not be told
+    apart."""
     script = ScriptedDecider(attempt_at_each(b"s-1"))
     async with running_server_with_backend(script) as (server, backend):
         client, to_proxy = await server.connect_client()
@@ -162,13 +164,15 @@
         writer.write(make_response(200, b"mine"))
         assert (await read_message(client))[2] == b"mine"
         assert len(await script.wait_for(RequestArrived)) == 1
-        to_proxy.write(make_request(trace="a1"))  # answered: the id may be used again
+        # The first request has been answered, so its trace id may be used again.
+        to_proxy.write(make_request(trace="a1"))
         await script.wait_for(RequestArrived, 2)
 
 
 @uvloop_test
 async def test_connection_survives_a_well_framed_invalid_request() -> None:
-    """The client names an unknown plan, but where its next request begins is certain."""
+    """A client names an unknown plan, but it is certain where its next request begins. That request must be
+    served."""
 
     def reject_with_retry_after(event: Event) -> list[Action]:
         return [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
