--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -31,7 +31,7 @@
 )
 from yardlane.decisions.gateway import Gateway
 
-UNKNOWN_REQUEST = 10**9
+UNKNOWN_REQUEST_ID = 10**9
 EARLY_BY_S = 0.002
 FAILING_TENANT = "0000000000000001"
 OTHER_TENANT = "0000000000000002"
@@ -66,8 +66,8 @@
         if not isinstance(event, RequestArrived):
             return []
         actions: list[Any] = [
-            StartAttempt(UNKNOWN_REQUEST, b"s-1"),
-            Reject(UNKNOWN_REQUEST),
+            StartAttempt(UNKNOWN_REQUEST_ID, b"s-1"),
+            Reject(UNKNOWN_REQUEST_ID),
             "no action",
             Reject(event.request_id),
         ]
