--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -1,18 +1,18 @@
-"""Runs the decider: passes all events of one turn of the event loop to it in one call.
+"""Runs the decider in turns: each turn passes all events posted since the last one to it in one call.
 
-An exception of `Decider.handle` must not stop the other requests. It is handled as follows:
+An exception raised by `Decider.handle` must not stop the other requests. It is handled as follows:
 
 - The request of the event that was being handled fails.
 - The actions that were decided before the exception are carried out.
 - The events after that event are passed to the decider again in the next turn.
 
-So a request whose events always raise an exception only harms itself. An event that names no request
+So a request whose events always raise an exception only affects itself. An event that names no request
 (`EndpointListUpdate`, `CounterResult`) is lost; a request that waits for its result waits until its deadline.
 
 In two cases the exception does not belong to an event:
 
 - A timer of the decider raises it after all events have been handled. This cannot be told apart from an
-  exception of the last event, so the request of that event fails although the event was handled.
+  exception in the handling of the last event, so the request of that event fails although it was handled.
 - It is raised before the first event. No request fails, and all events are passed to the decider again in
   the next turn, without a delay. If the exception recurred each time, this would be a busy loop.
   `Decider.actions` may still hold the actions of the previous call, which would then be carried out again.
@@ -51,7 +51,7 @@
             yield self[index]
 
     def last_started(self) -> Event | None:
-        """Return the event whose handling began last, or None if no event has been started."""
+        """Return the event whose handling began last, or None if none has begun."""
         if not self.started_count:
             return None
         return self[self.started_count - 1]
@@ -125,7 +125,7 @@
             try:
                 self.handler.apply(action)
             except Exception:  # a failing action must not stop the others
-                log.exception("could not carry out action %r", action)
+                log.exception("action %r failed; continuing with the next action", action)
         for request_id in ended_request_ids:
             self.handler.forget_request(request_id)
 
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -160,7 +160,7 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def on_poll_failed(self) -> None:
-        """Called when a poll of discovery has failed; lets the cached endpoint list count, if there is one.
+        """Called when a poll of discovery has failed; accepts the cached endpoint list, if there is one.
 
         The cached list may name endpoints that no longer exist.
         """
@@ -186,7 +186,7 @@
     # Ending requests
 
     def _end_request(self, request: RequestInFlight) -> None:
-        """End a request. No other function does this.
+        """End a request. This is the only function that does so.
 
         Attempts that the upstream may have begun to process continue; the others are not sent.
         """
@@ -234,7 +234,7 @@
         if request is not None and not request.has_ended:
             trace_id = request.parsed.trace_id.decode("latin-1")
             log.error(
-                "request %s (request id %d) got no answer from the decider in time; failing it",
+                "the decider did not answer request %s (request id %d) in time; answering with status 500",
                 trace_id,
                 request_id,
             )
@@ -283,8 +283,8 @@
         time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
             time_left_us = min(time_left_us, action.timeout_us)
-        # The decider is expected to respect `max_attempts`. A faulty decider that retried without end would
-        # flood the upstreams until the deadline, so attempts beyond the limit end as NOT_SENT here.
+        # The decider respects `max_attempts` itself. A faulty decider that retried without end would flood
+        # the upstreams until the deadline, so attempts beyond the limit end as NOT_SENT here.
         is_allowed = time_left_us > 0 and attempt_index < self.settings.max_attempts
         if request.has_ended or address is None or not is_allowed:
             attempt.finish(Outcome.NOT_SENT)
@@ -321,7 +321,7 @@
     def _on_attempt_finished(
         self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
-        """Called once for each attempt, when it has ended; forwards the first good response to the client."""
+        """Called once for each attempt, when it has ended; sends the first OK response to the client."""
         request = self.requests[attempt.request_id]
         request.attempts_in_flight -= 1
         if outcome is Outcome.OK and response is not None and not request.has_ended:
@@ -355,8 +355,8 @@
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
-        # The decider is expected to respect these limits. A faulty decider could return a longer delay, or a
-        # delay although the settings forbid the header, and clients would stay away for that time.
+        # The decider respects these limits itself. A faulty decider could return a longer delay, or a delay
+        # although the settings forbid the header, and clients would stay away for that time.
         retry_after_us = 0
         if self.settings.may_send_retry_after:
             retry_after_us = min(action.retry_after_us, self.settings.max_retry_after_us)
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -1,4 +1,6 @@
-"""Parses the bytes of a client into complete HTTP requests. Checks framing and sizes; no I/O and no clock.
+"""Parses the bytes of a client into complete HTTP requests, and enforces framing rules and size limits.
+
+This module does no I/O and reads no clock.
 
 httptools parses the bytes and calls a method of `RequestParser` for each part of a message. `RequestParser`
 collects the parts of one message. It raises `FatalRequestError` if the rest of the connection can no longer
@@ -67,7 +69,7 @@
 
 
 class RequestReceiver(Protocol):
-    """Is notified by a `RequestParser` about the requests that it parses."""
+    """Receives the notifications of a `RequestParser`."""
 
     def on_request_begin(self) -> None:
         """Called when the first byte of a request has been parsed."""
@@ -105,8 +107,8 @@
         self.method = b""  # as received; valid from `on_request` on, like the next attribute
         self.should_keep_alive = True
         self.url = b""
-        self.headers: dict[bytes, bytes] = {}  # those that the proxy reads, by lower-case name
-        self.header_parts: list[bytes] = []  # name, separator, value and CRLF of each forwarded one
+        self.headers: dict[bytes, bytes] = {}  # the headers that the proxy reads, by lower-case name
+        self.header_parts: list[bytes] = []  # name, separator, value and CRLF of each forwarded header
         self.body_parts: list[bytes] = []
         self.body_bytes = 0
         self.head_bytes = 0
@@ -119,7 +121,7 @@
         self._receiver = None
 
     def abandon_message(self) -> None:
-        """Stop regarding the current message as unfinished; the rest of it is not read."""
+        """Regard the current message as ended; the rest of it is not read."""
         self.is_in_message = False
 
     def feed(self, data: bytes) -> bool:
@@ -147,7 +149,7 @@
     # Called by httptools
 
     def on_message_begin(self) -> None:
-        """Called at the first byte of a message."""
+        """Called at the first byte of a message; discards the parts of the previous one."""
         self.is_in_message = True
         self.url = b""
         self.headers = {}
@@ -241,7 +243,7 @@
 
 
 def _head_too_long() -> FatalRequestError:
-    """Return the error for a head over the limit; a head without a limit would fill the memory."""
+    """Return the error for a head over the limit; a head of unlimited size would fill the memory."""
     return FatalRequestError(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
 
 
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -50,7 +50,7 @@
 
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 DURATION_PATTERN = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
-TOKEN_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
+TOKEN_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")  # visible ASCII characters
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
@@ -81,8 +81,8 @@
 class QuotaInfo(NamedTuple):
     """The content of a Quota-Info header.
 
-    `units` is the cost of the request. The other fields name the gateways that serve the tenant, according to
-    the client's gateway list.
+    `units` is the cost of the request. The other fields say which gateways serve the tenant, according to
+    the client's gateway list; see `ParsedRequest`.
     """
 
     units: float
@@ -277,7 +277,7 @@
 def decode_quota_info(text: bytes, gateway_count: int) -> QuotaInfo | None:
     """Return the content of a Quota-Info header, or None if the header is malformed.
 
-    `gateway_count` is the number of gateways of the fleet.
+    `gateway_count` is the number of gateways in the fleet.
     """
     fields: dict[bytes, bytes] = {}
     for part in text.split(b","):
