--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -53,7 +53,7 @@
         writer.write(make_response(200, encode_json(endpoint_list_dict(member_dict("s-1", 9), revision=41))))
         await read_message(reader)
         for _ in range(3):  # several changes in a row
-            server.discovery.move(("127.0.0.1", new.port))
+            server.discovery.change_address(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch at the old address is closed
         assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the earlier changes are closed without a request
