--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -84,7 +84,7 @@
     ):
         add(server)
         reader, writer = await first_call(old)
-        server.proxy.set_counter_address(("127.0.0.1", new.port))
+        server.proxy.change_counter_address(("127.0.0.1", new.port))
         add(server, amount=2.0)
         to_new, counter = await new.accept_connection()
         assert await to_new.readuntil(b"\r\n") == b"tally 1 2 1\r\n"
@@ -106,7 +106,7 @@
         running_server(script, settings=settings_with_counter(), counter=f"127.0.0.1:{old.port}") as server,
     ):
         add(server)
-        server.proxy.set_counter_address(("127.0.0.1", new.port))
+        server.proxy.change_counter_address(("127.0.0.1", new.port))
         reader, writer = await new.accept_connection()
         assert await reader.readuntil(b"\r\n") == b"tally 1 1 1\r\n"
         writer.write(b"ok 1\r\n")
@@ -125,7 +125,7 @@
     ):
         add(server)
         reader, _ = await first_call(old)
-        server.proxy.set_counter_address(("127.0.0.1", new.port))
+        server.proxy.change_counter_address(("127.0.0.1", new.port))
         assert await reader.read() == b""
         assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -166,7 +166,7 @@
         """
         self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
 
-    def set_counter_address(self, address: Address | None) -> None:
+    def change_counter_address(self, address: Address | None) -> None:
         """Use the shared counter at another address from now on; None changes nothing."""
         if self.counter is not None and address is not None:
             self.counter.move(address)
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -96,7 +96,7 @@
             *(config.counter or ("none", 0)),
         )
         self.discovery.change_address(config.discovery)
-        self.proxy.set_counter_address(config.counter)
+        self.proxy.change_counter_address(config.counter)
 
     def shut_down(self) -> None:
         """Start the graceful shutdown, unless it has started: answer open and new requests, then stop."""
