--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -64,7 +64,7 @@
 
         Raises OSError if the configured address cannot be listened on.
         """
-        self.discovery.load_cached()
+        self.discovery.load_cached_list()
         self.clients.listen()
         self.discovery.start()
 
@@ -95,7 +95,7 @@
             *config.discovery,
             *(config.counter or ("none", 0)),
         )
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         self.proxy.move_counter(config.counter)
 
     def shut_down(self) -> None:
@@ -118,9 +118,9 @@
         try:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.clients.stop_listening()
-            self.clients.close_idle_served()
+            self.clients.close_used_idle_connections()
             await self._wait_while(self.clients.awaits_first_request, FIRST_REQUEST_WAIT_S)
-            self.clients.close_idle()
+            self.clients.close_idle_connections()
             left_us = self.proxy.drain_deadline_us - self.proxy.clock.now_us()
             await self._wait_while(self.clients.has_pending_work, left_us / US_PER_S)
             await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
