--- a/tests/counter_calls.py
+++ b/tests/counter_calls.py
@@ -1,4 +1,4 @@
-"""The shared quota counter in tests: its settings, and calls as they are asked for and as they arrive."""
+"""Helpers for tests with a shared counter: settings, and both ends of a call."""
 
 from typing import Any
 
@@ -7,17 +7,17 @@
 
 
 def settings_with_counter(**changes: Any) -> dict[str, Any]:
-    """Settings of a fleet that has a shared counter; calls time out late unless told otherwise."""
+    """Return settings of a fleet with a shared counter. Calls time out after 5 s, unless `changes` differ."""
     return settings_dict(family_info={"shared_counter": True, "count_wait_us": 5_000_000, **changes})
 
 
 def add_to_counter(server: RunningServer, key: int = 1, amount: float = 1.0, lifetime_us: int = 1000) -> None:
-    """Let the decisions ask for a call."""
+    """Apply an `AddToCounter` action, as if the decisions had returned it."""
     server.proxy.apply(AddToCounter(key, amount, lifetime_us))
 
 
 async def accept_first_call(counter: FakeServer) -> Streams:
-    """The connection, whose first call has been read."""
+    """Accept a connection, read its first call, and return the connection."""
     reader, writer = await counter.accept_connection()
     await reader.readuntil(b"\r\n")
     return reader, writer
--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -1,4 +1,4 @@
-"""Each call to the counter gets exactly one result, whatever the counter does."""
+"""Tests of `CounterClient`: each call to the counter gets exactly one result, whatever the counter does."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,6 +22,7 @@
 
 
 def config_with_counter(counter: FakeServer, **changes: Any) -> dict[str, Any]:
+    """Return configuration keys with the address of the counter and the settings for it."""
     return {"counter": f"127.0.0.1:{counter.port}", "settings": settings_with_counter(**changes)}
 
 
@@ -29,7 +30,7 @@
 async def running_with_counter(
     script: ScriptedDecider, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
-    """The program beside a counter that the test plays; `changes` are of its settings."""
+    """Run the whole program with a fake counter, which the test controls. `changes` are settings."""
     async with (
         FakeServer() as counter,
         running_server(script, **config_with_counter(counter, **changes)) as server,
@@ -39,8 +40,11 @@
 
 @uvloop_test
 async def test_replies_are_matched_to_calls_in_order() -> None:
-    """Four calls are written before any is answered, and the answers come cut in odd places. Each answer
-    belongs to the oldest call; taken for another's, its total would be another key's."""
+    """Four calls are written before any is answered, and the replies arrive in arbitrary fragments.
+
+    Each reply belongs to the oldest call. If it were matched to another call, a key would get the total of
+    another key.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         for amount in (2.5, -1.0, 0.0, 7.0):
@@ -61,8 +65,11 @@
 
 @uvloop_test
 async def test_call_ends_as_timed_out_if_the_connection_is_reset_after_it_is_written() -> None:
-    """The counter resets the connection after a call was written. Nobody knows whether it was added, so the
-    result must not say that it was not: that would let the decisions add it twice."""
+    """The counter resets the connection after a call was written.
+
+    It is unknown whether the amount was added. If the result said that it was not, the decisions could add it
+    a second time.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         add_to_counter(server)
@@ -73,7 +80,7 @@
 
 @uvloop_test
 async def test_call_ends_as_not_connected_if_the_connection_is_refused() -> None:
-    """Nobody listens at the counter's address. The call was never written, and its result says so."""
+    """Nothing listens at the counter's address. The result must say that the call was never written."""
     script = ScriptedDecider(leave_pending)
     async with FakeServer() as counter:
         configuration = config_with_counter(counter)
@@ -84,8 +91,11 @@
 
 @uvloop_test
 async def test_late_reply_is_not_matched_to_the_next_call() -> None:
-    """A call times out, the next one is written, then both are answered. The first answer belongs to the call
-    that timed out; taken for the next one, every later total would be a wrong one."""
+    """A call times out, the next call is written, and then both are answered.
+
+    The first reply belongs to the call that timed out. If it were matched to the next call, each later total
+    would be wrong as well.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=300_000) as (server, counter):
         add_to_counter(server)
@@ -100,8 +110,11 @@
 
 @uvloop_test
 async def test_number_of_unanswered_calls_is_limited() -> None:
-    """The counter accepts a connection and stays silent while calls go on. Only so many are written; the
-    others end at once, so that a counter that comes back is not met by a backlog."""
+    """The counter accepts a connection but does not reply, while further calls are made.
+
+    Only 16 calls are written. The others end at once, so that the counter does not have to work off a backlog
+    when it recovers.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         for _ in range(100):
@@ -117,8 +130,10 @@
 
 @uvloop_test
 async def test_connection_without_replies_is_closed() -> None:
-    """The counter's host is gone without a reset: calls are written and never answered. After some timeouts
-    the connection is closed from our side, so that the next calls get another one."""
+    """The counter's host disappears without a reset, so calls are written but never answered.
+
+    After several call timeouts the client closes the connection, so that later calls use a new one.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=20_000) as (server, counter):
         add_to_counter(server)
@@ -139,8 +154,10 @@
 
 @uvloop_test
 async def test_call_ends_as_timed_out_after_a_malformed_reply() -> None:
-    """The counter sends a line that answers no call. The call may have been added, and no later answer on
-    this connection can be trusted."""
+    """The counter sends a line that is not a valid reply.
+
+    The amount may have been added. Later replies on this connection cannot be trusted.
+    """
     for reply in MALFORMED_REPLIES:
         script = ScriptedDecider(leave_pending)
         async with running_with_counter(script) as (server, counter):
@@ -152,16 +169,21 @@
 
 @pytest.mark.parametrize("reply", MALFORMED_REPLIES, ids=lambda reply: repr(reply[:12]))
 def test_parse_reply_raises_on_a_malformed_reply(reply: bytes) -> None:
-    """The counter sends a line that is no answer, or a total that no sum could hold. Read as a number, it
-    would spoil the quota of its key for all gateways."""
+    """The counter sends a line that is not a reply, or a total that is not a finite decimal number.
+
+    If such a total were accepted, it would invalidate the quota of its key for all gateways.
+    """
     with pytest.raises(MalformedCounterReply):
         parse_reply(reply)
 
 
 @uvloop_test
 async def test_call_after_a_malformed_reply_reconnects_at_once() -> None:
-    """A connection that has answered breaks by a malformed reply. A quarter of all keys share it: they get
-    another one at once, without a reconnect delay."""
+    """A connection is dropped because of a malformed reply, after the counter had replied on it.
+
+    A quarter of all keys use this connection. Their next call connects again at once, without the reconnect
+    delay.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script) as (server, counter):
         add_to_counter(server)
@@ -181,8 +203,11 @@
 
 @uvloop_test
 async def test_incomplete_reply_line_times_out_only_one_call() -> None:
-    """The counter sends half a line and nothing more. The call times out, and as answers behind the half line
-    could not be told apart, the connection is closed; the next call is answered on another one."""
+    """The counter sends half a line and then nothing.
+
+    The call times out. The connection is closed, because replies behind the incomplete line could not be told
+    apart from it. The next call is answered on a new connection.
+    """
     script = ScriptedDecider(leave_pending)
     async with running_with_counter(script, count_wait_us=200_000) as (server, counter):
         add_to_counter(server)
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter on a manual clock: timeouts, the reconnect delay and pings."""
+"""Tests of `CounterConnection` with a simulated clock: timeouts, the reconnect delay and pings."""
 
 import asyncio
 import heapq
@@ -20,7 +20,7 @@
 
 
 class FakeLoop:
-    """The clock and timers of a loop, which only the test moves; tasks are counted and never run."""
+    """An event loop whose clock only the test advances. It counts tasks but never runs them."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -39,7 +39,7 @@
         return object()
 
     async def create_connection(self, *_: object) -> None:
-        raise TimeoutError  # without a text, as `asyncio.timeout` raises it
+        raise TimeoutError  # without a message, like the one that `asyncio.timeout` raises
 
     def advance(self, seconds: float) -> None:
         end_s = self.now_s + seconds
@@ -51,7 +51,7 @@
 
 
 class FakeTransport:
-    """What was written, and whether it was closed."""
+    """Records the bytes that are written, and whether it was closed."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -65,7 +65,7 @@
 
 
 class ConnectionDriver:
-    """A connection, and the results of its calls."""
+    """Drives a connection to the counter on a fake loop, and records the results of its calls."""
 
     def __init__(self) -> None:
         self.loop = FakeLoop()
@@ -92,8 +92,11 @@
 
 
 def test_no_call_reconnects_within_the_reconnect_delay() -> None:
-    """The counter refuses connections. Did each of many calls try to connect, the processor would be theirs;
-    they end at once instead, until the delay is over."""
+    """The counter refuses connections.
+
+    If each call tried to connect, the attempts would use up the processor. Until the delay has passed, calls
+    end at once instead.
+    """
     driver = ConnectionDriver()
     driver.call()
     driver.fail_to_connect()
@@ -107,18 +110,22 @@
 
 
 def test_connect_timeout_is_logged_with_its_reason(caplog: pytest.LogCaptureFixture) -> None:
-    """The counter's host answers nothing at all, so connecting times out with an error that has no text. The
-    line in the log must still say what happened."""
+    """The counter's host does not respond, so connecting times out with an error that has no message.
+
+    The log line must still give the reason.
+    """
     driver = ConnectionDriver()
     driver.call()
     asyncio.run(driver.connection._connect())
     assert driver.outcomes() == [Outcome.NOT_CONNECTED]
-    assert caplog.messages == ["counter: cannot be reached: timed out"]
+    assert caplog.messages == ["connection to the counter failed: could not connect: timed out"]
 
 
 def test_call_that_timed_out_before_the_connect_is_never_written() -> None:
-    """The connection comes up after a call has timed out. Its result said that nothing was added, so it must
-    not be written any more."""
+    """The connection is established after a call has timed out.
+
+    The result of the call said that the amount was not added, so the call must not be written any more.
+    """
     driver = ConnectionDriver()
     driver.call(1)
     driver.loop.advance(TIMEOUT_S * 1.1)
@@ -129,8 +136,11 @@
 
 
 def test_incomplete_line_does_not_keep_the_connection_alive() -> None:
-    """The counter sends a line without an end, a byte at a time. Answers behind it will never be seen; were
-    each byte taken for progress, every call would time out for as long as the bytes come."""
+    """The counter sends a line that never ends, one byte at a time.
+
+    Replies behind this line cannot be read. If each byte counted as progress, all calls would time out for as
+    long as bytes arrive.
+    """
     driver = ConnectionDriver()
     driver.call()
     transport = driver.connect()
@@ -142,8 +152,11 @@
 
 
 def test_silent_connection_is_closed_after_several_call_timeouts() -> None:
-    """The counter is slow: a late answer may still come and show that it lives. It is silent for longer: the
-    connection is closed, so that the next calls get another."""
+    """The counter does not reply.
+
+    At first the connection is kept, because the counter may only be slow. After `DEAD_AFTER_TIMEOUTS` it is
+    closed, so that the next call uses a new one.
+    """
     driver = ConnectionDriver()
     driver.call()
     transport = driver.connect()
@@ -157,7 +170,7 @@
 
 
 def test_idle_connection_is_pinged() -> None:
-    """The counter closes a connection that is idle; the next call would find it gone and pay for another."""
+    """The counter closes idle connections. Without a ping, the next call would have to connect again."""
     driver = ConnectionDriver()
     driver.call()
     transport = driver.connect()
@@ -176,7 +189,10 @@
 
 
 def test_total_in_reply_to_a_ping_closes_the_connection() -> None:
-    """The answers have slipped by one: a total comes for a ping. The next total would be another call's."""
+    """A total arrives in reply to a ping, so replies no longer match their calls.
+
+    The next total would be that of another call.
+    """
     driver = ConnectionDriver()
     driver.call()
     transport = driver.connect()
@@ -189,8 +205,11 @@
 
 
 def test_graceful_close_ends_the_connection_after_the_last_reply() -> None:
-    """The counter moves. A written call is answered where it was written, and the connection closes with that
-    answer; an idle one closes at once. Otherwise each move would leave connections open for a while."""
+    """The counter's address changes.
+
+    A connection with a written call is closed when the call is answered, and an idle connection at once.
+    Otherwise each change of the address would leave connections open for a while.
+    """
     driver = ConnectionDriver()
     driver.call()
     transport = driver.connect()
--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the shared quota counter: calls spread over a few connections, by key."""
+"""The client of the shared quota counter. It distributes calls over a few connections by their key."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from yardlane.proxy.counter_protocol import format_add
 from yardlane.units import US_PER_S
 
-# One that stalls or is lost holds up its part of the keys alone; each costs a descriptor.
+# A connection that stalls or is lost delays only its share of the keys. Each needs a file descriptor.
 CONNECTION_COUNT = 4
 
 
 class CounterClient:
-    """Adds to the counter; `on_result` gets exactly one result for each `add`.
+    """Sends calls to the counter. `on_result` is called with exactly one result for each call of `add`.
 
-    A key keeps to one connection, so that its totals come in the order of its calls.
+    All calls for a key use the same connection, so that their totals arrive in the order of the calls.
     """
 
     def __init__(
@@ -38,11 +38,14 @@
         loop.call_later(PING_INTERVAL_S / 2, self._check_connections)
 
     def add(self, action: AddToCounter) -> None:
-        """Start a call."""
+        """Send a call that adds to the count of a key."""
         self._send(CounterCall(action.counter_key, format_add(action), self.loop.time()))
 
     def change_address(self, address: Address) -> None:
-        """Send new calls to another address; each call that is written ends where it was written."""
+        """Send new calls to another address, and calls that have not been written to the old one yet.
+
+        A call that has been written ends on its old connection.
+        """
         if address == self.address:
             return
         self.address = address
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -1,17 +1,19 @@
-"""One connection to the shared quota counter, with calls in a pipeline.
+"""One connection to the shared quota counter. Calls on it are pipelined.
 
-Calls are written without waiting for the one before; the counter answers in the same order, a line each (see
-`counter_protocol`).
+A call is written without waiting for the reply to the previous one. The counter replies to the calls in the
+order in which they were written, with one line each (see `counter_protocol`).
 
-Every call gets exactly one result, whatever the counter does. It says what may have been added:
+Each call gets exactly one result, whatever the counter does. Its outcome says whether the amount was added:
 
-    OK             added, and this is the total
-    REJECTED       not added, as the counter says
-    NOT_CONNECTED  not added: the call was never written
-    TIMED_OUT      it may have been added: written, but not answered in time or in a way that can be read
+    OK             The amount was added; the result has the new total.
+    REJECTED       The amount was not added: the counter refused the call.
+    NOT_CONNECTED  The amount was not added: the call was never written.
+    TIMED_OUT      The amount may have been added: the call was written, but no valid reply arrived before the
+                   timeout or the end of the connection.
 
-A line that answers no call means that answers no longer match their calls. From there on each total could be
-another key's, so the connection is dropped and the calls on it end as above.
+A line that is not a valid reply to the oldest call means that replies can no longer be matched to calls: each
+later total could be that of another key. The connection is then dropped, and its calls end with the outcomes
+above.
 """
 
 from __future__ import annotations
@@ -30,29 +32,34 @@
 
 log = logging.getLogger("yardlane.proxy.counter_connection")
 
-# Calls without an answer on one connection. More would be a backlog for a silent counter that comes back.
+# The maximum number of unanswered calls on one connection. With more, a counter that recovers after being
+# unresponsive would be met by a backlog.
 MAX_UNANSWERED_CALLS = 16
+# An incomplete line that is longer is malformed.
 MAX_LINE_BYTES = 256
-# Without an answer for so many call timeouts, the connection is dead.
+# A connection without a reply for this many call timeouts is dead.
 DEAD_AFTER_TIMEOUTS = 10
-# The same inside a line: a line without an end hides the answers behind it.
+# The same limit while a line is incomplete. It is lower because replies behind that line cannot be read.
 STALLED_LINE_AFTER_TIMEOUTS = 0.5
+# The timeout of a connect, if the call timeout is not longer.
 MIN_CONNECT_TIMEOUT_S = 0.25
-# An idle connection is pinged so often, as the counter would close it.
+# After this time without a call, a connection is pinged, because the counter closes idle connections.
 PING_INTERVAL_S = 2.0
-# After a connection that brought no answer; a counter that is down must not cost the processor.
+# The minimum delay before the next connect, if the last connection failed without any reply. Otherwise each
+# call to a counter that is down would connect, which costs processor time.
 RECONNECT_DELAY_S = 0.1
-# How long a counter that has moved keeps an old connection with calls on it.
+# How long an old connection may wait for its replies after the counter's address has changed.
 DRAIN_TIMEOUT_S = 1.5
-# A timer may fire so much early by its rounding: what is due then counts as due.
+# A timer may fire early by up to this time because of rounding. A call that is due within it counts as due.
 TIMER_TOLERANCE_S = 0.0005
 
 
 class CounterCall:
-    """A call from its start to its answer. A ping has no key, and nobody awaits its result.
+    """A call to the counter that waits to be written or to be answered: a `tally` or a ping.
 
-    `has_result` says that `on_result` has had the call's result, or must get none: it is true of a ping from
-    the start, so that no end of a connection reports one.
+    `has_result` says that no result is to be reported any more. It is set when `on_result` has been called
+    for the call. A ping never has a result to report, so `has_result` is True from the start; its key is not
+    used.
     """
 
     __slots__ = ("has_result", "is_ping", "is_written", "key", "line", "started_at_s")
@@ -66,12 +73,15 @@
         self.has_result = is_ping
 
     def unanswered_outcome(self) -> Outcome:
-        """Its outcome where no answer comes: what is written may have been added."""
+        """Return the outcome if no valid reply arrives: a call that was written may have been added."""
         return Outcome.TIMED_OUT if self.is_written else Outcome.NOT_CONNECTED
 
 
 class CounterConnection(asyncio.Protocol):
-    """Connects when it gets a call, and again with the next one after it was lost."""
+    """Keeps at most one connection to the counter open.
+
+    It connects when a call is sent. After the connection has been lost, the next call connects again.
+    """
 
     def __init__(
         self,
@@ -84,22 +94,28 @@
         self.timeout_s = timeout_s
         self.on_result = on_result
         self.loop = loop
-        self.calls: deque[CounterCall] = deque()  # unanswered, oldest first
-        self.buffer = b""  # the beginning of a line
+        self.calls: deque[CounterCall] = deque()  # not answered yet, oldest first
+        self.buffer = b""  # the received part of an incomplete line
         self.transport: asyncio.Transport | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.call_timer: asyncio.TimerHandle | None = None
         self.reconnect_not_before_s = 0.0
-        self.last_progress_at_s = 0.0  # the last line, or the first call after a time without any
+        # The time of the last event that showed progress: the connection was established, bytes arrived
+        # while no line was incomplete, a line was completed, or a call was sent while no other was pending.
+        self.last_progress_at_s = 0.0
         self.last_call_at_s = 0.0
-        self.has_received_reply = False  # this connection has
-        self.is_failing = False  # a failure was logged, and no answer came since
-        self.is_closing = False  # for good: the counter has moved
+        self.has_received_reply = False  # a reply to a `tally` call arrived on the current connection
+        self.is_failing = False  # a failure was logged, and no such reply has arrived since
+        self.is_closing = False  # `close_gracefully` was called: the counter's address has changed
 
-    # Calls in, results out
+    # Calls and their results
 
     def send(self, call: CounterCall) -> None:
-        """Write a call, or connect for it. It is not sent where there are too many, or it is too soon."""
+        """Write a call, now or once the connection is established; connect if necessary.
+
+        The call ends as `NOT_CONNECTED` at once if `MAX_UNANSWERED_CALLS` are already pending, or if there is
+        no connection and the reconnect delay has not passed.
+        """
         is_too_soon = self.transport is None and call.started_at_s < self.reconnect_not_before_s
         if is_too_soon or len(self.calls) >= MAX_UNANSWERED_CALLS:
             self._finish(call, Outcome.NOT_CONNECTED)
@@ -117,20 +133,22 @@
             self.call_timer = self.loop.call_later(max(0.0, left_s), self._time_out_calls)
 
     def check_liveness(self) -> None:
-        """Drop the connection if it is dead; ping if it is idle, as the counter would close it."""
+        """Drop the connection if it is dead, and ping the counter if the connection is idle."""
         if self.transport is None:
             return
         now_s = self.loop.time()
         if self.calls:
             if self._is_dead(now_s):
-                self._drop("silent")
+                self._drop("no reply in time")
         elif now_s - self.last_call_at_s > PING_INTERVAL_S:
             self.send(CounterCall(0, PING, now_s, is_ping=True))
 
     def close_gracefully(self) -> list[CounterCall]:
-        """Take no more calls, and close once those that are written are answered.
+        """Close the connection once all calls that were written have been answered.
 
-        The others are handed back, to be written elsewhere: no call may be written twice, as both would add.
+        Return the pending calls that have not been written; they may be sent on another connection. A call
+        that was written must not be sent again, as its amount would be added twice. No call may be sent on
+        this connection after this method.
         """
         self.is_closing = True
         if self.connect_task is not None:
@@ -155,20 +173,20 @@
         elapsed_us = int((self.loop.time() - call.started_at_s) * US_PER_S)
         self.on_result(CounterResult(call.key, outcome, total, elapsed_us))
 
-    # The connection
+    # Connecting and disconnecting
 
     async def _connect(self) -> None:
         try:
             async with asyncio.timeout(max(MIN_CONNECT_TIMEOUT_S, self.timeout_s)):
                 await self.loop.create_connection(lambda: self, *self.address)
         except OSError as error:  # TimeoutError is one of them
-            self._drop(f"cannot be reached: {str(error) or 'timed out'}")
+            self._drop(f"could not connect: {str(error) or 'timed out'}")
         finally:
             self.connect_task = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the calls that waited for it, but for those that have timed out meanwhile."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        """Called when the connection is established: write the pending calls that have not timed out."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
         if self.is_closing:
             transport.abort()
             return
@@ -181,21 +199,22 @@
             self._write(call)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended, by the counter or the network, or as we dropped it."""
+        """Called when the connection has been closed by the counter, by an error or by `_drop`."""
         if self.transport is not None:
-            self._drop(f"connection ended: {exc or 'closed'}")
+            self._drop(f"connection lost: {exc or 'closed by the counter'}")
 
     def _drop(self, reason: str) -> None:
-        """Close the connection; every call on it ends.
+        """Close the connection and end all its calls.
 
-        A failure is logged once until an answer comes; `reason` is the text of that line and decides nothing.
+        `reason` is only used for the log. After a failure has been logged, no other is logged until a reply
+        to a `tally` call arrives.
         """
         if not (self.is_failing or self.is_closing):
             self.is_failing = True
-            log.warning("counter: %s", reason)
+            log.warning("connection to the counter failed: %s", reason)
         transport = self.transport
         self.transport = None
-        # One that has just answered is worth another connection at once.
+        # If the counter has replied on this connection, the next call may connect at once.
         delay_s = 0.0 if transport is not None and self.has_received_reply else RECONNECT_DELAY_S
         self.reconnect_not_before_s = self.loop.time() + delay_s
         calls = self.calls
@@ -205,13 +224,13 @@
         if transport is not None:
             transport.abort()
 
-    # Answers, and their absence
+    # Replies and timeouts
 
     def data_received(self, data: bytes) -> None:
-        """Answer the oldest calls, one with each whole line."""
-        if self.transport is None:  # dropped: what still comes answers nothing
+        """Called when bytes have arrived: match each complete line to the oldest call."""
+        if self.transport is None:  # the connection was dropped, and all its calls have ended
             return
-        if not self.buffer:  # bytes that drip into one line are no progress
+        if not self.buffer:  # more bytes of an incomplete line are not progress
             self.last_progress_at_s = self.loop.time()
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         try:
@@ -226,7 +245,10 @@
             self._drop("moved")
 
     def _handle_line(self, line: bytes) -> None:
-        """Answer the oldest call. MalformedCounterReply where the line does not answer it."""
+        """End the oldest call with the reply in this line.
+
+        Raises MalformedCounterReply if the line is not a reply to that call, or if no call is pending.
+        """
         self.last_progress_at_s = self.loop.time()
         if not self.calls:
             raise MalformedCounterReply(line[:MAX_LOGGED_BYTES])
@@ -242,7 +264,9 @@
         self._record_reply()
         if reply.is_error:
             log.warning(
-                "counter answered %r to call %r", line[:MAX_LOGGED_BYTES], call.line[:MAX_LOGGED_BYTES]
+                "counter replied %r to call %r; the amount was not added",
+                line[:MAX_LOGGED_BYTES],
+                call.line[:MAX_LOGGED_BYTES],
             )
         self._finish(call, reply.outcome, reply.total)
 
@@ -250,13 +274,13 @@
         self.has_received_reply = True
         if self.is_failing:
             self.is_failing = False
-            log.info("counter answers again")
+            log.info("the counter replies again")
 
     def _time_out_calls(self) -> None:
-        """End overdue calls.
+        """Called when the next call is due: end the calls that are due, and drop a dead connection.
 
-        They stay in the queue, so that their late answers are not taken for those of the next calls, until
-        the connection counts as dead.
+        The ended calls stay in `calls` until their replies arrive or the connection is dropped, so that a
+        late reply to one of them is not matched to a later call.
         """
         now_s = self.loop.time()
         self.call_timer = None
@@ -269,7 +293,9 @@
                 break
             self._finish(call, call.unanswered_outcome())
         if self.calls and self.transport is not None and self._is_dead(now_s):
-            self._drop(f"stalled in a line, {self.buffer[:MAX_LOGGED_BYTES]!r}" if self.buffer else "silent")
+            self._drop(
+                f"incomplete line {self.buffer[:MAX_LOGGED_BYTES]!r}" if self.buffer else "no reply in time"
+            )
 
     def _is_dead(self, now_s: float) -> bool:
         timeouts = STALLED_LINE_AFTER_TIMEOUTS if self.buffer else DEAD_AFTER_TIMEOUTS
--- a/yardlane/proxy/counter_protocol.py
+++ b/yardlane/proxy/counter_protocol.py
@@ -1,9 +1,11 @@
-"""The lines of the shared quota counter: the one place that knows them.
+"""The text format of calls to the shared quota counter and of its replies. It is defined only here.
 
-tally <key> <amount> <lifetime in ms>  ->  ok <total>     it is added
-                                           busy           it is not
-                                           error <text>   it is not
-ping                                   ->  pong
+A call is one line, and so is the reply to it:
+
+    tally <key> <amount> <lifetime in ms>  ->  ok <total>     the amount was added
+                                               busy           the amount was not added
+                                               error <text>   the amount was not added
+    ping                                   ->  pong
 """
 
 from __future__ import annotations
@@ -18,20 +20,21 @@
 from yardlane.units import US_PER_MS
 
 PING = b"ping\r\n"
-# float() takes more than this: 1_0, nan.
+# The format of a total. float() also accepts other forms, such as `1_0` and `nan`.
 TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,3})?")
+# At most this many bytes of a line are written to the log.
 MAX_LOGGED_BYTES = 80
 
 
 def format_add(action: AddToCounter) -> bytes:
-    """The line of a call, with the amount in nine significant digits."""
+    """Return the line of a `tally` call. The amount is rounded to nine significant digits."""
     lifetime_ms = max(1, math.ceil(action.lifetime_us / US_PER_MS))
     amount = f"{action.amount:.9g}".encode()
     return b"tally %x %s %d\r\n" % (action.counter_key, amount, lifetime_ms)
 
 
 class CounterReply(NamedTuple):
-    """A line that answers a call. `total` counts only where the outcome is OK."""
+    """A parsed reply to a `tally` call. `total` is valid only if the outcome is OK."""
 
     outcome: Outcome
     total: float = 0.0
@@ -39,7 +42,7 @@
 
 
 def parse_reply(line: bytes) -> CounterReply:
-    """The answer to a `tally`. MalformedCounterReply where the line is none."""
+    """Parse the reply to a `tally` call. Raises MalformedCounterReply if the line is not such a reply."""
     words = line.split()
     if words == [b"busy"]:
         return CounterReply(Outcome.REJECTED)
@@ -53,6 +56,6 @@
 
 
 def check_pong(line: bytes) -> None:
-    """MalformedCounterReply where the line does not answer a ping."""
+    """Raise MalformedCounterReply if the line is not the reply to a ping."""
     if line.split() != [b"pong"]:
         raise MalformedCounterReply(line[:MAX_LOGGED_BYTES])
