--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: frames and records that are whole, short and malformed."""
+"""Tests of the simulator's wire format, with complete, truncated and malformed frames and records."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 SECOND_ENDPOINT = bytes.fromhex("0a9011f2ec2b")
 REQUEST_ID = int.from_bytes(bytes.fromhex("c4913a5de0300000"), "little")
 OTHER_REQUEST_ID = int.from_bytes(bytes.fromhex("192b6f0ee8330400"), "little")
-# The examples of the wire's page.
+# The examples in the documentation of the wire format.
 EVENT_EXAMPLES: list[tuple[str, Event]] = [
     (
         "4c04 3f000000 03000000 02 29000000 02000000"
@@ -180,8 +180,10 @@
 @settings(deadline=None, derandomize=True)
 @given(strategies.integers(0, 2**52), strategies.integers(0, 2**32 - 1), strategies.integers(0, 120))
 def test_truncated_frame_raises_codec_error(request_id: int, time_left_us: int, cut_bytes: int) -> None:
-    """The simulator ends in the middle of a frame. Whatever the place, the adapter must not take the rest for
-    a batch, nor wait for more."""
+    """The simulator ends in the middle of a frame.
+
+    Wherever the frame ends, the adapter must neither handle the incomplete batch nor wait for more bytes.
+    """
     complete_frame = make_frame(
         make_init(),
         make_record(1060, struct.pack("<IQfBHfQIfB", 3, request_id, 0.0, 0, 0, 1.0, 5, time_left_us, 1.0, 0)),
@@ -203,8 +205,10 @@
     ],
 )
 def test_malformed_input_ends_the_process_with_a_one_line_error(malformed: bytes, message: str) -> None:
-    """Input that does not follow the wire, or settings that are wrong: the process ends with one line that
-    says what, and writes no reply."""
+    """The input is malformed, or the settings in it are invalid.
+
+    The process must end with one line that names the error, and must not write a reply.
+    """
     completed = subprocess.run(
         [sys.executable, "-m", "yardlane.simulator.adapter"],
         input=malformed,
@@ -229,8 +233,10 @@
 
 
 def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A fault of the decisions raises. The simulator gets its text in a record, as the process must not end
-    without a reply."""
+    """The decisions raise an exception because of a bug.
+
+    The simulator must get the message of the exception in a record: the process must not end without a reply.
+    """
 
     def fail(*_: object) -> None:
         raise RuntimeError("out of luck")
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -1,4 +1,4 @@
-"""Wrong settings and events that cannot be: what is reported, and by which name."""
+"""Tests of invalid settings and of events for an unknown class, plan or request."""
 
 from dataclasses import replace
 from typing import Any
@@ -45,8 +45,10 @@
 
 
 def test_end_of_an_attempt_of_an_unknown_request_is_ignored() -> None:
-    """The end of an attempt arrives for a request that the gateway has no record of. Counted, it would make
-    the attempts in flight wrong for good."""
+    """An attempt ends, but the gateway does not know its request.
+
+    If it were counted, the number of attempts in flight would stay wrong for good.
+    """
     driver = GatewayDriver()
     assert driver.deliver(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
     assert driver.gateway.concurrency.in_flight == 0
@@ -56,8 +58,10 @@
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An instance is initialised with a rank that its fleet does not have. The simulator sees one line and
-    the exit code, not a traceback."""
+    """An instance is initialized with a rank that is out of range for its fleet.
+
+    The simulator must get one line on standard error and the exit code, not a traceback.
+    """
 
     def serve(*_: object) -> None:
         make_settings(rank=8)
--- a/yardlane/simulator/__init__.py
+++ b/yardlane/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the binary wire of a simulator."""
+"""Runs the decisions behind the binary wire format of a simulator, on standard input and output."""
--- a/yardlane/simulator/action_encoder.py
+++ b/yardlane/simulator/action_encoder.py
@@ -1,4 +1,4 @@
-"""The decisions' actions to action records of the simulator's wire: the one place that knows their fields."""
+"""Encodes actions as action records in the simulator's wire format. Their fields are defined only here."""
 
 from __future__ import annotations
 
@@ -24,13 +24,17 @@
 )
 from yardlane.simulator.codec import RECORD_HEADER
 
-# A length field of a text or message is a u16.
+# The length of a text or message is a 16-bit field.
 MAX_CONTENT_BYTES = 65_535
+# The recipient of a gossip message to all gateways.
 ALL_GATEWAYS = 0xFFFFFFFF
 
 
 class ActionCode(IntEnum):
-    """The codes of the action records, whose numbers events use as well; the page's names beside them."""
+    """The codes of action records. Event records use the same numbers with other meanings.
+
+    A comment gives the code's name in the documentation of the wire format, if it differs.
+    """
 
     FAIL = 1000  # REPORT_FAILURE
     WATCH_ENDPOINTS = 1010  # TAIL
@@ -48,14 +52,17 @@
 
 
 def _make_encoder(code: ActionCode, formats: str) -> Callable[..., bytes]:
-    """Encodes the values of a record that has fixed fields; the first is the instance."""
+    """Return a function that encodes a record with fixed fields.
+
+    Its arguments are the values of the fields; the first one is the instance.
+    """
     record_struct = struct.Struct("<HI" + formats)
     length = record_struct.size - RECORD_HEADER.size
     return lambda *values: record_struct.pack(code, length, *values)
 
 
 def _encode_content(code: ActionCode, fields: bytes, content: bytes) -> bytes:
-    """A record that ends in content of any length."""
+    """Return a record of already encoded fields, followed by content of variable length."""
     body = fields + struct.pack("<H", len(content)) + content
     return RECORD_HEADER.pack(code, len(body)) + body
 
@@ -99,10 +106,10 @@
 
 
 def encode_action(instance: int, action: Action) -> bytes:
-    """One action of an instance as a record."""
+    """Return the record for an action of an instance."""
     return ENCODERS[type(action)](instance, action)
 
 
 def encode_exception(instance: int, text: str) -> bytes:
-    """The record that reports a failed decision; the simulation ends with its text."""
+    """Return the record that reports an exception in the decisions; the simulation ends with its text."""
     return _encode_text(ActionCode.EXCEPTION, instance, text)
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -1,7 +1,10 @@
-"""The simulator's command: standard input to standard output, one `Gateway` for each instance on the wire.
+"""The command that a simulator runs: reads batches from standard input, writes replies to standard output.
 
-Exit codes: 0 at the end of the input, 2 for input or settings that are malformed, with one plain line on
-standard error. A decision that raises is reported on the wire, and ends the simulation there.
+One process runs one `Gateway` for each instance, that is for each front door that the simulator simulates.
+
+The exit code is 0 at the end of the input. If the input or the settings in it are malformed, it is 2, and one
+line on standard error names the error. An exception in the decisions does not end the process: it is reported
+to the simulator in a record, and the simulator then ends the simulation.
 """
 
 from __future__ import annotations
@@ -21,14 +24,18 @@
 
 
 class Adapter:
-    """The instances that one process holds. They share nothing."""
+    """Holds the gateways of all instances, which share no state, and replies to batches."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.columns: dict[int, Columns] = {}
 
     def handle_batch(self, frame: bytes) -> bytes:
-        """The reply to one batch."""
+        """Handle the batch in a frame and return the reply frame.
+
+        Raises CodecError if the frame is malformed or has an event for an unknown instance, and SettingsError
+        if the settings of an instance are invalid.
+        """
         clock_us, records = read_batch(frame, self.columns)
         events_by_instance: dict[int, list[Event]] = {}
         for instance, event in records:
@@ -42,7 +49,7 @@
             elif instance in self.gateways:
                 events_by_instance.setdefault(instance, []).append(event)
             else:
-                raise CodecError(f"{type(event).__name__} for unknown instance {instance}")
+                raise CodecError(f"{type(event).__name__} event for unknown instance {instance}")
         return write_reply(self._decide(clock_us, events_by_instance))
 
     def _decide(self, clock_us: int, events_by_instance: dict[int, list[Event]]) -> list[bytes]:
@@ -50,7 +57,7 @@
         for instance, events in events_by_instance.items():
             try:
                 actions = self.gateways[instance].handle(clock_us, events)
-            except Exception as error:  # whatever it is: the simulation ends with its text
+            except Exception as error:  # of any kind: it is reported, and the simulation ends
                 records.append(encode_exception(instance, f"{type(error).__name__}: {error}"))
                 break
             records += [encode_action(instance, action) for action in actions]
@@ -58,21 +65,24 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. CodecError or SettingsError where it is malformed."""
+    """Reply to batches until the end of the input.
+
+    Raises CodecError if the input is malformed or truncated, and SettingsError if settings are invalid.
+    """
     adapter = Adapter()
     while header := source.read(BATCH_HEADER.size):
         if len(header) < BATCH_HEADER.size:
-            raise CodecError(f"frame header cut off after {len(header)} bytes")
+            raise CodecError(f"frame header truncated after {len(header)} bytes")
         size = read_frame_size(header)
         frame = header + source.read(size - len(header))
         if len(frame) < size:
-            raise CodecError(f"frame of {size} bytes cut off after {len(frame)}")
+            raise CodecError(f"frame of {size} bytes truncated after {len(frame)} bytes")
         sink.write(adapter.handle_batch(frame))
         sink.flush()
 
 
 def main() -> int:
-    """Run until the end of input; the exit code."""
+    """Run until the end of the input, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except YardlaneError as error:
--- a/yardlane/simulator/codec.py
+++ b/yardlane/simulator/codec.py
@@ -1,8 +1,9 @@
-"""Frames of the simulator's wire: batches of event records in, replies of action records out.
+"""Decodes the frames that the simulator sends, and encodes the frames that it receives.
 
-All numbers are little-endian, without padding. A batch is a header (count of records, size of the frame,
-clock in µs) and its records; a reply is a header (size of the frame, count of records) and its records. A
-record is a code, the length of its fields, and the fields.
+The simulator sends batches of event records, and receives replies with action records. A batch consists of a
+header (number of records, size of the frame, clock in µs) and its records. A reply consists of a header (size
+of the frame, number of records) and its records. A record consists of a code, the length of its fields, and
+the fields. All numbers are little-endian, without padding.
 """
 
 from __future__ import annotations
@@ -19,23 +20,30 @@
 
 
 def read_frame_size(header: bytes) -> int:
-    """The size in bytes of the whole frame that begins with this header."""
+    """Return the size in bytes of the frame that begins with this header, including the header.
+
+    Raises CodecError if the size is smaller than the header.
+    """
     size = int(BATCH_HEADER.unpack(header)[1])
     if size < BATCH_HEADER.size:
-        raise CodecError(f"frame size {size} is smaller than its header")
+        raise CodecError(
+            f"frame size is {size}: must be at least {BATCH_HEADER.size}, the size of the header"
+        )
     return size
 
 
 def read_batch(data: bytes, columns: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, DecodedRecord]]]:
-    """The clock in µs, and the events, each with its instance. CodecError for a frame that is not whole.
+    """Return the clock in µs, and an iterator over pairs of an instance and its event.
 
-    Events are decoded as they are taken: an `Init` may bring the `columns` by which a later one is read.
+    Each event is decoded only when the iterator reaches it, because its decoding may need the `columns` that
+    an earlier `Init` of the same batch defines. Raises CodecError if the frame is malformed, here or during
+    the iteration.
     """
     if len(data) < BATCH_HEADER.size:
-        raise CodecError(f"frame header cut off after {len(data)} bytes")
+        raise CodecError(f"frame header truncated after {len(data)} bytes")
     count, size, clock_us = BATCH_HEADER.unpack_from(data)
     if size != len(data):
-        raise CodecError(f"frame of {size} bytes cut off after {len(data)} bytes")
+        raise CodecError(f"frame size is {size} according to its header, but the frame has {len(data)} bytes")
     return clock_us, _read_records(memoryview(data), count, columns)
 
 
@@ -50,16 +58,18 @@
         offset += RECORD_HEADER.size
         end = offset + length
         if end > len(frame):
-            raise CodecError(f"record {number} (code {code}) passes the end of the frame at byte {offset}")
+            raise CodecError(
+                f"record {number} (code {code}, fields at byte {offset}) extends past the end of the frame"
+            )
         decoded = decode_event(code, frame, offset, end, columns)
         if decoded is not None:
             yield decoded
         offset = end
     if offset != len(frame):
-        raise CodecError(f"{len(frame) - offset} bytes left over after the last record at byte {offset}")
+        raise CodecError(f"{len(frame) - offset} unexpected bytes after the last record, at byte {offset}")
 
 
 def write_reply(records: list[bytes]) -> bytes:
-    """A whole reply."""
+    """Return a reply frame that contains the encoded action records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(records)) + body
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -1,8 +1,9 @@
-"""Event records of the simulator's wire to the decisions' events: the one place that knows their fields.
+"""Decodes event records in the simulator's wire format to events. Their fields are defined only here.
 
-Each layout below has the fields of a record under the names of the wire's page; its function gives them the
-decisions' names. A record may end before its last fields: these read as 0. Codes that are not known are
-skipped, so that the wire may grow.
+Each layout below has the fields of one kind of record, under their names in the documentation of the wire
+format. The function that decodes the record assigns them to the fields of the event, which have other names.
+A record may omit fields at its end; these are read as 0. Records with an unknown code are skipped, so that
+the wire format can be extended.
 """
 
 from __future__ import annotations
@@ -37,11 +38,14 @@
 T = TypeVar("T")
 
 Columns = tuple[str, ...]
-"""The names of a load report's values, in their order; each instance has them from its settings."""
+"""The names of the values in a load report, in their order. They are part of an instance's settings."""
 
 
 class EventCode(IntEnum):
-    """The codes of the event records; the page's names beside those that differ."""
+    """The codes of event records.
+
+    A comment gives the code's name in the documentation of the wire format, if it differs.
+    """
 
     ATTEMPT_ENDED = 1000  # COMPLETED
     TIMER_FIRED = 1010  # RING
@@ -57,7 +61,7 @@
 
 
 class Init(NamedTuple):
-    """An instance starts afresh."""
+    """An instance starts, without any state of an earlier instance of the same number."""
 
     seed: int
     settings: Settings
@@ -65,13 +69,13 @@
 
 
 class Halt(NamedTuple):
-    """An instance was killed."""
+    """An instance was killed: it gets no more events."""
 
 
 DecodedRecord = Event | Init | Halt
 
 
-INSTANCE = struct.Struct("<I")  # door_id, the first field of each record
+INSTANCE = struct.Struct("<I")  # `door_id`, the first field of each record
 
 ATTEMPT_ENDED_LAYOUT = Layout(
     "door_id:I",
@@ -105,7 +109,7 @@
 REQUEST_ENDED_LAYOUT = Layout("door_id:I", "corr:Q")
 GOSSIP_LAYOUT = Layout("door_id:I", "by:H", "content length:H")
 ENDPOINT_LIST_UPDATE_LAYOUT = Layout("door_id:I", "kind:B", "stamp:I", "rows_in count:I")
-# heft, born_us, locality, shape, mode, block, backend
+# The fields of an endpoint list entry: heft, born_us, locality, shape, mode, block, backend
 LIST_ENTRY = struct.Struct("<fQHHBH6s")
 LOAD_VALUE = struct.Struct("<f")
 
@@ -139,9 +143,10 @@
 def decode_event(
     code: int, frame: memoryview, start: int, end: int, columns: dict[int, Columns]
 ) -> tuple[int, DecodedRecord] | None:
-    """The instance and the event of a record whose fields are `frame[start:end]`; None for an unknown code.
+    """Return the instance and the event of the record with fields in `frame[start:end]`.
 
-    CodecError where the fields do not follow the wire, SettingsError where an instance's settings are wrong.
+    `columns` has the load report columns of each instance. Return None if the code is unknown. Raises
+    CodecError if the fields are malformed, and SettingsError if the settings of an `Init` are invalid.
     """
     decode = DECODERS.get(code)
     if decode is None:
@@ -160,9 +165,13 @@
 
 
 def _read_content(frame: memoryview, start: int, end: int, size: int, name: str) -> memoryview:
-    """What follows the fields, of a size that one of them gives."""
+    """Return the content of `size` bytes that follows the fixed fields of a record.
+
+    `start` is where the content begins, and `end` where the record ends. `name` is what the error message
+    calls the content. Raises CodecError if the content extends past the end of the record.
+    """
     if start + size > end:
-        raise CodecError(f"{name} of {size} bytes passes the end of its record at byte {end}")
+        raise CodecError(f"{name} of {size} bytes extends past the end of its record at byte {end}")
     return frame[start : start + size]
 
 
@@ -188,7 +197,7 @@
         outcome=_look_up(OUTCOMES, outcome, "outcome", start),
         elapsed_us=elapsed_us,
         request_ended=bool(request_ended),
-        usage_percent=usage - 1 if usage else None,  # 1 more than the percentage; 0 is absent
+        usage_percent=usage - 1 if usage else None,  # the percentage plus 1, or 0 if it is absent
         load=_decode_load_report(frame, start + ATTEMPT_ENDED_LAYOUT.size, end, count, columns),
     )
 
--- a/yardlane/simulator/record_layout.py
+++ b/yardlane/simulator/record_layout.py
@@ -1,4 +1,4 @@
-"""The fixed fields of a record on the simulator's wire."""
+"""Reads the fixed fields of a record in the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class Layout:
-    """The fields of a record, as `name:format` of `struct`. Whole fields may be missing at its end."""
+    """Reads the fields of one kind of record.
+
+    Each field is given as `name:format` with a format character of `struct`. A record may omit fields at its
+    end; these are read as 0.
+    """
 
     def __init__(self, *fields: str) -> None:
         formats = [field.partition(":")[2] for field in fields]
@@ -17,10 +21,13 @@
         self.field_ends = {struct.calcsize("<" + "".join(formats[:n])) for n in range(len(formats) + 1)}
 
     def read(self, frame: memoryview, start: int, end: int) -> tuple:  # type: ignore[type-arg]
-        """The values of the fields from `start` on; the record ends at `end`."""
+        """Return the values of the fields of the record in `frame[start:end]`.
+
+        Raises CodecError if the record ends inside a field.
+        """
         length = end - start
         if length >= self.size:
             return self.struct.unpack_from(frame, start)
         if length not in self.field_ends:
-            raise CodecError(f"record cut inside a field at byte {end}")
+            raise CodecError(f"record ends inside a field at byte {end}")
         return self.struct.unpack(bytes(frame[start:end]).ljust(self.size, b"\0"))
