--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -85,7 +85,7 @@
 
     def fail_to_connect(self) -> None:
         self.connection.connect_task = None
-        self.connection._drop("cannot be reached")
+        self.connection._drop("could not connect")
 
     def outcomes(self) -> list[Outcome]:
         return [result.outcome for result in self.results]
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -60,6 +60,7 @@
 
 
 def read_events(*records: bytes) -> list[tuple[int, Any]]:
+    """Decode records; the load reports of instance 3 have two columns."""
     return list(read_batch(make_frame(*records), {3: ("concurrent", "depth")})[1])
 
 
@@ -220,6 +221,7 @@
 
 
 def test_instance_is_halted_and_initialized_again_in_one_batch() -> None:
+    """Each of three batches must get a reply, and the reply to an empty batch consists of a header only."""
     sink = io.BytesIO()
     halt = make_record(1020, struct.pack("<I", 3))
     serve(io.BytesIO(make_frame(make_init()) + make_frame(halt, make_init()) + make_frame()), sink)
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -37,16 +37,16 @@
 MAX_UNANSWERED_CALLS = 16
 # An incomplete line that is longer is malformed.
 MAX_LINE_BYTES = 256
-# A connection without a reply for this many call timeouts is dead.
+# A connection with unanswered calls counts as dead after this many call timeouts without a reply.
 DEAD_AFTER_TIMEOUTS = 10
 # The same limit while a line is incomplete. It is lower because replies behind that line cannot be read.
 STALLED_LINE_AFTER_TIMEOUTS = 0.5
-# The timeout of a connect, if the call timeout is not longer.
+# A connect times out after the call timeout, but not before this time.
 MIN_CONNECT_TIMEOUT_S = 0.25
 # After this time without a call, a connection is pinged, because the counter closes idle connections.
 PING_INTERVAL_S = 2.0
-# The minimum delay before the next connect, if the last connection failed without any reply. Otherwise each
-# call to a counter that is down would connect, which costs processor time.
+# The minimum delay before the next connect, after a connect failed or a connection ended without any reply.
+# Otherwise each call to a counter that is down would connect, which costs processor time.
 RECONNECT_DELAY_S = 0.1
 # How long an old connection may wait for its replies after the counter's address has changed.
 DRAIN_TIMEOUT_S = 1.5
@@ -57,9 +57,8 @@
 class CounterCall:
     """A call to the counter that waits to be written or to be answered: a `tally` or a ping.
 
-    `has_result` says that no result is to be reported any more. It is set when `on_result` has been called
-    for the call. A ping never has a result to report, so `has_result` is True from the start; its key is not
-    used.
+    `has_result` is True once the result of the call has been reported, so that it is not reported again. A
+    ping has no result to report, so its `has_result` is True from the start. The key of a ping is not used.
     """
 
     __slots__ = ("has_result", "is_ping", "is_written", "key", "line", "started_at_s")
@@ -147,8 +146,8 @@
         """Close the connection once all calls that were written have been answered.
 
         Return the pending calls that have not been written; they may be sent on another connection. A call
-        that was written must not be sent again, as its amount would be added twice. No call may be sent on
-        this connection after this method.
+        that was written must not be sent again, as its amount would be added twice. No more calls may be
+        sent on this connection.
         """
         self.is_closing = True
         if self.connect_task is not None:
@@ -156,9 +155,9 @@
         unwritten = [call for call in self.calls if not (call.is_written or call.has_result)]
         self.calls = deque(call for call in self.calls if call.is_written)
         if self.calls:
-            self.loop.call_later(DRAIN_TIMEOUT_S, self._drop, "moved")
+            self.loop.call_later(DRAIN_TIMEOUT_S, self._drop, "the counter's address has changed")
         else:
-            self._drop("moved")
+            self._drop("the counter's address has changed")
         return unwritten
 
     def _write(self, call: CounterCall) -> None:
@@ -186,7 +185,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called when the connection is established: write the pending calls that have not timed out."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
         if self.is_closing:
             transport.abort()
             return
@@ -242,7 +241,7 @@
             self._drop(str(error))
             return
         if self.is_closing and not self.calls:
-            self._drop("moved")
+            self._drop("the counter's address has changed")
 
     def _handle_line(self, line: bytes) -> None:
         """End the oldest call with the reply in this line.
--- a/yardlane/simulator/__init__.py
+++ b/yardlane/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decisions behind the binary wire format of a simulator, on standard input and output."""
+"""Connects the decisions to a simulator, which uses a binary wire format on standard input and output."""
--- a/yardlane/simulator/action_encoder.py
+++ b/yardlane/simulator/action_encoder.py
@@ -89,7 +89,7 @@
 _encode_fetch_endpoints = _make_encoder(ActionCode.FETCH_ENDPOINTS, "I")
 
 ENCODERS: dict[type, Callable[[int, Any], bytes]] = {
-    # The wire has no field for `send_within_us`.
+    # The wire format has no field for `send_within_us`.
     StartAttempt: lambda i, a: _encode_start_attempt(i, a.request_id, a.timeout_us, a.endpoint_id),
     CancelAttempt: lambda i, a: _encode_cancel_attempt(i, a.request_id, a.attempt_index),
     Reject: lambda i, a: _encode_reject(i, a.request_id, a.retry_after_us),
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -1,10 +1,10 @@
 """The command that a simulator runs: reads batches from standard input, writes replies to standard output.
 
-One process runs one `Gateway` for each instance, that is for each front door that the simulator simulates.
+One process runs one `Gateway` for each instance, that is for each front door in the simulation.
 
-The exit code is 0 at the end of the input. If the input or the settings in it are malformed, it is 2, and one
-line on standard error names the error. An exception in the decisions does not end the process: it is reported
-to the simulator in a record, and the simulator then ends the simulation.
+The exit code is 0 at the end of the input, and 2 if the input or the settings in it are malformed. In that
+case, one line on standard error names the error. An exception in the decisions does not end the process: it
+is reported to the simulator in a record, and the simulator then ends the simulation.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
         for instance, events in events_by_instance.items():
             try:
                 actions = self.gateways[instance].handle(clock_us, events)
-            except Exception as error:  # of any kind: it is reported, and the simulation ends
+            except Exception as error:  # any bug: the simulator gets the message and ends the simulation
                 records.append(encode_exception(instance, f"{type(error).__name__}: {error}"))
                 break
             records += [encode_action(instance, action) for action in actions]
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -161,7 +161,7 @@
     try:
         return table[value]
     except KeyError:
-        raise CodecError(f"unknown {name} {value} in the record at byte {start}") from None
+        raise CodecError(f"unknown {name} {value} in the record with fields at byte {start}") from None
 
 
 def _read_content(frame: memoryview, start: int, end: int, size: int, name: str) -> memoryview:
--- a/yardlane/simulator/record_layout.py
+++ b/yardlane/simulator/record_layout.py
@@ -10,7 +10,7 @@
 class Layout:
     """Reads the fields of one kind of record.
 
-    Each field is given as `name:format` with a format character of `struct`. A record may omit fields at its
+    Each field is given as `name:format`, where the format is one of `struct`. A record may omit fields at its
     end; these are read as 0.
     """
 
