--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -31,7 +31,7 @@
     attempt: StartAttempt
 
 
-class LimitedFleet:
+class ConcurrencyLimitedFleet:
     """Gateways that share a counter and a concurrency limit. All responses take the same time."""
 
     def __init__(self, gateway_count: int, concurrency_limit: int, service_us: int) -> None:
@@ -104,7 +104,7 @@
     """
     driver = GatewayDriver()
     tenant = tenant_after_request(driver, 5, RATE_LIMITED)
-    assert tenant.demand.decay_us == 2 * SECOND
+    assert tenant.demand.decay_time_us == 2 * SECOND
     tenant.demand.fleet_demand = 39.9
     tenant.demand.total_received_at_us = driver.now_us
     tenant.demand.local_demand = 1e9
@@ -122,7 +122,7 @@
     assert any(isinstance(action, AddToCounter) for _, action in driver.action_log)
 
 
-def test_capacity_includes_only_the_rest_of_the_burst() -> None:
+def test_burst_is_forwarded_after_a_pause_but_not_under_sustained_overload() -> None:
     plans = (make_quota_plan(rate_per_s=10.0, burst=40.0),)
     driver = GatewayDriver(gateway_count=1, quota_plans=plans)
     forwarded = sum(driver.serve_request(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
@@ -142,7 +142,7 @@
 
     The smallest bound is one slot at each gateway, which adds up to more than such a limit.
     """
-    fleet = LimitedFleet(gateway_count=250, concurrency_limit=3, service_us=100 * MS)
+    fleet = ConcurrencyLimitedFleet(gateway_count=250, concurrency_limit=3, service_us=100 * MS)
     in_flight: list[int] = []
     for number in range(3000):  # 50 requests per second of 100 ms each: five in flight on average
         fleet.send_request(START_US + number * 20 * MS, rank=number * 97 % 250, tenant=4)
@@ -158,7 +158,7 @@
     """
 
     def count_forwarded(interval_us: int) -> int:
-        fleet = LimitedFleet(gateway_count=40, concurrency_limit=2, service_us=150 * MS)
+        fleet = ConcurrencyLimitedFleet(gateway_count=40, concurrency_limit=2, service_us=150 * MS)
         for number in range(120):
             fleet.send_request(START_US + number * interval_us, rank=number * 7 % 40, tenant=3)
         return fleet.forwarded
--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -2,10 +2,10 @@
 
 from tests.gateway_driver import MS, SECOND, UNLIMITED, GatewayDriver, make_settings, of_type
 from yardlane.decisions.actions import StartAttempt
-from yardlane.decisions.concurrency import MAX_CLASS_LIMIT_RATIO, ConcurrencyLimit
+from yardlane.decisions.concurrency import MAX_CLASS_LIMIT_RATIO, AttemptLimit
 
 
-def test_late_responses_lower_the_limit_until_attempts_are_paced() -> None:
+def test_slow_responses_lower_the_limit_until_attempts_are_paced() -> None:
     """The limit can fall below one attempt, and attempts are then paced.
 
     When each of 168 gateways had a limit of at least one attempt, the limits together were too high. The
@@ -22,7 +22,7 @@
     assert not of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
 
 
-def test_prompt_responses_raise_the_limit() -> None:
+def test_fast_responses_raise_the_limit() -> None:
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     driver.gateway.concurrency.limit = 0.1
     for _ in range(200):
@@ -32,7 +32,7 @@
 
 
 def test_limit_scales_with_the_number_of_endpoints() -> None:
-    concurrency = ConcurrencyLimit(make_settings(gateway_count=3))
+    concurrency = AttemptLimit(make_settings(gateway_count=3))
     concurrency.set_endpoint_count(6)
     assert concurrency.base_limit == 4.0
     before = concurrency.limit
@@ -41,7 +41,7 @@
 
 
 def test_class_with_more_weight_per_time_gets_a_higher_limit_up_to_a_maximum() -> None:
-    concurrency = ConcurrencyLimit(make_settings())
+    concurrency = AttemptLimit(make_settings())
     concurrency.limit = 4.0
     for _ in range(5):
         concurrency.record_sent(0)
@@ -53,7 +53,7 @@
 
 
 def test_attempts_are_paced_when_the_limit_is_below_one() -> None:
-    concurrency = ConcurrencyLimit(make_settings())
+    concurrency = AttemptLimit(make_settings())
     concurrency.limit = 0.5
     concurrency.record_sent(10 * SECOND)
     concurrency.record_ended()
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -18,7 +18,7 @@
 
 
 def test_periods_are_consecutive_and_have_different_keys() -> None:
-    periods = CountingPeriods(tenant=9, tenant_key=37, decay_us=2.0 * SECOND)
+    periods = CountingPeriods(tenant=9, tenant_key=37, decay_time_us=2.0 * SECOND)
     assert periods.period_us == 16 * SECOND
     index = periods.index_at(77 * SECOND)
     assert periods.start_us(index) <= 77 * SECOND < periods.start_us(index + 1)
@@ -32,7 +32,7 @@
     assert len(starts) == 100
 
 
-def test_tenant_with_a_valid_total_is_polled_rarely() -> None:
+def test_tenant_with_a_recent_total_is_polled_rarely() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 10)
     log_start = len(driver.action_log)
@@ -65,7 +65,9 @@
     reported = sum(driver.counter_totals.values())
     tenants = driver.gateway.tenants.values()
     starts = [t.periods.start_us(t.periods.index_at(driver.now_us)) for t in tenants]
-    ages = [(driver.now_us - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
+    ages = [
+        (driver.now_us - start) / t.demand.decay_time_us for start, t in zip(starts, tenants, strict=True)
+    ]
     mean_weight = sum(math.exp(age) for age in ages) / len(ages)
     assert 0.7 * 1000 < reported / mean_weight < 1.4 * 1000
 
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -211,7 +211,7 @@
     return sum(bool(attempts) for attempts in forwarded)
 
 
-def test_first_total_fills_half_of_the_bucket_unless_demand_is_high() -> None:
+def test_first_total_fills_part_of_the_bucket_unless_demand_is_high() -> None:
     """A gateway with low demand does not start with an empty bucket.
 
     When many gateways started with empty buckets, most requests of the first seconds were rejected.
@@ -241,7 +241,7 @@
     return forwarded
 
 
-def test_rate_share_follows_demand_and_returns_to_even_without_totals() -> None:
+def test_rate_share_follows_demand_and_returns_to_the_even_share_without_totals() -> None:
     """A gateway that gets most of the demand gets more than an even share of the hard rate.
 
     With even shares only, a busy one of ten gateways had a tenth of the hard rate, far less than its part of
@@ -289,7 +289,7 @@
 
 def test_even_share_is_zero_for_gateways_that_do_not_serve_the_tenant() -> None:
     shares = [
-        compute_even_share(rank, first_gateway=4, gateway_count=3, total_gateway_count=6) for rank in range(6)
+        compute_even_share(rank, first_rank=4, gateway_count=3, total_gateway_count=6) for rank in range(6)
     ]
     assert shares == [1 / 3, 0.0, 0.0, 0.0, 1 / 3, 1 / 3]
 
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -63,7 +63,7 @@
     demand = TenantDemand(plan, gateway_count=1, counter_timeout_us=40 * MS, now_us=0)
     demand.add(2.0, 0)
     demand.add(3.0, 2 * SECOND)
-    assert demand.decay_us == demand.local_decay_us == 2 * SECOND
+    assert demand.decay_time_us == demand.local_decay_time_us == 2 * SECOND
     assert demand.local_demand == pytest.approx(3.0 + 2.0 * math.exp(-1.0))
     assert demand.unreported_demand == 5.0
 
@@ -89,7 +89,7 @@
     demand.fleet_demand = 12.0
     tenant.apply_total(1.0, index, 20.0, start_us)
     assert demand.fleet_demand == pytest.approx(13.0)
-    tenant.apply_total(math.exp(4.0), index, 20.0, start_us + 4 * int(demand.decay_us))
+    tenant.apply_total(math.exp(4.0), index, 20.0, start_us + 4 * int(demand.decay_time_us))
     assert demand.fleet_demand == pytest.approx(1.0 + 12.0 * math.exp(-4.0))
 
 
--- a/yardlane/decisions/admission.py
+++ b/yardlane/decisions/admission.py
@@ -56,12 +56,12 @@
     It is computed for requests with this cost and mean service time. It is 0 for a plan without a quota.
     """
     plan = tenant.plan
-    decay_s = tenant.demand.decay_us / SECOND_US
+    decay_s = tenant.demand.decay_time_us / SECOND_US
     if not plan.rate_per_s:
         share = SMALL_LIMIT_UTILIZATION if tenant.has_limit_below_gateway_count else 1.0
         return share * plan.concurrency_limit * decay_s
-    limit_per_s = plan.concurrency_limit * units / (service_time_us / SECOND_US)  # by Little's law
-    return decay_s * min(SUSTAINED_RATE_SHARE * plan.rate_per_s, limit_per_s or math.inf)
+    limit_units_per_s = plan.concurrency_limit * units / (service_time_us / SECOND_US)  # by Little's law
+    return decay_s * min(SUSTAINED_RATE_SHARE * plan.rate_per_s, limit_units_per_s or math.inf)
 
 
 def decide_admission(tenant: Tenant, units: float, service_time_us: float, now_us: int) -> bool:
@@ -92,8 +92,10 @@
     Each request adds its admission probability to the tenant's credit. A request is admitted when the credit
     reaches 1, which is then subtracted.
     """
-    admitted, tenant.admission_credit = divmod(tenant.admission_credit + 1.0 - rejection_probability, 1.0)
-    return admitted >= 1.0
+    whole_credits, tenant.admission_credit = divmod(
+        tenant.admission_credit + 1.0 - rejection_probability, 1.0
+    )
+    return whole_credits >= 1.0
 
 
 def max_queueing_time_us(request_class: RequestClass, service_time_us: float, time_left_us: int) -> int:
@@ -106,7 +108,7 @@
     return max(0, int(min(within_objective_us, time_left_us * QUEUEING_DEADLINE_SHARE)))
 
 
-def forwarding_delay_us(tenant: Tenant, missing_units: float, now_us: int) -> int:
+def queue_recheck_delay_us(tenant: Tenant, missing_units: float, now_us: int) -> int:
     """Return the delay until a queue is checked again whose first request could not be forwarded.
 
     It is not known when an endpoint becomes available, so without one the queue is checked again after
--- a/yardlane/decisions/burst.py
+++ b/yardlane/decisions/burst.py
@@ -17,7 +17,8 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
-MAX_FLEET_RATIO = 2.0  # maximum ratio of the fleet's demand to the local demand, in numbers of gateways
+# Maximum ratio of the fleet's demand to the local demand, divided by the number of gateways.
+MAX_DEMAND_RATIO_PER_GATEWAY = 2.0
 MAX_OVERDRAFT_SHARE = 0.5  # maximum overdraft, as a share of the burst; limits the time to recover
 MIN_DEMAND = 1e-9  # keeps the ratio finite when the local demand has decayed to zero
 
@@ -43,13 +44,15 @@
         """Return how many units of the burst are left, given the fleet's demand."""
         if not self._demand.is_in_large_fleet:
             return self._units
-        demand_over_rate = max(0.0, fleet_demand - self._plan.rate_per_s * self._demand.decay_us / SECOND_US)
+        demand_over_rate = max(
+            0.0, fleet_demand - self._plan.rate_per_s * self._demand.decay_time_us / SECOND_US
+        )
         return min(self._units, max(0.0, self._plan.burst - demand_over_rate))
 
     def take(self, units: float, request_demand: float) -> None:
         """Take a request's units, and those that the other gateways are assumed to forward meanwhile."""
         demand = self._demand
-        fleet_ratio = demand.estimate_fleet_demand(request_demand) * demand.local_decay_us
-        fleet_ratio /= max(MIN_DEMAND, demand.local_demand * demand.decay_us)
-        fleet_units = units * min(MAX_FLEET_RATIO * demand.gateway_count, max(1.0, fleet_ratio))
+        demand_ratio = demand.estimate_fleet_demand(request_demand) * demand.local_decay_time_us
+        demand_ratio /= max(MIN_DEMAND, demand.local_demand * demand.decay_time_us)
+        fleet_units = units * min(MAX_DEMAND_RATIO_PER_GATEWAY * demand.gateway_count, max(1.0, demand_ratio))
         self._units = max(-MAX_OVERDRAFT_SHARE * self._plan.burst, self._units - fleet_units)
--- a/yardlane/decisions/concurrency.py
+++ b/yardlane/decisions/concurrency.py
@@ -3,7 +3,7 @@
 A request that queues at an endpoint delays every request behind it, which may then miss its latency
 objective. So requests queue in the gateway instead, where they can still be rejected. The endpoints do not
 report how many attempts they can serve at once, so the limit adapts to response times. A response within
-`LATE_RESPONSE_SHARE` of its class's latency objective raises the limit, a later one lowers it. Steps away
+`SLOW_RESPONSE_SHARE` of its class's latency objective raises the limit, a later one lowers it. Steps away
 from `base_limit` get smaller with the distance, and steps towards it get larger. The limit therefore settles
 where both directions balance. If p is the share of late responses, this is the case at
 limit / `base_limit` = sqrt((1 - p) / p): 1 if half of the responses are late, 2 if a fifth of them are.
@@ -22,7 +22,7 @@
 from yardlane.decisions.settings import Settings
 from yardlane.decisions.units import SECOND_US
 
-LATE_RESPONSE_SHARE = 0.35  # share of the latency objective above which a response is late
+SLOW_RESPONSE_SHARE = 0.35  # share of the latency objective above which a response is late
 ATTEMPTS_PER_ENDPOINT = 2.0
 MAX_LIMIT_RATIO = 4.0  # maximum limit, as a multiple of the base limit
 SMALLEST_MAX_LIMIT = 2.0  # attempts; the maximum limit is not below this
@@ -31,7 +31,7 @@
 MAX_CLASS_LIMIT_RATIO = 2.0  # a class's limit is at most this many times `limit`, and at least 1 / this
 
 
-class ConcurrencyLimit:
+class AttemptLimit:
     """The number of attempts in flight, and the adaptive limit on it."""
 
     __slots__ = ("_gateway_count", "base_limit", "in_flight", "last_sent_at_us", "limit")
@@ -69,7 +69,7 @@
     def record_response(self, elapsed_us: int, latency_objective_us: int) -> None:
         """Adapt the limit to the time that a response took."""
         relative_limit = self.limit / self.base_limit
-        if elapsed_us > LATE_RESPONSE_SHARE * latency_objective_us:
+        if elapsed_us > SLOW_RESPONSE_SHARE * latency_objective_us:
             step = -min(self.limit, relative_limit)
         else:
             step = min(self.limit, 1.0 / relative_limit)
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -7,8 +7,8 @@
 **Polling.** Polls are made only if there is a counter, and only for a plan that has a quota. If the tenant
 has a valid total, its count is polled once the total is older than one decay time, with these exceptions:
 
-- In a fleet of n gateways, fewer than `LARGE_FLEET_THRESHOLD`, this time is multiplied by
-  n / `LARGE_FLEET_THRESHOLD`.
+- In a fleet of n gateways, fewer than `LARGE_FLEET_GATEWAY_COUNT`, this time is multiplied by
+  n / `LARGE_FLEET_GATEWAY_COUNT`.
 - If the estimated demand is close to the capacity, this time is divided by `NEAR_CAPACITY_SPEEDUP`, because
   with a late total too few requests would be rejected.
 
@@ -43,7 +43,7 @@
 
 from yardlane.decisions.actions import AddToCounter
 from yardlane.decisions.events import CounterResult, Outcome
-from yardlane.decisions.quota import LARGE_FLEET_THRESHOLD, TenantDemand
+from yardlane.decisions.quota import LARGE_FLEET_GATEWAY_COUNT, TenantDemand
 from yardlane.decisions.request import Request
 from yardlane.decisions.units import SECOND_US
 
@@ -54,7 +54,7 @@
 LATE_BACKOFF_MULTIPLIER = 1.3
 LOST_BACKOFF_MULTIPLIER = 1.15  # less than for a late poll, as a lost one is no sure sign of load
 PROMPT_BACKOFF_MULTIPLIER = 0.9
-BACKOFF_DECAY_US = 10 * SECOND_US
+BACKOFF_DECAY_TIME_US = 10 * SECOND_US
 LATE_REPLY_SHARE = 0.5  # share of the counter's time-out above which a reply is late
 
 PERIOD_DECAY_TIMES = 8  # length of a period in decay times, unless this exceeds LONGEST_PERIOD_US
@@ -71,8 +71,8 @@
 
     __slots__ = ("_phase_us", "_tenant_key", "period_us")
 
-    def __init__(self, tenant: int, tenant_key: int, decay_us: float) -> None:
-        self.period_us = int(min(LONGEST_PERIOD_US, PERIOD_DECAY_TIMES * decay_us))
+    def __init__(self, tenant: int, tenant_key: int, decay_time_us: float) -> None:
+        self.period_us = int(min(LONGEST_PERIOD_US, PERIOD_DECAY_TIMES * decay_time_us))
         self._phase_us = (
             tenant * PHASE_HASH_MULTIPLIER % PHASE_HASH_RANGE * self.period_us // PHASE_HASH_RANGE
         )
@@ -123,7 +123,7 @@
     def decay_backoff(self, elapsed_us: int) -> None:
         """Decay the backoff by the time since the last turn. Call it in each turn."""
         if self.backoff_factor > 1.0:
-            decayed = (self.backoff_factor - 1.0) * math.exp(-elapsed_us / BACKOFF_DECAY_US)
+            decayed = (self.backoff_factor - 1.0) * math.exp(-elapsed_us / BACKOFF_DECAY_TIME_US)
             self.backoff_factor = 1.0 + decayed
 
     def is_due(self, demand: TenantDemand, request_demand: float, capacity: float, now_us: int) -> bool:
@@ -133,7 +133,7 @@
         random number is drawn for such a plan as well. The load balancer draws from the same generator, so
         skipping the draw here would change its later choices.
         """
-        if demand.has_valid_total(now_us):
+        if demand.has_recent_total(now_us):
             age_us = now_us - demand.total_received_at_us
             is_due = age_us > self._interval_us(demand, request_demand, capacity)
         else:
@@ -142,7 +142,9 @@
 
     def _interval_us(self, demand: TenantDemand, request_demand: float, capacity: float) -> float:
         interval_us = (
-            demand.decay_us * min(1.0, demand.gateway_count / LARGE_FLEET_THRESHOLD) * self.backoff_factor
+            demand.decay_time_us
+            * min(1.0, demand.gateway_count / LARGE_FLEET_GATEWAY_COUNT)
+            * self.backoff_factor
         )
         fleet_demand = demand.estimate_fleet_demand(request_demand)
         # With backoff, the next poll comes later and demand may grow more until then. So a smaller share of
@@ -160,8 +162,10 @@
         periods = request.tenant.periods
         index = periods.index_at(now_us)
         key = periods.counter_key(index)
-        amount = demand.unreported_demand * math.exp((now_us - periods.start_us(index)) / demand.decay_us)
-        if not demand.has_valid_total(now_us):
+        amount = demand.unreported_demand * math.exp(
+            (now_us - periods.start_us(index)) / demand.decay_time_us
+        )
+        if not demand.has_recent_total(now_us):
             amount *= self.backoff_factor
         self._pending.setdefault(key, deque()).append(PendingPoll(request, demand.unreported_demand, index))
         demand.unreported_demand = 0.0
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -27,7 +27,7 @@
     WatchEndpoints,
 )
 from yardlane.decisions.attempt_record import AttemptRecord
-from yardlane.decisions.concurrency import ConcurrencyLimit
+from yardlane.decisions.concurrency import AttemptLimit
 from yardlane.decisions.counter_polling import CounterPolling
 from yardlane.decisions.endpoint_record import EndpointRecord
 from yardlane.decisions.endpoints import EndpointList
@@ -77,7 +77,7 @@
         self.slow_start = SlowStart(settings, self.endpoints)
         self.outliers = OutlierDetection(self.timers)
         self.balancer = LoadBalancer(settings, self.random, self.slow_start, self.service_times)
-        self.concurrency = ConcurrencyLimit(settings)
+        self.concurrency = AttemptLimit(settings)
         self.retries = RetryPolicy(settings)
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
@@ -225,7 +225,7 @@
         """
         if tenant.next_forwarding_at_us > self.now_us:
             return
-        delay_us = admission.forwarding_delay_us(tenant, missing_units, self.now_us)
+        delay_us = admission.queue_recheck_delay_us(tenant, missing_units, self.now_us)
         tenant.next_forwarding_at_us = self.now_us + delay_us
         self.timers.schedule(tenant.next_forwarding_at_us, self._forward_queued, tenant)
 
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -10,7 +10,7 @@
 tenant's requests reach it. If this share had been given to another gateway for some time, both would have
 spent it.
 
-**Rate.** While the last total is recent, up to `DEMAND_BASED_SHARE` of the rate is split in proportion to
+**Rate.** While the last total is recent, up to `MAX_DEMAND_BASED_SHARE` of the rate is split in proportion to
 demand. Otherwise a gateway that gets most of a tenant's requests would forward far less than the quota. The
 shares must not add up to more than 1, although the gateways receive their totals at different times. The
 following rules account for that:
@@ -35,7 +35,7 @@
 from yardlane.decisions.settings import QuotaPlan
 from yardlane.decisions.units import SECOND_US
 
-DEMAND_BASED_SHARE = 0.7  # maximum part of the rate that is split by demand while the total is recent
+MAX_DEMAND_BASED_SHARE = 0.7  # maximum part of the rate that is split by demand while the total is recent
 # A hard rate is assumed to be at least twice the quota's rate. With up to two gateways, an even share of the
 # hard rate is then enough for the whole quota, so no part of it needs to be split by demand.
 ASSUMED_HARD_RATE_TO_QUOTA_RATIO = 2.0
@@ -47,14 +47,14 @@
 MIN_UNITS_PER_US = 1e-9  # keeps the wait finite
 
 
-def compute_even_share(rank: int, first_gateway: int, gateway_count: int, total_gateway_count: int) -> float:
+def compute_even_share(rank: int, first_rank: int, gateway_count: int, total_gateway_count: int) -> float:
     """Return the even share of the gateway with this rank among those that serve a tenant.
 
-    The tenant is served by `gateway_count` gateways from the rank `first_gateway` on, continuing at rank 0
+    The tenant is served by `gateway_count` gateways from the rank `first_rank` on, continuing at rank 0
     after the last one. The share is 0 for any other gateway: a request that reaches it by mistake must not
     exceed the hard rate.
     """
-    serves_tenant = (rank - first_gateway) % total_gateway_count < gateway_count
+    serves_tenant = (rank - first_rank) % total_gateway_count < gateway_count
     return 1.0 / gateway_count if serves_tenant else 0.0
 
 
@@ -66,7 +66,7 @@
 
     __slots__ = (
         "_demand",
-        "_demand_based_share",
+        "_demand_based_share_at_total",
         "_even_share",
         "_plan",
         "_refilled_at_us",
@@ -79,7 +79,7 @@
         self._plan = plan
         self._demand = demand
         self._even_share = even_share
-        self._demand_based_share = DEMAND_BASED_SHARE * max(
+        self._demand_based_share_at_total = MAX_DEMAND_BASED_SHARE * max(
             0.0, 1.0 - ASSUMED_HARD_RATE_TO_QUOTA_RATIO / demand.gateway_count
         )
         inflow = plan.hard_rate_per_s * uptime_us / SECOND_US
@@ -95,14 +95,14 @@
         demand = self._demand
         if demand.total_received_at_us < 0 or demand.fleet_demand <= 0.0 or not self._even_share:
             return self._even_share
-        fleet_per_us = demand.fleet_demand / demand.decay_us
+        fleet_per_us = demand.fleet_demand / demand.decay_time_us
         local_demand = min(demand.local_demand_at(now_us), demand.local_demand_at_total)
-        demand_based_share = self._demand_based_share
-        demand_based_share *= math.exp((demand.total_received_at_us - now_us) / demand.decay_us)
+        demand_based_share = self._demand_based_share_at_total
+        demand_based_share *= math.exp((demand.total_received_at_us - now_us) / demand.decay_time_us)
         if self._plan.rate_per_s:
             demand_based_share *= min(1.0, fleet_per_us * SECOND_US / self._plan.rate_per_s)
-        demand_share = min(1.0, local_demand / demand.local_decay_us / fleet_per_us)
-        return self._even_share + demand_based_share * (demand_share - self._even_share)
+        local_share_of_demand = min(1.0, local_demand / demand.local_decay_time_us / fleet_per_us)
+        return self._even_share + demand_based_share * (local_share_of_demand - self._even_share)
 
     def refill(self, now_us: int) -> None:
         """Add the units that this gateway's share of the rate has supplied since the last call."""
@@ -129,15 +129,15 @@
         units_per_us = self._plan.hard_rate_per_s * self.rate_share(now_us) / SECOND_US
         return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_UNITS_PER_US, units_per_us)))
 
-    def grant_on_first_total(self) -> None:
+    def fill_on_first_total(self) -> None:
         """Fill the bucket to half of its depth, less the share of the hard rate that the fleet's demand uses.
 
         A gateway that has just started does not know whether the previous process emptied the bucket. With
         high demand it probably did, so a full bucket would exceed the hard rate. With low demand, half of the
         bucket should still be available.
         """
-        demand_share = (
-            self._demand.fleet_demand * SECOND_US / self._demand.decay_us / self._plan.hard_rate_per_s
+        demand_to_hard_rate = (
+            self._demand.fleet_demand * SECOND_US / self._demand.decay_time_us / self._plan.hard_rate_per_s
         )
         depth = self._plan.hard_rate_depth * self._even_share
-        self.units = max(self.units, depth * (FIRST_TOTAL_FILL_SHARE - demand_share))
+        self.units = max(self.units, depth * (FIRST_TOTAL_FILL_SHARE - demand_to_hard_rate))
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -33,7 +33,7 @@
 MAX_TOTAL_AGE_US = 20 * SECOND_US
 """A total of this age or older no longer says much about the fleet's current demand."""
 
-LARGE_FLEET_THRESHOLD = 25
+LARGE_FLEET_GATEWAY_COUNT = 25
 """A fleet with more gateways than this is large: each gateway sees few of a tenant's requests.
 
 Up to this size, all gateways together poll a tenant's count at most about this many times in one decay time
@@ -43,7 +43,7 @@
 NO_PERIOD = -1
 BURST_REFILL_TIME_SHARE = 0.4  # decay time, as a share of the time in which the rate refills the whole burst
 MIN_DECAY_TIMEOUTS = 50  # minimum decay time, in time-outs of the counter
-MIN_SHORT_DECAY_TIMEOUTS = 10  # the same where a long decay time would mislead, see `decay_time_us`
+MIN_SHORT_DECAY_TIMEOUTS = 10  # the same where a long decay time would mislead, see `compute_decay_time_us`
 # How many even shares of a quota a gateway admits before the first total. With a single share, a gateway that
 # gets somewhat more requests than the others would reject requests within the quota.
 EVEN_SHARES_BEFORE_TOTAL = 1.4
@@ -55,15 +55,15 @@
 # little and exceed the quota; with 1, requests within the quota would be rejected.
 ASSUMED_PRIOR_DEMAND_SHARE = 0.5
 # A count never decreases. If a total is below this share of the last one, the counter has lost its count.
-COUNT_LOSS_THRESHOLD = 0.999
+COUNT_LOSS_SHARE = 0.999
 # In slots. A bound that is below a whole number by less than this is not rounded down, as the difference is
 # likely to be a rounding error.
-BOUND_TOLERANCE = 1e-4
+BOUND_TOLERANCE_SLOTS = 1e-4
 
 
 def is_large_fleet(gateway_count: int) -> bool:
     """Return whether each gateway sees too few of a tenant's requests for its local demand to say much."""
-    return gateway_count > LARGE_FLEET_THRESHOLD
+    return gateway_count > LARGE_FLEET_GATEWAY_COUNT
 
 
 def is_limit_below_gateway_count(plan: QuotaPlan, gateway_count: int) -> bool:
@@ -71,7 +71,7 @@
     return 0 < plan.concurrency_limit < gateway_count
 
 
-def decay_time_us(plan: QuotaPlan, gateway_count: int, counter_timeout_us: int) -> float:
+def compute_decay_time_us(plan: QuotaPlan, gateway_count: int, counter_timeout_us: int) -> float:
     """Return the time constant of the decay: without requests, demand falls to 1/e in this time.
 
     For a plan with a rate, the decay time is short in a large fleet. Each gateway gets few requests in one
@@ -101,15 +101,16 @@
         bound = local_demand + (limit - fleet_demand) / gateway_count
     else:
         bound = limit * local_demand / fleet_demand
-    return max(1, int(bound + BOUND_TOLERANCE))
+    return max(1, int(bound + BOUND_TOLERANCE_SLOTS))
 
 
 class TenantDemand:
     """The demand of one tenant: local, not yet reported, and over all gateways.
 
-    The local demand decays with `local_decay_us` and the total with `decay_us`. If there are more gateways
-    than the burst has units, or than the concurrency limit, each gateway gets few requests. `local_decay_us`
-    is then longer than `decay_us`, because the local demand would otherwise jump with each request.
+    The local demand decays with `local_decay_time_us` and the total with `decay_time_us`. If there are more
+    gateways than the burst has units, or than the concurrency limit, each gateway gets few requests.
+    `local_decay_time_us` is then longer than `decay_time_us`, because the local demand would otherwise jump
+    with each request.
     """
 
     __slots__ = (
@@ -117,12 +118,12 @@
         "_carried_over_demand",
         "_last_count",
         "_last_period_index",
-        "decay_us",
+        "decay_time_us",
         "fleet_demand",
         "gateway_count",
         "is_in_large_fleet",
         "last_request_at_us",
-        "local_decay_us",
+        "local_decay_time_us",
         "local_demand",
         "local_demand_at_total",
         "total_received_at_us",
@@ -130,11 +131,11 @@
     )
 
     def __init__(self, plan: QuotaPlan, gateway_count: int, counter_timeout_us: int, now_us: int) -> None:
-        capacity = max(1.0, plan.burst or plan.concurrency_limit)
+        burst_or_limit = max(1.0, plan.burst or plan.concurrency_limit)
         self.gateway_count = gateway_count
         self.is_in_large_fleet = is_large_fleet(gateway_count)
-        self.decay_us = decay_time_us(plan, gateway_count, counter_timeout_us)
-        self.local_decay_us = self.decay_us * max(1.0, gateway_count / capacity)
+        self.decay_time_us = compute_decay_time_us(plan, gateway_count, counter_timeout_us)
+        self.local_decay_time_us = self.decay_time_us * max(1.0, gateway_count / burst_or_limit)
         self.local_demand = 0.0
         self.last_request_at_us = now_us
         self.unreported_demand = 0.0
@@ -150,7 +151,7 @@
         """Return whether the counter has ever returned a total."""
         return self.total_received_at_us >= 0
 
-    def has_valid_total(self, now_us: int) -> bool:
+    def has_recent_total(self, now_us: int) -> bool:
         """Return whether the last total is recent enough to estimate the current demand from."""
         return 0 <= self.total_received_at_us > now_us - MAX_TOTAL_AGE_US
 
@@ -162,7 +163,7 @@
 
     def local_demand_at(self, now_us: int) -> float:
         """Return the local demand, decayed to `now_us`."""
-        return self.local_demand * math.exp((self.last_request_at_us - now_us) / self.local_decay_us)
+        return self.local_demand * math.exp((self.last_request_at_us - now_us) / self.local_decay_time_us)
 
     def estimate_fleet_demand(self, request_demand: float) -> float:
         """Return the estimated demand over all gateways.
@@ -173,8 +174,10 @@
         current request.
         """
         if self.total_received_at_us < 0:
-            even_demand = self.local_demand * self.gateway_count * self.decay_us / self.local_decay_us
-            return even_demand / EVEN_SHARES_BEFORE_TOTAL
+            extrapolated_demand = (
+                self.local_demand * self.gateway_count * self.decay_time_us / self.local_decay_time_us
+            )
+            return extrapolated_demand / EVEN_SHARES_BEFORE_TOTAL
         smoothing = SMOOTHING_REQUESTS * request_demand
         return self.fleet_demand * (self.local_demand + smoothing) / (self.local_demand_at_total + smoothing)
 
@@ -187,16 +190,16 @@
         look as if there had been no demand, and far more than the quota would be admitted. So the demand
         known before is carried over: it decays further, and the new count is added to it.
         """
-        if period_index != self._last_period_index or total < self._last_count * COUNT_LOSS_THRESHOLD:
+        if period_index != self._last_period_index or total < self._last_count * COUNT_LOSS_SHARE:
             if self.has_total():
                 self._carried_over_demand = self.fleet_demand
                 self._carried_over_at_us = self.total_received_at_us
             else:
                 self._carried_over_demand = ASSUMED_PRIOR_DEMAND_SHARE * capacity
                 self._carried_over_at_us = period_start_us
-        self.fleet_demand = total * math.exp((period_start_us - now_us) / self.decay_us)
+        self.fleet_demand = total * math.exp((period_start_us - now_us) / self.decay_time_us)
         self.fleet_demand += self._carried_over_demand * math.exp(
-            (self._carried_over_at_us - now_us) / self.decay_us
+            (self._carried_over_at_us - now_us) / self.decay_time_us
         )
         self.local_demand_at_total = self.local_demand
         self.total_received_at_us = now_us
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -70,7 +70,9 @@
         plan = settings.quota_plans[event.quota_plan]
         gateway_count = max(1, event.gateway_count)
         tenant_key = event.tenant * len(settings.quota_plans) + event.quota_plan
-        share = compute_even_share(settings.rank, event.first_gateway, gateway_count, settings.gateway_count)
+        even_share = compute_even_share(
+            settings.rank, event.first_gateway, gateway_count, settings.gateway_count
+        )
         self.plan = plan
         self.gateway_count = gateway_count
         self.queue: list[Request] = []
@@ -78,9 +80,9 @@
         self.next_forwarding_at_us = 0
         self.admission_credit = admission_credit
         self.demand = TenantDemand(plan, gateway_count, settings.counter_timeout_us, now_us)
-        self.periods = CountingPeriods(event.tenant, tenant_key, self.demand.decay_us)
+        self.periods = CountingPeriods(event.tenant, tenant_key, self.demand.decay_time_us)
         self.burst = BurstEstimate(plan, self.demand, now_us)
-        self.hard_rate = HardRateBucket(plan, self.demand, share, now_us - started_at_us, now_us)
+        self.hard_rate = HardRateBucket(plan, self.demand, even_share, now_us - started_at_us, now_us)
         self.concurrency_bound = even_concurrency_bound(plan.concurrency_limit, gateway_count)
         self.has_limit_below_gateway_count = is_limit_below_gateway_count(plan, gateway_count)
 
@@ -122,8 +124,8 @@
         self.concurrency_bound = split_concurrency_limit(
             self.plan.concurrency_limit,
             self.gateway_count,
-            slot_us_per_demand * demand.local_demand / demand.local_decay_us,
-            slot_us_per_demand * fleet_demand / demand.decay_us,
+            slot_us_per_demand * demand.local_demand / demand.local_decay_time_us,
+            slot_us_per_demand * fleet_demand / demand.decay_time_us,
         )
 
     def apply_total(self, total: float, period_index: int, capacity: float, now_us: int) -> None:
@@ -135,7 +137,7 @@
         start_us = self.periods.start_us(period_index)
         self.demand.apply_total(total, period_index, start_us, capacity, now_us)
         if is_first and self.plan.hard_rate_per_s:
-            self.hard_rate.grant_on_first_total()
+            self.hard_rate.fill_on_first_total()
 
     def is_evictable(self, now_us: int) -> bool:
         """Refill the buckets and return whether the tenant's state no longer matters."""
