--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -74,17 +74,17 @@
         assert len(before - subset_ids(endpoints)) <= 1
 
 
-def test_warming_endpoint_admits_as_many_gateways_as_share_its_budget() -> None:
-    now = 500 * SECOND
+def test_number_of_gateways_that_use_warming_endpoint_is_gateways_per_endpoint() -> None:
+    now_us = 500 * SECOND
     for number in range(20):
-        warming = make_endpoint(0, endpoint_id=b"s-%x" % number, started_at_us=now - 2 * SECOND)
+        warming = make_endpoint(0, endpoint_id=b"s-%x" % number, started_at_us=now_us - 2 * SECOND)
         admitted_ranks = set()
         for rank, endpoints in enumerate(make_endpoint_lists((*make_endpoints(), warming))):
             slow_start = SlowStart(endpoints.settings, endpoints)
             record = endpoints.by_id[warming.endpoint_id]
             if any(
-                slow_start.admits(record, slow_start.warm_up_factor(record, at), 200 * MS, at)
-                for at in range(now, now + 8 * SECOND, 50 * MS)
+                slow_start.admits(record, slow_start.warm_up_factor(record, at_us), 200 * MS, at_us)
+                for at_us in range(now_us, now_us + 8 * SECOND, 50 * MS)
             ):
                 admitted_ranks.add(rank)
         assert len(admitted_ranks) == endpoints.gateways_per_endpoint < GATEWAY_COUNT
@@ -126,10 +126,10 @@
     """Send sixty requests, answer each at once, and return the ids of the endpoints that they went to."""
     endpoint_ids = set()
     for _ in range(60):
-        number, actions = driver.send_request(quota_plan=UNLIMITED)
+        request_id, actions = driver.send_request(quota_plan=UNLIMITED)
         for attempt in of_type(StartAttempt, actions):
             endpoint_ids.add(attempt.endpoint_id)
-            driver.end_attempt(number, attempt.endpoint_id)
+            driver.end_attempt(request_id, attempt.endpoint_id)
         driver.advance(200 * MS)
     return endpoint_ids
 
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -24,15 +24,15 @@
     """Serve this many requests, each in the initial mean service time, and count them by endpoint."""
     counts: Counter[bytes] = Counter()
     for _ in range(requests):
-        number, actions = driver.send_request(quota_plan=UNLIMITED)
+        request_id, actions = driver.send_request(quota_plan=UNLIMITED)
         for attempt in of_type(StartAttempt, actions):
             counts[attempt.endpoint_id] += 1
-            driver.end_attempt(number, attempt.endpoint_id, elapsed_us=INITIAL_SERVICE_TIME_US)
+            driver.end_attempt(request_id, attempt.endpoint_id, elapsed_us=INITIAL_SERVICE_TIME_US)
         driver.advance(50 * MS)
     return counts
 
 
-def test_choice_examines_few_endpoints_however_many_are_listed() -> None:
+def test_number_of_examined_endpoints_does_not_grow_with_endpoint_list() -> None:
     examined_counts = []
     for endpoint_count in (40, 200):
         driver = GatewayDriver(endpoints=endpoint_count)
@@ -58,16 +58,16 @@
 
 def test_load_report_expires_after_a_second() -> None:
     driver = GatewayDriver(endpoints=2)
-    number, actions = driver.send_request(quota_plan=UNLIMITED)
+    request_id, actions = driver.send_request(quota_plan=UNLIMITED)
     [attempt] = of_type(StartAttempt, actions)
     driver.end_attempt(
-        number, attempt.endpoint_id, elapsed_us=INITIAL_SERVICE_TIME_US, load=LoadReport(in_flight=30.0)
+        request_id, attempt.endpoint_id, elapsed_us=INITIAL_SERVICE_TIME_US, load=LoadReport(in_flight=30.0)
     )
     [other] = {make_endpoint_id(0), make_endpoint_id(1)} - {attempt.endpoint_id}
     driver.now_us += 100 * MS
-    number, actions = driver.send_request(quota_plan=UNLIMITED)
+    request_id, actions = driver.send_request(quota_plan=UNLIMITED)
     assert [one.endpoint_id for one in of_type(StartAttempt, actions)] == [other]
-    driver.end_attempt(number, other, elapsed_us=INITIAL_SERVICE_TIME_US)
+    driver.end_attempt(request_id, other, elapsed_us=INITIAL_SERVICE_TIME_US)
     driver.advance(2 * SECOND)
     assert set(serve_and_count_by_endpoint(driver, 40)) == {attempt.endpoint_id, other}
 
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -32,23 +32,23 @@
     )
 
 
-def test_hanging_endpoint_is_avoided_before_any_timeout() -> None:
+def test_unresponsive_endpoint_is_avoided_before_any_timeout() -> None:
     """One of four endpoints accepts requests and never responds.
 
     If only timeouts counted, it would get a quarter of all requests until the first attempt there times out.
     Overdue attempts count as failures long before that.
     """
     driver = GatewayDriver(endpoints=4)
-    hanging_id = make_endpoint_id(1)
+    unresponsive_id = make_endpoint_id(1)
     for _ in range(2):
         driver.action_log.clear()
         for _ in range(200):
-            number, actions = driver.send_request(quota_plan=UNLIMITED)
+            request_id, actions = driver.send_request(quota_plan=UNLIMITED)
             for attempt in of_type(StartAttempt, actions):
-                if attempt.endpoint_id != hanging_id:
-                    driver.end_attempt(number, attempt.endpoint_id, elapsed_us=60 * MS)
+                if attempt.endpoint_id != unresponsive_id:
+                    driver.end_attempt(request_id, attempt.endpoint_id, elapsed_us=60 * MS)
             driver.advance(20 * MS)
-    assert count_attempts(driver, hanging_id) <= 0.1 * 200
+    assert count_attempts(driver, unresponsive_id) <= 0.1 * 200
 
 
 def test_endpoint_that_fails_fast_gets_few_attempts() -> None:
@@ -73,25 +73,25 @@
     assert count_attempts(driver, failing_id) <= 20
 
 
-def test_timeout_at_a_short_client_deadline_is_not_counted_as_a_failure() -> None:
+def test_timeout_at_short_client_deadline_is_not_counted_as_failure() -> None:
     driver = GatewayDriver(endpoints=1)
     for _ in range(6):
-        number, actions = driver.send_request(quota_plan=UNLIMITED, time_left_us=60 * MS)
+        request_id, actions = driver.send_request(quota_plan=UNLIMITED, time_left_us=60 * MS)
         [attempt] = of_type(StartAttempt, actions)
-        driver.end_attempt(number, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=60 * MS)
+        driver.end_attempt(request_id, attempt.endpoint_id, Outcome.TIMED_OUT, elapsed_us=60 * MS)
     assert not any(record_of(driver, 0).failure_rates.values())
 
 
 @pytest.mark.parametrize("outcome", (Outcome.CANCELLED, Outcome.NOT_SENT))
 def test_cancelled_or_unsent_attempt_is_not_counted_as_a_failure(outcome: Outcome) -> None:
     driver = GatewayDriver(endpoints=1)
-    number, actions = driver.send_request(quota_plan=UNLIMITED)
+    request_id, actions = driver.send_request(quota_plan=UNLIMITED)
     [attempt] = of_type(StartAttempt, actions)
-    driver.end_attempt(number, attempt.endpoint_id, outcome)
+    driver.end_attempt(request_id, attempt.endpoint_id, outcome)
     assert not any(record_of(driver, 0).failure_rates.values())
 
 
-def test_overdue_attempt_is_a_failure_only_if_the_endpoint_does_not_respond_at_all() -> None:
+def test_overdue_attempt_is_a_failure_unless_endpoint_responds_to_a_later_attempt() -> None:
     silent, slow = GatewayDriver(endpoints=1), GatewayDriver(endpoints=1)
     for driver in (silent, slow):
         driver.send_request(quota_plan=UNLIMITED)
@@ -112,7 +112,9 @@
     """
     driver = GatewayDriver(endpoints=3, gateway_count=100)
     started = [
-        one for _ in range(2) for one in of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
+        attempt
+        for _ in range(2)
+        for attempt in of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
     ]
 
     def endpoint_averages() -> dict[bytes, tuple[float, dict[QuotaPlan | None, float]]]:
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -38,9 +38,9 @@
 FAILURES = (*NEVER_RAN_OUTCOMES, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
 ZONE_COUNT = 3
 ENDPOINT_COUNT = 6
-STEPS = 150
+STEPS_PER_RUN = 150
 # READY is repeated so that it is drawn more often.
-STATES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
+STATE_CHOICES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
 @dataclass
@@ -59,7 +59,7 @@
 
     request_class: int
     plan: int
-    gives_up_at_us: int
+    deadline_at_us: int
     attempts: list[SentAttempt] = field(default_factory=list)
     has_ended: bool = False
 
@@ -93,7 +93,7 @@
     def _check_final_answer(self, at_us: int, answer: Reject | Fail) -> None:
         request = self.requests[answer.request_id]
         assert not request.has_ended
-        assert at_us <= request.gives_up_at_us + self.driver.settings.answer_grace_us
+        assert at_us <= request.deadline_at_us + self.driver.settings.answer_grace_us
         idempotency = CLASSES[request.request_class].idempotency
         if isinstance(answer, Reject) and idempotency is not Idempotency.IDEMPOTENT:
             assert request.first_attempt_that_may_have_run() is None
@@ -198,7 +198,7 @@
         entries = [
             make_endpoint(
                 number,
-                self.random.choice(STATES),
+                self.random.choice(STATE_CHOICES),
                 zone=number % ZONE_COUNT,
                 started_at_us=self.random.choice((0, self.driver.now_us - 2 * SECOND)),
             )
@@ -223,7 +223,7 @@
 @given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
 def test_random_event_sequences_keep_invariants(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
     run = RandomRun(seed, may_hedge, has_shared_counter)
-    for _ in range(STEPS):
+    for _ in range(STEPS_PER_RUN):
         run.step()
     run.driver.advance(5 * SECOND)
     run.checker.check_new_actions()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -105,14 +105,14 @@
 
 def make_slow_starts(settings: Settings, warming: EndpointListUpdate, started_at_us: int) -> list[SlowStart]:
     """Return the `SlowStart` of each gateway; all gateways start at `started_at_us`."""
-    started = []
+    slow_starts = []
     for rank in range(settings.gateway_count):
         endpoints = EndpointList(replace(settings, rank=rank))
         endpoints.apply_update(warming)
         slow_start = SlowStart(endpoints.settings, endpoints)
         slow_start.gateway_started_at_us = started_at_us
-        started.append(slow_start)
-    return started
+        slow_starts.append(slow_start)
+    return slow_starts
 
 
 @pytest.mark.parametrize("restart", (False, True))
@@ -129,22 +129,22 @@
     settings = replace(base, request_classes=classes)
     entry = make_endpoint(1, started_at_us=BEGIN_US)
     warming = EndpointListUpdate(UpdateKind.SNAPSHOT, 1, (entry,))
-    gateways = make_slow_starts(settings, warming, 0)
+    slow_starts = make_slow_starts(settings, warming, 0)
     sent = deque[int]()
-    for now in range(BEGIN_US, BEGIN_US + settings.warm_up_us, 20 * MS):
-        if restart and now == BEGIN_US + SECOND:
-            gateways = make_slow_starts(settings, warming, now)
-        factor = warm_up_factor(settings, BEGIN_US, now)
+    for now_us in range(BEGIN_US, BEGIN_US + settings.warm_up_us, 20 * MS):
+        if restart and now_us == BEGIN_US + SECOND:
+            slow_starts = make_slow_starts(settings, warming, now_us)
+        factor = warm_up_factor(settings, BEGIN_US, now_us)
         budget = (
             USABLE_BUDGET_SHARE * settings.overload_multiple * factor * settings.overload_window_us / work_us
         )
-        for slow_start in gateways:
+        for slow_start in slow_starts:
             endpoint = slow_start.endpoints.by_id[entry.endpoint_id]
-            while slow_start.admits(endpoint, factor, work_us, now):
-                slow_start.record_sent(endpoint, work_us, now)
-                endpoint.last_sent_at_us = now
-                sent.append(now)
-                while sent[0] <= now - settings.overload_window_us:
+            while slow_start.admits(endpoint, factor, work_us, now_us):
+                slow_start.record_sent(endpoint, work_us, now_us)
+                endpoint.last_sent_at_us = now_us
+                sent.append(now_us)
+                while sent[0] <= now_us - settings.overload_window_us:
                     sent.popleft()
                 # One more request may come from the time slot that is open.
                 assert len(sent) <= budget * (1.0 + RESTART_BUDGET_SHARE * restart) + 1
@@ -172,16 +172,16 @@
     Each gateway gets five requests a second for 20 s.
     """
     entries = (new, *(make_endpoint(number) for number in range(1, 60)))
-    times: list[int] = []
+    times_us: list[int] = []
     for rank in range(250):
         driver = GatewayDriver(endpoints=0, gateway_count=250, rank=rank, seed=rank, start_us=started_at_us)
         driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
         for _ in range(100):
             for attempt in of_type(StartAttempt, driver.advance(200 * MS) + driver.send_request()[1]):
                 if attempt.endpoint_id == new.endpoint_id:
-                    times.append(driver.now_us)
+                    times_us.append(driver.now_us)
                 driver.end_attempt(attempt.request_id, attempt.endpoint_id)
-    return sorted(times)
+    return sorted(times_us)
 
 
 def test_250_gateways_use_a_warming_endpoint_without_overloading_it() -> None:
@@ -193,13 +193,17 @@
     settings = make_settings(gateway_count=250)
     started_at_us = 77 * SECOND
     new = make_endpoint(0, started_at_us=started_at_us)
-    ages = [at - started_at_us for at in attempt_times_of_250_gateways(settings, new, started_at_us)]
-    warming = [age for age in ages if age < settings.warm_up_us]
+    ages_us = [at_us - started_at_us for at_us in attempt_times_of_250_gateways(settings, new, started_at_us)]
+    warming = [age_us for age_us in ages_us if age_us < settings.warm_up_us]
     assert len(warming) >= 15
     initial_work_us = max(c.latency_objective_us for c in settings.request_classes) / 6
-    for first in range(0, settings.warm_up_us, 100 * MS):
-        window = [age for age in warming if first <= age < first + settings.overload_window_us]
-        factor = warm_up_factor(settings, started_at_us, started_at_us + first)
+    for window_start_us in range(0, settings.warm_up_us, 100 * MS):
+        window = [
+            age_us
+            for age_us in warming
+            if window_start_us <= age_us < window_start_us + settings.overload_window_us
+        ]
+        factor = warm_up_factor(settings, started_at_us, started_at_us + window_start_us)
         assert (
             len(window) * initial_work_us <= settings.overload_multiple * factor * settings.overload_window_us
         )
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -92,12 +92,12 @@
 class ReceivedAttempt:
     """An attempt that reached its endpoint.
 
-    `sender_knew_start` is whether the gateway's endpoint list had the current start time of the endpoint.
+    `sender_knew_start_time` says whether the sender's endpoint list had the endpoint's current start time.
     """
 
     at_us: int
     work_us: float
-    sender_knew_start: bool
+    sender_knew_start_time: bool
 
 
 @dataclass
@@ -126,11 +126,11 @@
             while window[0].at_us <= attempt.at_us - settings.overload_window_us:
                 window.popleft()
             total_us = sum(earlier.work_us for earlier in window)
-            informed_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start)
+            informed_work_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start_time)
             factor = warm_up_factor(settings, started_at_us, attempt.at_us)
             allowed = settings.overload_multiple * factor * settings.overload_window_us / mean_work_us
             # Windows are ignored if a third of the work came from gateways that did not know of the start.
-            if informed_us > total_us * 2 / 3:
+            if informed_work_us > total_us * 2 / 3:
                 max_ratio = max(max_ratio, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
         until_us = min(now_us, started_at_us + settings.warm_up_us)
         first_factor = warm_up_factor(settings, started_at_us, started_at_us)
@@ -155,7 +155,7 @@
 
     endpoint_id: bytes
     sent_at_us: int
-    ended: bool = False
+    has_ended: bool = False
 
 
 class Simulation:
@@ -345,8 +345,8 @@
         endpoint = self.endpoints[endpoint_id]
         if endpoint.is_down:
             return float(FAILURE_DURATION_US), Outcome.NOT_CONNECTED
-        knew_start = process.endpoints[endpoint_id].started_at_us == endpoint.entry.started_at_us
-        endpoint.received.append(ReceivedAttempt(self.clock.now_us, work_us, knew_start))
+        knew_start_time = process.endpoints[endpoint_id].started_at_us == endpoint.entry.started_at_us
+        endpoint.received.append(ReceivedAttempt(self.clock.now_us, work_us, knew_start_time))
         chance = self.random.random() - self.scenario.hang_share
         if chance < 0.0:
             return float(HANG_DURATION_US), Outcome.TIMED_OUT
@@ -365,9 +365,9 @@
         self, process: GatewayProcess, incarnation: int, request_id: int, index: int, outcome: Outcome
     ) -> None:
         attempt = self.attempts[request_id][index]
-        if attempt.ended:
+        if attempt.has_ended:
             return
-        attempt.ended = True
+        attempt.has_ended = True
         if outcome is Outcome.OK:
             self.answered.add(request_id)
         elapsed_us = self.clock.now_us - attempt.sent_at_us
--- a/yardlane/decisions/endpoints.py
+++ b/yardlane/decisions/endpoints.py
@@ -66,11 +66,11 @@
         if removed is None or removed.sent_work.is_empty():
             return
         self._recently_removed[endpoint_id] = removed
-        newest_us = max(record.last_sent_at_us for record in self._recently_removed.values())
+        latest_sent_at_us = max(record.last_sent_at_us for record in self._recently_removed.values())
         self._recently_removed = {
             key: record
             for key, record in self._recently_removed.items()
-            if record.last_sent_at_us > newest_us - self.settings.overload_window_us
+            if record.last_sent_at_us > latest_sent_at_us - self.settings.overload_window_us
         }
 
     def _add_or_update(self, entry: Endpoint) -> None:
@@ -96,10 +96,10 @@
         The stride has no common factor with that number, so no two gateways have the same position.
         """
         count = self.settings.gateway_count
-        stride, first = divmod(zlib.crc32(endpoint_id), count)
+        stride, offset = divmod(zlib.crc32(endpoint_id), count)
         while math.gcd(stride, count) > 1:
             stride += 1
-        return (self.settings.rank * stride + first) % count
+        return (self.settings.rank * stride + offset) % count
 
 
 def _divide_rounding_up(dividend: int, divisor: int) -> int:
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -160,8 +160,8 @@
         request_class = self.settings.request_classes[event.request_class]
         service_time_us = self.service_times.mean_us[event.request_class]
         queueing_us = admission.max_queueing_time_us(request_class, service_time_us, event.time_left_us)
-        final_answer_at_us = min(request.final_answer_by_us, self.now_us + queueing_us)
-        self.timers.schedule(final_answer_at_us, self._on_final_answer_due, request)
+        queueing_ends_at_us = min(request.final_answer_by_us, self.now_us + queueing_us)
+        self.timers.schedule(queueing_ends_at_us, self._on_final_answer_due, request)
         return request
 
     def _get_or_create_tenant(self, event: RequestArrived) -> Tenant:
@@ -175,14 +175,14 @@
         return tenant
 
     def _on_counter_result(self, result: CounterResult) -> None:
-        call = self.polling.finish(result)
-        if call is None:
+        poll = self.polling.finish(result)
+        if poll is None:
             return
-        request = call.request
+        request = poll.request
         if result.outcome is Outcome.OK:
             service_time_us = self._mean_service_time_us(request)
             capacity = admission.sustained_capacity(request.tenant, request.units, service_time_us)
-            request.tenant.apply_total(result.total, call.period_index, capacity, self.now_us)
+            request.tenant.apply_total(result.total, poll.period_index, capacity, self.now_us)
         if not request.has_ended:
             self._decide_admission(request)
 
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -12,7 +12,7 @@
 
 Older observations count less. `outliers.decay_factor` reduces the failure rates and the deviation of the
 latency ratio from 1. The in-flight attempts of other gateways, as the endpoint reported them, are reduced to
-zero within `LOAD_REPORT_VALID_US`.
+zero within `LOAD_REPORT_FADE_US`.
 
 An endpoint that is warming up is a candidate only while `slow_start.py` admits a request. This is rarely the
 case, and the part of the budget that is not used is lost. So the endpoint is preferred for a request that it
@@ -38,7 +38,7 @@
 from yardlane.decisions.slow_start import SlowStart
 from yardlane.decisions.units import SECOND_US
 
-LOAD_REPORT_VALID_US = SECOND_US
+LOAD_REPORT_FADE_US = SECOND_US
 # A warming endpoint is preferred for requests whose expected service time there is below this share of the
 # latency objective.
 WARMING_MAX_LATENCY_SHARE = 0.5
@@ -98,11 +98,11 @@
         decay = decay_factor(now_us - endpoint.last_sent_at_us)
         latency_ratio = 1.0 + (endpoint.latency_ratio - 1.0) * decay
         report_age_us = now_us - endpoint.load_reported_at_us
-        remote_in_flight = endpoint.remote_in_flight * max(0.0, 1.0 - report_age_us / LOAD_REPORT_VALID_US)
+        remote_in_flight = endpoint.remote_in_flight * max(0.0, 1.0 - report_age_us / LOAD_REPORT_FADE_US)
         queue_length = 1.0 + endpoint.in_flight + remote_in_flight
         cost_us = service_time_us * latency_ratio * queue_length / warm_up_factor
-        failure_rate = endpoint.failure_rates[None] + endpoint.failure_rates.get(plan, 0.0)
-        cost_us += failure_rate * decay * objective_us
+        failure_rate_sum = endpoint.failure_rates[None] + endpoint.failure_rates.get(plan, 0.0)
+        cost_us += failure_rate_sum * decay * objective_us
         if (
             warm_up_factor < 1.0
             and service_time_us < warm_up_factor * objective_us * WARMING_MAX_LATENCY_SHARE
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -90,8 +90,8 @@
         """Count an attempt that has been in flight for `OVERDUE_MULTIPLE` mean service times."""
         if self._was_in_flight_during_stall(attempt):
             return
-        responded_since = attempt.endpoint.last_success_at_us > attempt.sent_at_us
-        _add_failure_sample(attempt.endpoint, None, 0.0 if responded_since else 1.0)
+        succeeded_since = attempt.endpoint.last_success_at_us > attempt.sent_at_us
+        _add_failure_sample(attempt.endpoint, None, 0.0 if succeeded_since else 1.0)
         _add_latency_sample(attempt.endpoint, OVERDUE_MULTIPLE)
 
     def _was_in_flight_during_stall(self, attempt: AttemptRecord) -> bool:
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -62,29 +62,33 @@
     def warm_up_factor(self, endpoint: EndpointRecord, now_us: int) -> float:
         """Return the share of its full capacity that an endpoint has at least by now; 1.0 if it is warm."""
         settings = self.settings
-        warm_up_share = max(0, now_us - endpoint.entry.started_at_us) / max(1, settings.warm_up_us)
+        warm_up_progress = max(0, now_us - endpoint.entry.started_at_us) / max(1, settings.warm_up_us)
         initial_share = settings.initial_capacity_share
-        return min(1.0, initial_share + (1.0 - initial_share) * warm_up_share)
+        return min(1.0, initial_share + (1.0 - initial_share) * warm_up_progress)
 
     def admits(
-        self, endpoint: EndpointRecord, warm_up_factor: float, mean_service_time_us: float, now_us: int
+        self,
+        endpoint: EndpointRecord,
+        warm_up_factor: float,
+        overall_mean_service_time_us: float,
+        now_us: int,
     ) -> bool:
         """Return whether one more request fits into this gateway's share of a warming endpoint's budget."""
         settings = self.settings
         gateways_per_endpoint = self.endpoints.gateways_per_endpoint
         if endpoint.subset_rank >= gateways_per_endpoint:
             return False
-        work_us = max(mean_service_time_us, self.min_request_work_us)
+        work_us = max(overall_mean_service_time_us, self.min_request_work_us)
         may_have_restarted = (
             endpoint.entry.started_at_us <= self.gateway_started_at_us
             and now_us < self.gateway_started_at_us + settings.overload_window_us
         )
         work_rate = USABLE_BUDGET_SHARE * settings.overload_multiple * warm_up_factor / gateways_per_endpoint
-        budget_us = (
+        local_budget_us = (
             work_rate * settings.overload_window_us * (RESTART_BUDGET_SHARE if may_have_restarted else 1.0)
         )
-        if budget_us >= work_us:
-            return work_us + endpoint.sent_work.sum_us(now_us) <= budget_us
+        if local_budget_us >= work_us:
+            return work_us + endpoint.sent_work.sum_us(now_us) <= local_budget_us
         return self._may_use_time_slot(endpoint, warm_up_factor, work_us, now_us, may_have_restarted)
 
     def _may_use_time_slot(
@@ -102,19 +106,19 @@
         window_us = self.settings.overload_window_us
         rounded_work_us = self._rounded_work_us(work_us)
         time_slot_us = rounded_work_us / (self._time_slot_work_rate * warm_up_factor)
-        since_slot_start_us = (
+        since_time_slot_start_us = (
             self._time_slots_since_last_own(endpoint, warm_up_factor, rounded_work_us, now_us) * time_slot_us
         )
-        if since_slot_start_us > window_us * TIME_SLOT_OPEN_SHARE:
+        if since_time_slot_start_us > window_us * TIME_SLOT_OPEN_SHARE:
             return False
-        if may_have_restarted and now_us - since_slot_start_us < self.gateway_started_at_us:
+        if may_have_restarted and now_us - since_time_slot_start_us < self.gateway_started_at_us:
             return False
         # Time slots get shorter as the endpoint warms up, and shift when the mean service time changes. The
         # computed start of a time slot that this gateway has used may thus move to a time after that use, and
         # the time slot would be used twice. So the gateway also waits for half a round after each use. A
         # round is one time slot for each gateway that shares the budget.
         half_round_us = self.endpoints.gateways_per_endpoint * time_slot_us / 2
-        return endpoint.last_sent_at_us < now_us - max(since_slot_start_us, half_round_us)
+        return endpoint.last_sent_at_us < now_us - max(since_time_slot_start_us, half_round_us)
 
     def _rounded_work_us(self, work_us: float) -> float:
         """Return the work of a request, rounded to `min_request_work_us` times a power of two.
@@ -139,7 +143,7 @@
         started_since = (int(time_slots) - endpoint.subset_rank) % self.endpoints.gateways_per_endpoint
         return started_since + time_slots % 1.0
 
-    def record_sent(self, endpoint: EndpointRecord, mean_service_time_us: float, now_us: int) -> None:
+    def record_sent(self, endpoint: EndpointRecord, overall_mean_service_time_us: float, now_us: int) -> None:
         """Count the work of a request that is sent to a warming endpoint. A warm endpoint has no budget."""
         if self.warm_up_factor(endpoint, now_us) < 1.0:
-            endpoint.sent_work.add(int(max(mean_service_time_us, self.min_request_work_us)), now_us)
+            endpoint.sent_work.add(int(max(overall_mean_service_time_us, self.min_request_work_us)), now_us)
--- a/yardlane/decisions/timers.py
+++ b/yardlane/decisions/timers.py
@@ -26,13 +26,13 @@
 class Timers:
     """A queue of the scheduled callbacks of one gateway, ordered by time."""
 
-    __slots__ = ("_queue", "_sequence_number", "_timer_due_us", "stall_ended_at_us")
+    __slots__ = ("_queue", "_sequence_number", "_timer_due_at_us", "stall_ended_at_us")
 
     def __init__(self) -> None:
         self.stall_ended_at_us = NEVER_US
         self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._sequence_number = 0
-        self._timer_due_us = 0
+        self._timer_due_at_us = 0
 
     def __len__(self) -> int:
         """Return the number of scheduled callbacks."""
@@ -45,7 +45,7 @@
 
     def detect_stall(self, now_us: int) -> None:
         """Record the end of a stall if this turn starts too late. Must be called first in each turn."""
-        if self._queue and now_us > self._timer_due_us + STALL_THRESHOLD_US:
+        if self._queue and now_us > self._timer_due_at_us + STALL_THRESHOLD_US:
             self.stall_ended_at_us = now_us
 
     def fire_due(self, now_us: int) -> None:
@@ -62,7 +62,7 @@
         if not self._queue:
             return None
         earliest_us = self._queue[0][0]
-        if now_us < self._timer_due_us <= earliest_us:
+        if now_us < self._timer_due_at_us <= earliest_us:
             return None
-        self._timer_due_us = earliest_us
+        self._timer_due_at_us = earliest_us
         return earliest_us - now_us
