--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -112,9 +112,9 @@
     """
     driver = GatewayDriver(endpoints=3, gateway_count=100)
     started = [
-        attempt
+        action
         for _ in range(2)
-        for attempt in of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
+        for action in of_type(StartAttempt, driver.send_request(quota_plan=UNLIMITED)[1])
     ]
 
     def endpoint_averages() -> dict[bytes, tuple[float, dict[QuotaPlan | None, float]]]:
