--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -1,9 +1,12 @@
-"""The watch of the endpoint list: a whole list first, then its changes, for as long as the process runs.
+"""Keeps the endpoint list up to date by polling discovery for as long as the process runs.
 
-A poll either fetches the whole list or watches: it names the version that we have, and discovery answers as
-soon as it has a later one, or with an empty list once the watch's time is over. The next poll follows at
-once. A poll that failed is made again after a backoff, which doubles up to a maximum; what we may have
-misread, or a version that discovery may not know, leads back to the whole list.
+A poll either fetches the whole list or watches it. A watch request contains the version of the current list.
+Discovery answers it as soon as it has a later version, or with an empty list when the watch times out. The
+next poll follows at once.
+
+If a poll fails, the next one follows after a backoff, which doubles with each failure up to a maximum. That
+poll fetches the whole list if the last response may have been misread, or if discovery may not know the
+current version.
 """
 
 from __future__ import annotations
@@ -29,7 +32,7 @@
 log = logging.getLogger("yardlane.proxy.discovery_client")
 
 LIST_PATH = b"/catalog/members"
-# In place of the version of a list: there is none, so the next poll fetches the whole.
+# Used in place of a list version if there is none; the next poll then fetches the whole list.
 NO_VERSION = -1
 
 OnUpdate = Callable[[EndpointListUpdate, Addresses], None]
@@ -38,7 +41,7 @@
 class DiscoveryClient:
     """Keeps the endpoint list up to date.
 
-    `on_update` gets every update in order; `on_poll_failed` is called after each poll that failed.
+    `on_update` is called with each update, in order. `on_poll_failed` is called after each failed poll.
     """
 
     def __init__(self, config: Config, on_update: OnUpdate, on_poll_failed: Callable[[], None]) -> None:
@@ -55,24 +58,24 @@
         self.task: asyncio.Task[None] | None = None
 
     def load_cached_list(self) -> None:
-        """Pass on the list that the configuration brought; an empty one where that cannot be read.
+        """Pass on the cached list from the configuration, or an empty list if it is malformed.
 
-        A configuration without a list (no `known`) is such a case as well, with the same line in the log:
-        "cached list ignored: no list of members".
+        A configuration without a cached list (no `known`) is treated in the same way. It causes the same
+        warning, with the reason "endpoint list must be an object with a list of members".
         """
         try:
             decoded = self.decoder.decode(self.cached_list, UpdateKind.CACHED)
         except MalformedEndpointList as error:
-            log.warning("cached list ignored: %s", error)
+            log.warning("ignoring the cached endpoint list, starting with an empty one: %s", error)
             decoded = DecodedList(EndpointListUpdate(UpdateKind.CACHED, 0, ()), {}, False)
         self.on_update(decoded.update, decoded.addresses)
 
     def start(self) -> None:
-        """Watch, until `stop`."""
+        """Start polling discovery, until `stop` is called."""
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """End the watch and its connection at once."""
+        """Stop polling and close the connection at once."""
         if self.task is not None:
             self.task.cancel()
         if self.connection is not None:
@@ -80,7 +83,10 @@
             self.connection = None
 
     def change_address(self, address: Address) -> None:
-        """Poll another discovery, which counts its own versions; the list stands until it answers."""
+        """Poll another discovery from now on; the current list stays in use until it responds.
+
+        Each discovery counts its own versions, so the first poll fetches the whole list.
+        """
         self.stop()
         self.address = address
         self.version = NO_VERSION
@@ -91,7 +97,7 @@
         while True:
             try:
                 await self._poll()
-            except Exception as error:  # whatever it is: without the watch, all later changes would be missed
+            except Exception as error:  # of any type: if this task ended, all later changes would be missed
                 self._handle_poll_failure(error)
                 await asyncio.sleep(backoff_s)
                 backoff_s = min(self.max_backoff_s, 2 * backoff_s)
@@ -102,9 +108,10 @@
     def _handle_poll_failure(self, error: Exception) -> None:
         is_network_error = isinstance(error, OSError | DiscoveryUnreachable)
         if is_network_error or isinstance(error, DiscoveryError):
-            log.warning("discovery: %.200s", error)
+            log.warning("poll of discovery failed, trying again: %.200s", error)
         else:
-            log.exception("discovery: a poll failed by an error of this program")
+            log.exception("poll of discovery failed because of an internal error, trying again")
+        # A network error says nothing about the list, so the current version is still valid.
         if not is_network_error:
             self.version = NO_VERSION
         if self.connection is not None:
@@ -114,7 +121,7 @@
         self.on_poll_failed()
 
     async def _poll(self) -> None:
-        """Fetch or watch the list once, and pass on what came."""
+        """Fetch or watch the list once, and pass on the update in the response."""
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
         connection = await self._ensure_connection()
@@ -122,7 +129,8 @@
         body = await self._request(connection, base_version)
         decoded = self.decoder.decode(parse_json(body))
         may_poll_at_once = self._apply_list(decoded, base_version)
-        # A discovery that answers every watch at once, with nothing new, must not take the processor.
+        # If discovery answers every watch at once with nothing new, polling without a pause would use up the
+        # CPU.
         if not may_poll_at_once and loop.time() < started_at_s + INITIAL_BACKOFF_S:
             await asyncio.sleep(INITIAL_BACKOFF_S)
 
@@ -130,20 +138,22 @@
         if self.connection is not None and self.connection.is_usable():
             return self.connection
         connection = DiscoveryConnection(self.address)
-        self.connection = connection  # before it is up, so that `stop` can close it
+        self.connection = connection  # before it is established, so that `stop` can close it
         try:
             async with asyncio.timeout(self.response_timeout_s):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
         except TimeoutError:
             raise DiscoveryUnreachable("timed out while connecting") from None
-        except ValueError as error:  # a host that cannot be a name
-            raise DiscoveryError(f"no address: {error}") from None
+        except ValueError as error:  # the host is not a valid host name
+            raise DiscoveryError(f"invalid address of discovery: {error}") from None
         return connection
 
     async def _request(self, connection: DiscoveryConnection, base_version: int) -> bytearray:
-        """Watch for what follows `base_version`, or fetch the whole list where there is none.
+        """Watch for changes since `base_version`, or fetch the whole list if that is NO_VERSION.
 
-        The timeout holds for the response in all: one that drips in must not stretch it.
+        Return the body of the response. The timeout applies to the response as a whole, so a response that
+        trickles in cannot extend it. Raises DiscoveryUnreachable if the response times out or the connection
+        ends, and DiscoveryError if the response is invalid.
         """
         path = LIST_PATH
         wait_ms = 0
@@ -157,17 +167,21 @@
             raise DiscoveryUnreachable("timed out while waiting for a response") from None
 
     def _apply_list(self, decoded: DecodedList, base_version: int) -> bool:
-        """Take over a response and pass on its update; whether the next poll may follow at once.
+        """Record the version of a list, pass on its update, and return whether to poll again at once.
 
-        It may not where the response brought nothing new or is ambiguous.
+        The next poll must wait if the list contained nothing new or is an ambiguous delta. Raises
+        MalformedEndpointList if the list does not follow from `base_version`.
         """
         update = decoded.update
         is_delta = update.kind is UpdateKind.DELTA
         if is_delta and base_version == NO_VERSION:
-            raise MalformedEndpointList("changes to a list that we do not have")
-        if update.version < base_version:  # a late response, or discovery lost its state
-            raise MalformedEndpointList(f"version {update.version} after {base_version}")
-        # The whole list may make it plain. Where that is ambiguous as well, asking again would not help.
+            raise MalformedEndpointList("got a delta in response to a request for the whole list")
+        if update.version < base_version:  # a late response, or discovery has lost its state
+            raise MalformedEndpointList(
+                f"endpoint list has version {update.version}, older than the current version {base_version}"
+            )
+        # The whole list may resolve the ambiguity of a delta. If the whole list is ambiguous too, fetching it
+        # again would not help.
         is_ambiguous = is_delta and decoded.is_ambiguous
         self.version = NO_VERSION if is_ambiguous else update.version
         has_content = bool(update.endpoints) or not is_delta
--- a/yardlane/proxy/discovery_connection.py
+++ b/yardlane/proxy/discovery_connection.py
@@ -15,11 +15,11 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A connection that is reused until either side ends it.
+    """A connection that is reused until either side closes it.
 
-    A request fails with DiscoveryUnreachable where the connection ends first, and with DiscoveryError where
-    the response is not HTTP, has another status than 200 or a body over `MAX_BODY_BYTES`. After either the
-    connection is closed.
+    A request fails with DiscoveryUnreachable if the connection ends before the response is complete. It fails
+    with DiscoveryError if the response is not HTTP, has a status other than 200, or has a body of more than
+    `MAX_BODY_BYTES`. The connection is closed after either error.
     """
 
     def __init__(self, address: Address) -> None:
@@ -28,24 +28,28 @@
         self.transport: asyncio.Transport | None = None
         self.response: asyncio.Future[bytearray] | None = None
         self.parser = httptools.HttpResponseParser(self)
-        # One growing buffer: a body that drips in as a list of small chunks would take many times its size.
+        # One growing buffer. If a body arrives in small chunks, a list of them takes many times its size.
         self.body = bytearray()
 
     def get(self, path: bytes) -> asyncio.Future[bytearray]:
-        """Send a request; the body of its response."""
-        if self.transport is None:  # it was lost in the same turn of the loop in which it came up
-            raise DiscoveryUnreachable("connection ended")
+        """Send a GET request and return a future for the body of its response.
+
+        Raises DiscoveryUnreachable if the connection has ended.
+        """
+        # The connection may be lost in the same iteration of the event loop in which it is established.
+        if self.transport is None:
+            raise DiscoveryUnreachable("connection ended before the request was sent")
         self.body = bytearray()
         self.response = asyncio.get_running_loop().create_future()
         self.transport.write(b"GET " + path + b" HTTP/1.1\r\nHost: " + self.host_header + b"\r\n\r\n")
         return self.response
 
     def is_usable(self) -> bool:
-        """Whether another request may be sent."""
+        """Return whether another request can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
-        """Drop the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -54,39 +58,46 @@
             self.response.set_exception(error)
         self.close()
 
-    # What asyncio calls
+    # Callbacks from asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It has come up."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is none by its type
+        """Called when the connection is established; keeps its transport."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It has ended, by either side."""
+        """Called when either side has ended the connection; fails a pending request."""
         self.transport = None
-        self._fail(DiscoveryUnreachable("connection ended"))
+        self._fail(DiscoveryUnreachable("connection ended before the response was complete"))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a response, which the parser takes apart."""
+        """Called when data arrives; parses it as a response, and fails the request if it is malformed."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            # An exception raised in a callback of the parser is the context of the parser's own error.
             self._fail(DiscoveryError(f"malformed response: {error.__context__ or error}"))
 
-    # What the parser calls
+    # Callbacks from the parser
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Called with a part of the body; appends it to the buffer.
+
+        Raises DiscoveryError if the body exceeds `MAX_BODY_BYTES`.
+        """
         if len(self.body) + len(body) > MAX_BODY_BYTES:
-            raise DiscoveryError(f"list over {MAX_BODY_BYTES} bytes")
+            raise DiscoveryError(f"body must be at most {MAX_BODY_BYTES} bytes")
         self.body += body
 
     def on_message_complete(self) -> None:
-        """The end of a response; an informational one (1xx) is followed by the real one."""
+        """Called at the end of a response; completes the request.
+
+        An informational response (1xx) is skipped, because the final response follows it.
+        """
         status = self.parser.get_status_code()
         if status < HTTP_OK:
             return
         if status != HTTP_OK:
-            self._fail(DiscoveryError(f"status {status}"))
+            self._fail(DiscoveryError(f"response must have status 200, not {status}"))
             return
         if self.response is not None and not self.response.done():
             self.response.set_result(self.body)
