--- a/yardlane/proxy/endpoint_addresses.py
+++ b/yardlane/proxy/endpoint_addresses.py
@@ -1,6 +1,6 @@
-"""Where endpoints are reached, as updates of the endpoint list change it. No I/O.
+"""Applies updates of the endpoint list to the addresses of the endpoints. It does no I/O.
 
-The decisions know endpoints by their ids alone; the proxy keeps their addresses beside.
+The decisions identify endpoints only by their ids; the proxy keeps the addresses.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 
 def addresses_after(old: Addresses, update: EndpointListUpdate, decoded: Addresses) -> Addresses:
-    """The addresses after an update; `decoded` are those that could be read of it.
+    """Return the addresses after an update; `decoded` holds the addresses that could be read from it.
 
-    The update says of each endpoint one of three things:
-
-    - Removed, or missing from a list that is whole: it has none. A delta leaves those that it does not name.
-    - Named with a readable address: that one.
-    - Named without a readable address: it drains, and keeps the old one for attempts in flight.
+    - An endpoint that is removed, or missing from a whole list, has no address. An endpoint that is missing
+      from a delta keeps its address.
+    - An endpoint that is listed with a readable address has that address.
+    - An endpoint that is listed without a readable address is draining. It keeps its old address for the
+      attempts in flight.
     """
     addresses = {**old, **decoded} if update.kind is UpdateKind.DELTA else dict(decoded)
     for endpoint in update.endpoints:
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -1,4 +1,6 @@
-"""Discovery's JSON to `EndpointListUpdate`: the one place that knows the keys of an entry.
+"""Decodes the JSON from discovery into an `EndpointListUpdate`.
+
+This is the only module that knows the keys of an entry of the endpoint list:
 
     id             the endpoint's id
     host_port      its address, `host:port`
@@ -6,16 +8,16 @@
     locality       the name of its zone
     flavor         the name of its hardware kind
     cell           the number of its cell
-    size           its weight, 1 where it is missing
-    up_since_ms    when it started, in ms since 1970; 0 or missing for long ago
+    size           its weight; 1 if missing
+    up_since_ms    when it started, in ms since 1970; 0 or missing if it started long ago
 
-Names of zones and hardware kinds become the settings' indices; a name that these lack gets the next one. An
-entry without `locality` or `flavor` (or with null) has the name "None", which gets an index like any other:
-all such entries share one zone, or kind, of their own.
+The names of zones and hardware kinds are converted to their indices in the settings. A name that the settings
+do not have gets the next free index. If `locality` or `flavor` is missing or null, the name is taken to be
+"None", which gets an index like any other name. So all such entries share one zone or one hardware kind.
 
-A malformed value fails its endpoint, not the list: the endpoint counts as draining, unless it is removed, so
-that nothing new is sent to a place that we may have misread. Were the list rejected instead, one bad entry
-would keep all other changes from us.
+A malformed value does not cause the whole list to be rejected. Its endpoint is treated as draining, unless it
+is removed, so that no new requests are sent to an endpoint whose entry may have been misread. If the whole
+list were rejected, one malformed entry would prevent all other changes from being applied.
 """
 
 from __future__ import annotations
@@ -38,16 +40,20 @@
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
+# Ranks of readiness. Of two entries for one endpoint, the one with the lower rank is used.
 READINESS = {
     EndpointState.REMOVED: 0,
     EndpointState.DRAINING: 1,
     EndpointState.READY: 2,
 }
-# Labels of printable ASCII, none empty or over 63 characters: any other makes `create_connection` raise.
+# Labels of printable ASCII characters, none of them empty or longer than 63 characters. With other host names
+# `create_connection` raises an exception.
 HOST_PATTERN = re.compile(r"[!-\-/-~]{1,63}(\.[!-\-/-~]{1,63})*")
-# Up to here every whole number has an exact double, so JSON's numbers are what was meant.
+# Every integer up to this one can be represented exactly as a double, so a JSON number has the value that the
+# sender meant.
 MAX_EXACT_INTEGER = 2**53
-# Of zones, and of hardware kinds. Names that are ever new would otherwise fill the memory in a day.
+# The maximum number of zone names, and of hardware kind names. Without this limit, a discovery that sends new
+# names all the time would fill the memory within a day.
 MAX_INDEXED_NAMES = 64
 MAX_LOGGED_VALUE_CHARS = 60
 
@@ -58,8 +64,8 @@
 class DecodedList(NamedTuple):
     """An update and the addresses of its endpoints.
 
-    `is_ambiguous` says that it has an entry without an id, or two different entries with the same id. Only a
-    whole list can tell which endpoint the first was about, and which of the two holds.
+    `is_ambiguous` is true if the list contains an entry without an id, or two different entries with the same
+    id. Only a whole list can show which endpoint was meant, or which of the two entries is right.
     """
 
     update: EndpointListUpdate
@@ -68,28 +74,28 @@
 
 
 class EndpointDecoder:
-    """Decodes the lists of one discovery; remembers the indices that it gave to names."""
+    """Decodes the lists from one discovery and remembers the indices that it assigned to names."""
 
     def __init__(self, zones: Iterable[str], hardware_kinds: Iterable[str]) -> None:
         self.zone_indices = {name: index for index, name in enumerate(zones)}
         self.hardware_kind_indices = {name: index for index, name in enumerate(hardware_kinds)}
 
     def decode(self, document: object, kind: UpdateKind | None = None) -> DecodedList:
-        """The update in a parsed message; `kind` overrides what the message says of itself.
+        """Decode a parsed JSON document; `kind` overrides the kind that the document states.
 
-        MalformedEndpointList where it is no list at all.
+        Raises MalformedEndpointList if the document is not an endpoint list.
         """
         if not isinstance(document, dict) or not isinstance(document.get("members"), list):
-            raise MalformedEndpointList("no list of members")
+            raise MalformedEndpointList("endpoint list must be an object with a list of members")
         if kind is None:
             kind = UpdateKind.SNAPSHOT if document.get("complete") is True else UpdateKind.DELTA
         version = _decode_version(document.get("revision"))
         builder = _ListBuilder(self.zone_indices, self.hardware_kind_indices)
         for entry in document["members"]:
             builder.add(entry)
-        if builder.problems:  # one line: there may be many
+        if builder.problems:  # logged in a single line, as there may be many
             log.warning(
-                "endpoint list %d: %d malformed values, first: %.200s",
+                "endpoint list version %d has %d malformed values or ambiguous entries, the first: %.200s",
                 version,
                 len(builder.problems),
                 builder.problems[0],
@@ -102,7 +108,7 @@
 
 
 class _ListBuilder:
-    """What has been decoded of one list so far, and what was malformed in it."""
+    """Collects the decoded entries of one list, and the problems found in them."""
 
     def __init__(self, zone_indices: dict[str, int], hardware_kind_indices: dict[str, int]) -> None:
         self.zone_indices = zone_indices
@@ -113,7 +119,7 @@
         self.problems: list[str] = []
 
     def add(self, entry: object) -> None:
-        """Decode one member. Of two different entries for one endpoint, the less ready counts."""
+        """Decode one entry. If two different entries have the same id, the less ready one is used."""
         if not isinstance(entry, dict):
             self._record_ambiguity("no id")
             return
@@ -169,17 +175,20 @@
 
 
 def parse_json(body: bytearray) -> object:
-    """The body as JSON; MalformedEndpointList where it is none."""
+    """Parse a response body as JSON. Raises MalformedEndpointList if it is not valid JSON."""
     try:
         return json.loads(body)
     except ValueError as error:
-        raise MalformedEndpointList(f"not JSON: {error}") from None
+        raise MalformedEndpointList(f"invalid JSON: {error}") from None
     except RecursionError:
-        raise MalformedEndpointList("JSON is nested too deep") from None
+        raise MalformedEndpointList("JSON is nested too deeply") from None
 
 
 def _format_value(value: object) -> str:
-    """A value for the log, cut short; only the type of a list or object, whose text may be endless."""
+    """Return a value as a short text for the log.
+
+    For a list or an object, the text is only its type, because its contents may be very long.
+    """
     if not isinstance(value, str | int | float):
         return type(value).__name__
     return repr(value)[:MAX_LOGGED_VALUE_CHARS]
@@ -187,22 +196,24 @@
 
 def _decode_version(revision: object) -> int:
     if not isinstance(revision, int) or isinstance(revision, bool) or revision < 0:
-        raise MalformedEndpointList(f"revision is {_format_value(revision)}")
+        raise MalformedEndpointList(
+            f"revision is {_format_value(revision)}: must be an integer of at least 0"
+        )
     return revision
 
 
 def _decode_id(value: object) -> bytes:
     if not (isinstance(value, str) and value):
-        raise MalformedEndpoint("no id")
+        raise MalformedEndpoint("id must be a non-empty string")
     try:
         return value.encode()
-    except UnicodeEncodeError:  # half of a surrogate pair
-        raise MalformedEndpoint("id is no Unicode text") from None
+    except UnicodeEncodeError:  # it contains half of a surrogate pair
+        raise MalformedEndpoint("id must be valid Unicode") from None
 
 
 def _decode_state(phase: object) -> EndpointState:
     if not (isinstance(phase, str) and phase in STATE_OF_PHASE):
-        raise MalformedEndpoint("unknown phase")
+        raise MalformedEndpoint("unknown phase, must be Ready, Terminating or Gone")
     return STATE_OF_PHASE[phase]
 
 
@@ -212,7 +223,7 @@
     except ConfigError as error:
         raise MalformedEndpoint(str(error)) from None
     if not HOST_PATTERN.fullmatch(host):
-        raise MalformedEndpoint("not a host name")
+        raise MalformedEndpoint("host must be a valid host name")
     return host, port
 
 
@@ -220,7 +231,7 @@
     if value is None:
         return 0
     if not _is_number(value) or not abs(value) <= MAX_EXACT_INTEGER:
-        raise MalformedEndpoint("wanted a number")
+        raise MalformedEndpoint("must be a number from -2**53 to 2**53")
     return int(value)
 
 
@@ -228,19 +239,23 @@
     if value is None:
         return 1.0
     if not _is_number(value) or not 0 < value <= MAX_EXACT_INTEGER:
-        raise MalformedEndpoint("wanted a number over 0")
+        raise MalformedEndpoint("must be a number greater than 0 and at most 2**53")
     return float(value)
 
 
 def _is_number(value: object) -> TypeGuard[int | float]:
-    """Whether it was a number in JSON; a bool is an int to Python."""
+    """Return whether a value was a number in JSON; a bool was not, although it is an int in Python."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def _index_of(indices: dict[str, int], name: object) -> int:
-    """The index of a name. Once there are `MAX_INDEXED_NAMES`, all new ones share the next."""
+    """Return the index of a name; a new name gets the next free index.
+
+    Once `MAX_INDEXED_NAMES` names have an index, all further names share the next one. Raises
+    MalformedEndpoint if the name is neither a string nor a number nor None.
+    """
     if name is not None and not isinstance(name, str | int | float):
-        raise MalformedEndpoint("wanted a name")
+        raise MalformedEndpoint("name must be a string or a number")
     index = indices.get(str(name))
     if index is None:
         index = len(indices)
