--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The endpoint list and its watch go on through errors, silence and versions that jump."""
+"""Tests that the endpoint list is kept up to date despite errors, outages and unexpected versions."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -33,7 +33,7 @@
 async def running_server_with_discovery(
     decider: Decider | None = None, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
-    """The program beside a discovery that the test plays."""
+    """Run the server with a fake discovery; the test writes the responses of that discovery."""
     async with (
         FakeServer() as discovery,
         running_server(decider, discovery=f"127.0.0.1:{discovery.port}", **changes) as server,
@@ -42,7 +42,7 @@
 
 
 async def accept_poll(discovery: FakeServer) -> Streams:
-    """The client's connection, whose first request has been read."""
+    """Accept a connection from the discovery client, read its first request, and return the streams."""
     reader, writer = await discovery.accept_connection()
     await read_message(reader)
     return reader, writer
@@ -50,8 +50,10 @@
 
 @uvloop_test
 async def test_cached_list_is_followed_by_updates_in_order() -> None:
-    """A process starts with a cached list, and discovery then has a newer one and a change to that. All three
-    reach the decisions in this order, with the times and states that they carry."""
+    """A process starts with a cached list, and discovery then sends a newer list and a change to it.
+
+    All three updates must reach the decisions in this order, with their times and states.
+    """
     decider = ScriptedDecider(leave_pending)
     cached = endpoint_list_dict(member_dict("s-1", 9), revision=40)
     async with running_server_with_discovery(decider, known=cached) as (_, discovery):
@@ -79,8 +81,11 @@
 
 @uvloop_test
 async def test_malformed_response_is_followed_by_fetch_of_whole_list() -> None:
-    """Discovery answers a watch with an error, with no JSON, no list, no HTTP or changes to a list that we do
-    not have. Each time the next poll fetches the whole list, so that no change is lost with the response."""
+    """Discovery answers a watch with an error status, a delta of an older version, or malformed data.
+
+    After each such response the next poll must fetch the whole list, so that no change is lost with the
+    response.
+    """
     malformed = [
         make_response(500),
         make_response(200, b"{"),
@@ -104,7 +109,8 @@
         writer.write(
             snapshot_response(3, {"id": 5}, member_dict("s-1", 9), member_dict("s-2", 9, phase="Dancing"))
         )
-        assert "index=3&" in (await read_message(reader))[0]  # a restarted discovery: its version counts
+        # Discovery was restarted, so its lower version is valid.
+        assert "index=3&" in (await read_message(reader))[0]
         last = (await decider.wait_for(EndpointListUpdate, len(malformed) + 2))[-1]
         assert [(endpoint.endpoint_id, endpoint.state) for endpoint in last.endpoints] == [
             (b"s-1", EndpointState.READY),
@@ -114,8 +120,11 @@
 
 @uvloop_test
 async def test_delta_in_response_to_fetch_is_rejected() -> None:
-    """Discovery answers a fetch of the whole list with changes. There is nothing that they could change:
-    taken over, they would stand for a whole list and hide all other endpoints."""
+    """Discovery answers a fetch of the whole list with a delta, although there is no list to apply it to.
+
+    If the delta were accepted, it would be taken for the whole list, and all other endpoints would be
+    missing.
+    """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (_, discovery):
         _, writer = await accept_poll(discovery)
@@ -130,7 +139,10 @@
 
 @uvloop_test
 async def test_watch_resumes_from_same_version_after_connection_reset() -> None:
-    """The connection of a watch is reset. What we have is still good, so only later changes are asked for."""
+    """The connection of a watch is reset.
+
+    The current list is still valid, so the next poll must request only later changes.
+    """
     async with running_server_with_discovery() as (_, discovery):
         reader, writer = await accept_poll(discovery)
         writer.write(snapshot_response(41, member_dict("s-1", 9)))
@@ -142,8 +154,10 @@
 
 @uvloop_test
 async def test_older_version_is_rejected_and_whole_list_is_fetched() -> None:
-    """A watch is answered by a list older than ours, in which an endpoint that drains is still ready. It must
-    not be taken over; the whole list is fetched instead."""
+    """Discovery answers a watch with an older list, in which an endpoint that is now draining is still ready.
+
+    That list must be rejected, and the whole list must be fetched.
+    """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (_, discovery):
         reader, writer = await accept_poll(discovery)
@@ -164,14 +178,17 @@
 
 @uvloop_test
 async def test_unresponsive_discovery_is_polled_again_within_drain_grace() -> None:
-    """Discovery accepts connections and never answers, then returns. Each poll made while it was silent must
-    end in time for one that is answered within the grace of an endpoint that began to drain meanwhile."""
+    """Discovery accepts connections without responding, and later responds again.
+
+    An endpoint may have begun to drain meanwhile, and its drain grace starts when discovery responds again.
+    Each poll during the outage must end early enough for another poll to be answered within that grace.
+    """
     grace_s = 0.5
     safety = {**settings_dict()["safety"], "drain_grace_us": int(grace_s * 1e6)}
     async with running_server_with_discovery(settings=settings_dict(safety=safety)) as (server, discovery):
         client = server.discovery
         assert client.response_timeout_s + client.max_backoff_s < grace_s
-        for _ in range(4):  # the backoff between them grows meanwhile
+        for _ in range(4):  # the backoff between the polls grows
             reader, _ = await accept_poll(discovery)
             assert await reader.read() == b""  # the poll has failed
         reader, writer = await accept_poll(discovery)
@@ -181,7 +198,10 @@
 
 @uvloop_test
 async def test_cached_list_is_used_only_after_first_poll_has_failed() -> None:
-    """The cached list may name endpoints that are long gone: it serves only once the first poll failed."""
+    """The cached list may contain endpoints that no longer exist.
+
+    Therefore the process must not use it until its first poll has failed.
+    """
     health = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
     cached = endpoint_list_dict(member_dict("s-1", 9))
     async with running_server_with_discovery(known=cached) as (server, discovery):
@@ -193,8 +213,11 @@
 
 @uvloop_test
 async def test_address_change_closes_connection_to_old_address() -> None:
-    """Discovery gives an endpoint another address while a connection to the old one is open. A request sent
-    there would reach whatever runs at that address now: the connection is closed, and the next one is new."""
+    """Discovery changes the address of an endpoint while a connection to the old address is open.
+
+    A request on that connection would reach whatever runs at the old address now. So the connection must be
+    closed, and the next request must use a new connection.
+    """
     decider = ScriptedDecider(forward_all)
     async with (
         FakeServer() as old_backend,
@@ -223,8 +246,7 @@
 
 @uvloop_test
 async def test_cached_list_is_used_while_discovery_is_unreachable() -> None:
-    """Nobody listens at discovery's address, for as long as the process runs. The cached list is all there
-    is, and requests go by it."""
+    """No process ever listens at discovery's address. Requests must be sent according to the cached list."""
     async with running_server_with_backend() as (server, backend):
         _, client_writer = await server.connect_client()
         client_writer.write(make_request())
@@ -235,9 +257,11 @@
 
 @uvloop_test
 async def test_ambiguous_delta_triggers_a_single_fetch_of_whole_list() -> None:
-    """A change comes without the id of its endpoint: some endpoint may drain, and we cannot know which. What
-    can be read is passed on at once, and the whole list is fetched. Where that is ambiguous as well, fetching
-    it again and again would not help: the watch goes on."""
+    """A delta has an entry without an id: an endpoint is draining, but it is unknown which one.
+
+    The other entries must be passed on at once, and the whole list must be fetched. If the whole list is
+    ambiguous too, fetching it repeatedly would not help, so the next poll must be a watch.
+    """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (server, discovery):
         reader, writer = await accept_poll(discovery)
@@ -256,8 +280,10 @@
 
 @uvloop_test
 async def test_malformed_new_address_does_not_end_requests_in_flight() -> None:
-    """An update has no readable address for an endpoint that has requests in flight. It drains: the requests
-    end where they run, at the address that we know."""
+    """An update has no readable address for an endpoint that has requests in flight.
+
+    The endpoint must be treated as draining, and its requests must complete at the known address.
+    """
     for make_list_response in (snapshot_response, delta_response):
         async with (
             FakeServer() as backend,
--- a/tests/proxy/test_discovery_connection.py
+++ b/tests/proxy/test_discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to discovery."""
+"""Tests of a single connection to discovery."""
 
 import asyncio
 import tracemalloc
@@ -12,8 +12,11 @@
 
 
 def test_memory_use_of_body_in_small_chunks_is_bounded_by_its_size() -> None:
-    """A list arrives in chunks of two bytes. Kept as one object a chunk, it would take some thirty times its
-    size, and a large list would fill the memory."""
+    """A list arrives in chunks of two bytes.
+
+    If each chunk were kept as an object of its own, the list would take about thirty times its size, and a
+    large list would exhaust the memory.
+    """
     connection = DiscoveryConnection(("127.0.0.1", 9))
     chunk_count = 100_000
     connection.data_received(CHUNKED_RESPONSE_HEAD)
@@ -34,7 +37,7 @@
 
 @uvloop_test
 async def test_informational_response_is_skipped() -> None:
-    """Discovery sends a response of 1xx first. The request is answered by the one behind it."""
+    """Discovery sends an informational response (1xx) first. The result must be the response that follows."""
     async with FakeServer() as discovery:
         connection = await connect(discovery)
         response = connection.get(b"/catalog/members")
@@ -48,8 +51,10 @@
 
 @uvloop_test
 async def test_connection_is_not_reused_after_connection_close_header() -> None:
-    """A response says that its connection is closed behind it. A request written there would be lost, and
-    its change with it, until the timeout."""
+    """A response announces with `Connection: close` that discovery closes the connection.
+
+    A request sent on that connection would be lost, and changes would be noticed only after its timeout.
+    """
     async with FakeServer() as discovery:
         connection = await connect(discovery)
         response = connection.get(b"/catalog/members")
@@ -62,8 +67,10 @@
 
 @pytest.mark.parametrize("response", [make_response(404), make_response(503), b"nonsense\r\n\r\n"])
 def test_error_status_or_malformed_response_raises_discovery_error(response: bytes) -> None:
-    """Discovery answers with an error, or with what is not HTTP. The request fails, and the connection is
-    closed, as what follows on it cannot be trusted."""
+    """Discovery responds with an error status, or with bytes that are not HTTP.
+
+    The request must fail, and the connection must be closed, because further data on it cannot be trusted.
+    """
 
     @uvloop_test
     async def run() -> None:
@@ -81,7 +88,7 @@
 
 @uvloop_test
 async def test_connection_loss_fails_request_at_once() -> None:
-    """Discovery resets the connection of a watch. The request must fail at once, not by its timeout."""
+    """Discovery resets the connection of a watch. The request must fail at once, not after its timeout."""
     async with FakeServer() as discovery:
         connection = await connect(discovery)
         request = connection.get(b"/catalog/members")
