--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -1,4 +1,7 @@
-"""How late we learn of a change at worst: the sums of the table, and its states on a manual clock."""
+"""Tests the worst-case delay until a change is received, as computed and as simulated for each state.
+
+The simulations run on an event loop whose clock the test sets.
+"""
 
 import asyncio
 import threading
@@ -47,7 +50,10 @@
 
 
 class ManualClockLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock only the test moves; a connection comes up once `may_connect` is set."""
+    """An event loop whose clock only the test advances.
+
+    A connection is established once `may_connect` is set, or refused if `refuses_connections` is true.
+    """
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -69,7 +75,7 @@
 
 
 def run_on_manual_clock(test: Callable[[ManualClockLoop], Awaitable[None]]) -> None:
-    """Run a test on a `ManualClockLoop`; one that hangs is cancelled by real time."""
+    """Run a test on a `ManualClockLoop`; cancel it after `TEST_TIMEOUT_S` of real time."""
     with asyncio.Runner(loop_factory=ManualClockLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, ManualClockLoop)
@@ -88,13 +94,13 @@
 
 
 class ManualClockHarness:
-    """A discovery client on a manual clock, and the peer that is its discovery.
+    """A discovery client on a manual clock, together with its fake discovery.
 
-    The test moves the clock to just before each time that is due, or onto it. `changed_at` is when the change
-    counts from, in s of that clock.
+    The methods advance the clock to a timeout, or to just before it. `changed_at_s` is the time on that clock
+    from which the delay of the change is measured.
     """
 
-    MARGIN_S = 0.001  # what comes in time comes so long before the timeout
+    MARGIN_S = 0.001  # how long before its timeout an event happens if it happens in time
 
     def __init__(self, loop: ManualClockLoop, discovery: FakeServer, grace_us: int) -> None:
         self.loop = loop
@@ -115,11 +121,11 @@
     def on_update(self, update: EndpointListUpdate, addresses: dict[bytes, Address]) -> None:
         if self.fail_next_update:
             self.fail_next_update = False
-            raise RuntimeError("an error of ours")
+            raise RuntimeError("simulated internal error")
         self.updated.set()
 
     async def accept_slow_poll(self, after_s: float) -> Streams:
-        """The poll that is due in `after_s` gets its connection as late as it may; its request was read."""
+        """Let the poll that is due in `after_s` connect just before its timeout, and read its request."""
         self.loop.connect_requested.clear()
         self.loop.may_connect.clear()
         self.loop.now_s += after_s
@@ -131,12 +137,12 @@
         return reader, writer
 
     async def wait_for_poll_failure(self) -> None:
-        """Until the poll has failed whose timeout is reached now."""
+        """Wait until the current poll has failed."""
         await self.poll_failed.wait()
         self.poll_failed.clear()
 
     async def reach_max_backoff(self) -> None:
-        """Refuse connections until the backoff is as long as it gets; the last poll has just failed."""
+        """Refuse connections until the backoff has its maximum; return just after a poll has failed."""
         self.loop.refuses_connections = True
         for _ in range(9):
             self.loop.now_s += self.max_backoff_s
@@ -144,7 +150,7 @@
         self.loop.refuses_connections = False
 
     async def establish_watch(self) -> Streams:
-        """The whole list has been sent, and the client watches."""
+        """Start the client, send it the whole list, and return the streams once it watches."""
         self.client.start()
         reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
@@ -155,14 +161,15 @@
         return reader, writer
 
     async def send_slowly(self, writer: asyncio.StreamWriter, timeout_s: float) -> None:
-        """A byte in the middle of the time and one at its end, which do not give the response more of it."""
+        """Write single bytes of a response while the timeout elapses; they must not extend the timeout."""
         for _ in range(2):
             writer.write(b" ")
             self.loop.now_s += timeout_s / 2
             await asyncio.sleep(0)
 
 
-# Each brings a watch into a state as its change comes, and returns the backoff that it is in, in s.
+# Each of these functions brings the client into one of the states, in which the change then occurs. It
+# returns the backoff in seconds after which the next poll is due.
 
 
 async def silent_watch(harness: ManualClockHarness) -> float:
@@ -207,7 +214,7 @@
 
 
 async def slow_snapshot(harness: ManualClockHarness) -> float:
-    """The whole list drips in."""
+    """A response with the whole list trickles in."""
     harness.changed_at_s = await refused(harness) + harness.loop.now_s
     _, writer = await harness.accept_slow_poll(harness.max_backoff_s)
     writer.write(snapshot_response(42, member_dict("s-1", 9))[:-9])
@@ -277,9 +284,12 @@
 def test_change_is_received_in_time_in_every_state(
     state: str, enter_state: Callable[[ManualClockHarness], Awaitable[float]], grace_us: int
 ) -> None:
-    """An endpoint begins to drain while discovery is silent, refuses us, stalls or sends nonsense; discovery
-    then returns. We must learn of it within the bound from then on, or we send to it after its grace.
-    The table's sum must be what it really takes, or the bound would hold for the sum alone."""
+    """An endpoint begins to drain while discovery hangs, refuses connections, stalls or sends malformed data.
+
+    When discovery works again, the change must be received within the bound. Otherwise requests would be sent
+    to the endpoint after its drain grace. The measured delay must also match the computed one. Otherwise the
+    bound would be checked only for the computation.
+    """
 
     async def run_scenario(loop: ManualClockLoop) -> None:
         async with FakeServer() as discovery:
@@ -313,7 +323,7 @@
 async def simulate_faulty_discovery(
     discovery: FakeServer, loop: ManualClockLoop, behaviour: str, response_timeout_s: float
 ) -> None:
-    """Let the first poll run into its timeout, or fail, by what discovery does."""
+    """Make the first poll time out or fail, in the way that `behaviour` names."""
     if behaviour == "refuses":
         return
     if behaviour == "never comes up":
@@ -340,8 +350,10 @@
 def test_new_process_is_ready_after_first_failed_poll(
     behaviour: str, cached_list: dict[str, Any] | None
 ) -> None:
-    """A process starts while discovery is broken. It must not wait for ever: once its first poll has failed,
-    it serves by the cached list, where that names an endpoint."""
+    """A process starts while discovery is faulty, and must not wait for it indefinitely.
+
+    Once the first poll has failed, the process must serve from the cached list if that has an endpoint.
+    """
 
     async def run_scenario(loop: ManualClockLoop) -> None:
         loop.refuses_connections = behaviour == "refuses"
@@ -381,7 +393,7 @@
     ids=lambda body: repr(body[:24]),
 )
 def test_malformed_list_is_logged_as_one_short_line(body: bytes, caplog: pytest.LogCaptureFixture) -> None:
-    """Discovery sends what cannot be parsed. The log gets one short line of it, and no traceback."""
+    """Discovery sends a list that cannot be parsed. The log must get one short line without a traceback."""
 
     async def run_scenario(loop: ManualClockLoop) -> None:
         async with FakeServer() as discovery:
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON to endpoints and addresses, also where parts of it are malformed."""
+"""Tests the decoding of endpoint lists, including malformed ones."""
 
 import json
 from typing import Any
@@ -17,8 +17,11 @@
 
 
 def test_number_of_indexed_names_is_limited() -> None:
-    """Each list names a zone and a hardware kind that no list had before. Were each of them given an index
-    of its own, the tables would grow for as long as the process runs; so the late ones share one."""
+    """Each list has a zone and a hardware kind that no list had before.
+
+    If each name got an index of its own, the tables would grow without limit. So names over the limit share
+    one index.
+    """
     decoder = make_decoder()
     for n in range(1000):
         update = decoder.decode(
@@ -65,8 +68,11 @@
 def test_endpoint_with_malformed_value_is_draining(
     malformed_field: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """One value of an entry is malformed, in many entries. The list is not rejected: those endpoints drain,
-    the others serve, and the log gets one short line. An endpoint that is removed stays removed."""
+    """Many entries of a list have one malformed value each.
+
+    The list must not be rejected. Those endpoints must be draining and the others ready, and the log must get
+    one short line. An endpoint that is removed must stay removed.
+    """
     decoder = make_decoder()
     members = [member_dict("s-1", 9), *(member_dict(f"s-{n}", 9, **malformed_field) for n in range(2, 50))]
     decoded = decoder.decode(json.loads(json.dumps(endpoint_list_dict(*members))))
@@ -83,7 +89,7 @@
 
 @pytest.mark.parametrize("endpoint_id", [None, "", 5, ["s-1"], "\ud800"])
 def test_entry_without_id_makes_list_ambiguous(endpoint_id: object) -> None:
-    """An entry names no endpoint that we could know: nobody can tell which one it was about."""
+    """An entry has no valid id, so it is unknown which endpoint it describes."""
     entry_without_id = {**member_dict("s-2", 9), "id": endpoint_id}
     decoded = make_decoder().decode(endpoint_list_dict(member_dict("s-1", 9), entry_without_id))
     assert [endpoint.endpoint_id for endpoint in decoded.update.endpoints] == [b"s-1"]
@@ -102,8 +108,11 @@
 def test_less_ready_of_two_entries_for_one_endpoint_is_used(
     phases: tuple[str, str], state: EndpointState
 ) -> None:
-    """A list contradicts itself. Sending to an endpoint that drains does harm, leaving out one that is ready
-    does little: so the less ready entry counts, whichever comes first."""
+    """A list has two contradictory entries for one endpoint.
+
+    Sending requests to a draining endpoint does harm, while leaving out a ready one does little. So the less
+    ready entry must be used, whichever comes first.
+    """
     members = [member_dict("s-1", 9, phase=phase) for phase in phases]
     decoded = make_decoder().decode({"revision": 2, "members": members})
     assert [endpoint.state for endpoint in decoded.update.endpoints] == [state]
@@ -128,7 +137,10 @@
     ids=lambda body: repr(body[:24]),
 )
 def test_invalid_list_raises_malformed_endpoint_list(body: bytes) -> None:
-    """Discovery sends what is no list at all. Any other exception would be logged as a fault of ours, with a
-    traceback, and an empty list in its place would remove every endpoint."""
+    """Discovery sends something that is not an endpoint list, which must raise MalformedEndpointList.
+
+    Any other exception would be logged as an internal error with a traceback. If an empty list were returned
+    instead, every endpoint would be removed.
+    """
     with pytest.raises(MalformedEndpointList):
         make_decoder().decode(parse_json(bytearray(body)))
