--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -226,7 +226,7 @@
         # below 0 if one has ended twice.
         self.open_request_count = 0
         handle_request = self.proxy.handle_request
-        end = self.proxy._end
+        end = self.proxy._end_request
 
         def count_request(client_request: ClientRequest, parsed: ParsedRequest) -> None:
             self.open_request_count += 1
@@ -237,7 +237,7 @@
             self.open_request_count -= 1
 
         self.proxy.handle_request = count_request  # type: ignore[method-assign]
-        self.proxy._end = count_end  # type: ignore[method-assign]
+        self.proxy._end_request = count_end  # type: ignore[method-assign]
 
     async def connect_client(self) -> Streams:
         """Open a connection of a new client."""
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The loop round the decisions: what a fault in them costs, and when a request is forgotten."""
+"""Tests what happens when the decider raises an exception, and when a request is forgotten."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,52 +10,53 @@
 from yardlane.proxy.clock import Clock
 from yardlane.proxy.decision_loop import DecisionLoop
 
-UNSUPPORTED = SetTimer(0)
-NO_REQUEST = 0  # ids begin at 1
+UNUSABLE_ACTION = SetTimer(0)
+UNUSED_REQUEST_ID = 0  # request ids begin at 1
 
 
 class RecordingHandler:
-    """Carries out nothing, and records what it was asked for."""
+    """Carries out nothing, and records what it is asked to do."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
-        self.failed: list[int] = []
-        self.forgotten: list[int] = []
+        self.failed_request_ids: list[int] = []
+        self.forgotten_request_ids: list[int] = []
 
     def apply(self, action: Action) -> None:
-        if action == UNSUPPORTED:
-            raise RuntimeError("an action that cannot be carried out")
+        if action == UNUSABLE_ACTION:
+            raise RuntimeError("action that cannot be carried out")
         self.actions.append(action)
 
     def fail_request(self, request_id: int) -> None:
-        self.failed.append(request_id)
+        self.failed_request_ids.append(request_id)
 
     def forget_request(self, request_id: int) -> None:
-        self.forgotten.append(request_id)
+        self.forgotten_request_ids.append(request_id)
 
 
-def loop_round(decider: Decider) -> tuple[DecisionLoop, RecordingHandler]:
+def make_decision_loop(decider: Decider) -> tuple[DecisionLoop, RecordingHandler]:
     handler = RecordingHandler()
     return DecisionLoop(decider, handler, Clock(), asyncio.get_running_loop()), handler
 
 
-def reject_but_raise_on(request_id: int) -> Callable[[Event], list[Action]]:
-    """Rejects each request that ends, but for one, on which it raises."""
+def reject_or_raise_on(request_id: int) -> Callable[[Event], list[Action]]:
+    """Return a `reply` that rejects each request that ends, but raises an exception on one of them."""
 
     def reply(event: Event) -> list[Action]:
         if not isinstance(event, RequestEnded):
             return []
         if event.request_id == request_id:
-            raise RuntimeError("a fault of the decisions")
+            raise RuntimeError("exception in the decider")
         return [Reject(event.request_id)]
 
     return reply
 
 
 @uvloop_test
-async def test_all_events_of_a_turn_are_handled_together() -> None:
-    """Events come faster than turns. One call of the decisions for each would cost their fixed work for each;
-    and a retry could go to an endpoint of which the same turn already says that it drains."""
+async def test_all_events_of_a_turn_are_handled_in_one_call() -> None:
+    """Several events arrive before the next turn. If each had its own call of the decider, the fixed cost of
+    a call would be spent on each. A retry could also go to an endpoint that a later event of the same turn
+    reports as draining."""
     batches: list[list[Event]] = []
     script = ScriptedDecider(leave_pending)
     handle = script.handle
@@ -65,51 +66,56 @@
         return handle(now_us, events)
 
     script.handle = record  # type: ignore[method-assign]
-    decisions, _ = loop_round(script)
-    decisions.post(RequestEnded(1))
-    decisions.post(RequestEnded(2))
+    decision_loop, _ = make_decision_loop(script)
+    decision_loop.post(RequestEnded(1))
+    decision_loop.post(RequestEnded(2))
     await asyncio.sleep(0)
-    decisions.post(RequestEnded(3))
+    decision_loop.post(RequestEnded(3))
     await asyncio.sleep(0)
     assert batches == [[RequestEnded(1), RequestEnded(2)], [RequestEnded(3)]]
 
 
 @uvloop_test
-async def test_a_failed_decision_keeps_what_was_decided_before_and_hands_on_the_rest() -> None:
-    """The decisions raise on the second of three events. The first one's action is carried out, the second
-    one's request fails, the third event comes in the next turn, and no timer that was due is lost."""
-    script = ScriptedDecider(reject_but_raise_on(2))
-    decisions, handler = loop_round(script)
+async def test_exception_in_decider_keeps_earlier_actions_and_reposts_later_events() -> None:
+    """The decider raises an exception on the second of three events. The action of the first event must be
+    carried out, the request of the second must fail, the third event must be handled in the next turn, and an
+    extra turn must follow for timers that were due."""
+    script = ScriptedDecider(reject_or_raise_on(2))
+    decision_loop, handler = make_decision_loop(script)
     for request_id in (1, 2, 3):
-        decisions.forget_after_turn(request_id)
-        decisions.post(RequestEnded(request_id))
+        decision_loop.forget_after_turn(request_id)
+        decision_loop.post(RequestEnded(request_id))
     await asyncio.sleep(0)
-    assert (handler.actions, handler.failed, handler.forgotten) == ([Reject(1)], [2], [])
+    assert (handler.actions, handler.failed_request_ids, handler.forgotten_request_ids) == (
+        [Reject(1)],
+        [2],
+        [],
+    )
     await asyncio.sleep(0)
-    assert (handler.actions, handler.forgotten) == ([Reject(1), Reject(3)], [1, 2, 3])
+    assert (handler.actions, handler.forgotten_request_ids) == ([Reject(1), Reject(3)], [1, 2, 3])
     assert await script.wait_for(TimerFired) == [TimerFired(0)]
 
 
 @uvloop_test
-async def test_an_action_that_fails_stops_no_other() -> None:
-    """Carrying out one action raises. The actions behind it belong to other requests, which would get no
-    answer if they were dropped with it."""
+async def test_failing_action_does_not_stop_later_actions() -> None:
+    """Carrying out an action raises an exception. The later actions belong to other requests, which would get
+    no answer if those actions were dropped."""
 
-    def reject_behind_unsupported(event: Event) -> list[Action]:
-        return [UNSUPPORTED, Reject(1)]
+    def reject_after_unusable_action(event: Event) -> list[Action]:
+        return [UNUSABLE_ACTION, Reject(1)]
 
-    decisions, handler = loop_round(ScriptedDecider(reject_behind_unsupported))
-    decisions.forget_after_turn(1)
-    decisions.post(RequestEnded(1))
+    decision_loop, handler = make_decision_loop(ScriptedDecider(reject_after_unusable_action))
+    decision_loop.forget_after_turn(1)
+    decision_loop.post(RequestEnded(1))
     await asyncio.sleep(0)
-    assert (handler.actions, handler.forgotten) == ([Reject(1)], [1])
+    assert (handler.actions, handler.forgotten_request_ids) == ([Reject(1)], [1])
 
 
-class RaisingOutsideEvents(ScriptedDecider):
-    """Raises in its first call, before the first event or after the last one."""
+class DeciderRaisingOutsideEvents(ScriptedDecider):
+    """Raises an exception in its first call, before the first event or after the last one."""
 
     def __init__(self, *, is_after_events: bool) -> None:
-        super().__init__(reject_but_raise_on(NO_REQUEST))
+        super().__init__(reject_or_raise_on(UNUSED_REQUEST_ID))
         self.is_after_events = is_after_events
         self.has_raised = False
 
@@ -118,33 +124,34 @@
             self.has_raised = True
             if self.is_after_events:
                 super().handle(now_us, events)
-            raise RuntimeError("a fault outside the events")
+            raise RuntimeError("exception outside the events")
         return super().handle(now_us, events)
 
 
 @uvloop_test
-async def test_a_fault_behind_the_last_event_fails_that_events_request() -> None:
-    """A timer raises once both events are handled. Nothing tells it apart from the last event, whose request
-    fails; what was decided stands, and no event is handled twice."""
-    script = RaisingOutsideEvents(is_after_events=True)
-    decisions, handler = loop_round(script)
-    decisions.post(RequestEnded(1))
-    decisions.post(RequestEnded(2))
+async def test_exception_after_the_last_event_fails_the_request_of_that_event() -> None:
+    """A timer of the decider raises an exception after both events have been handled. The loop cannot tell
+    this from an exception of the last event, so the request of that event fails. The actions must still be
+    carried out, and no event may be handled twice."""
+    script = DeciderRaisingOutsideEvents(is_after_events=True)
+    decision_loop, handler = make_decision_loop(script)
+    decision_loop.post(RequestEnded(1))
+    decision_loop.post(RequestEnded(2))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
-    assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [2])
+    assert (handler.actions, handler.failed_request_ids) == ([Reject(1), Reject(2)], [2])
     assert script.received_events == [RequestEnded(1), RequestEnded(2)]
 
 
 @uvloop_test
-async def test_a_fault_before_the_first_event_fails_no_request() -> None:
-    """The decisions raise before they read an event. Whose fault it was is unknown, so no request pays for
-    it: all events come again in the next turn."""
-    script = RaisingOutsideEvents(is_after_events=False)
-    decisions, handler = loop_round(script)
-    decisions.post(RequestEnded(1))
-    decisions.post(RequestEnded(2))
+async def test_exception_before_the_first_event_fails_no_request() -> None:
+    """The decider raises an exception before it reads an event. The exception belongs to no known request, so
+    no request may fail, and all events must be handled in the next turn."""
+    script = DeciderRaisingOutsideEvents(is_after_events=False)
+    decision_loop, handler = make_decision_loop(script)
+    decision_loop.post(RequestEnded(1))
+    decision_loop.post(RequestEnded(2))
     await asyncio.sleep(0)
-    assert (script.received_events, handler.failed) == ([], [])
+    assert (script.received_events, handler.failed_request_ids) == ([], [])
     await asyncio.sleep(0)
-    assert (handler.actions, handler.failed) == ([Reject(1), Reject(2)], [])
+    assert (handler.actions, handler.failed_request_ids) == ([Reject(1), Reject(2)], [])
--- a/yardlane/proxy/client_response.py
+++ b/yardlane/proxy/client_response.py
@@ -1,4 +1,4 @@
-"""How a response to a client is encoded."""
+"""Encodes the responses to clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Status(IntEnum):
-    """The statuses that clients are answered with."""
+    """The HTTP status codes of the proxy's responses to clients."""
 
     OK = 200
     BAD_REQUEST = 400
@@ -24,7 +24,7 @@
     SERVICE_UNAVAILABLE = 503
 
 
-REASONS: dict[int, bytes] = {
+REASON_PHRASES: dict[int, bytes] = {
     Status.OK: b"OK",
     Status.BAD_REQUEST: b"Bad Request",
     Status.METHOD_NOT_ALLOWED: b"Method Not Allowed",
@@ -37,13 +37,13 @@
     Status.BAD_GATEWAY: b"Bad Gateway",
     Status.SERVICE_UNAVAILABLE: b"Service Unavailable",
 }
-UNKNOWN_REASON = b"Other"
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+UNKNOWN_REASON_PHRASE = b"Other"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 def encode_response(status: int, body: bytes, header_lines: bytes, closes_connection: bool) -> bytes:
-    """The bytes of a final response. `header_lines` holds whole header lines, each with its line end."""
-    reason = REASONS.get(status, UNKNOWN_REASON)
+    """Encode a final response. `header_lines` holds complete header lines, each with its CRLF."""
+    reason = REASON_PHRASES.get(status, UNKNOWN_REASON_PHRASE)
     return b"".join(
         (
             b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, reason, len(body)),
@@ -55,9 +55,10 @@
 
 
 def retry_after_line(delay_us: int) -> bytes:
-    """The header line that says when to send the request again; empty for a delay of 0.
+    """Return the Retry-After header line for a delay, or no bytes if the delay is not positive.
 
-    The delay is in seconds with three decimals, rounded up so that no client comes back too early.
+    The header gives the delay in seconds with three decimals. It is rounded up, so that clients do not retry
+    too early.
     """
     if delay_us <= 0:
         return b""
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -1,13 +1,13 @@
-"""From a whole HTTP request to a typed one, or to the error that answers it.
+"""Validates a complete HTTP request and converts it to a `ParsedRequest`.
 
-This is the one place where the wire's names become the terms that the rest of the program uses:
+Only this module maps the names on the wire to the terms that the rest of the program uses:
 
     X-Trace-Id        trace_id          X-Qos             request_class
     Plan              quota_plan        Account           tenant
     X-Expires-In      time_left_us      X-Second-Try      is_retry
     Quota-Info        units, gateway_count (spread), first_gateway (first)
 
-The units of X-Expires-In are `m` for milliseconds and `u` for microseconds: `250m` is a quarter second.
+The unit in X-Expires-In is `m` for milliseconds or `u` for microseconds: `250m` is a quarter of a second.
 """
 
 from __future__ import annotations
@@ -37,28 +37,31 @@
 from yardlane.units import US_PER_MS
 
 MAX_TIME_LEFT_US = 3_600_000_000
-TRANSIT_MARGIN_US = 10_000  # the way here and back, and our own turn, out of the client's time
-# No bucket bounds the units of a request under a plan without a rate; a huge number must not enter the sums.
+# Deducted from the client's time for the transit of request and response, and for the proxy's own processing.
+TRANSIT_MARGIN_US = 10_000
+# A plan without a rate has no bucket that limits the units of a request. This limit keeps huge numbers out of
+# the sums of units.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
 MAX_QUOTA_INFO_BYTES = 100
-QUOTA_INFO_CACHE_SIZE = 512  # few texts recur; the others must not fill the memory
+QUOTA_INFO_CACHE_SIZE = 512  # few values recur; the other values must not fill the memory
 TENANT_BASE = 16
-TENANT_LIMIT = 2**33  # of the protocol, though 16 hex digits could hold more
+TENANT_LIMIT = 2**33  # set by the protocol; 16 hexadecimal digits could hold more
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
-TENANT = re.compile(rb"[0-9a-fA-F]{16}")
-DURATION = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
-TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
-WHOLE_NUMBER = re.compile(rb"[0-9]{1,9}")
-NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+DURATION_PATTERN = re.compile(rb"([0-9]{1,15}(?:\.[0-9]{1,9})?)([mu])")
+TOKEN_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")  # visible ASCII characters
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-@dataclass(slots=True)  # frozen, each field would cost a call more when it is made
+@dataclass(slots=True)  # if frozen, construction makes one extra call per field
 class ParsedRequest:
     """A valid request. `request_class` and `quota_plan` are indices into the settings.
 
-    `units` is its cost against the plan's rates. The tenant's requests come to `gateway_count` gateways, from
-    rank `first_gateway` on. `head` is what is forwarded, up to the headers that the proxy writes itself.
+    `units` is the cost of the request, which counts against the rates of its plan. The tenant's requests go
+    to `gateway_count` gateways with consecutive ranks, beginning with rank `first_gateway`. `head` is the
+    forwarded head without the headers that the proxy writes itself.
     """
 
     trace_id: bytes
@@ -76,7 +79,11 @@
 
 
 class QuotaInfo(NamedTuple):
-    """What the client's gateway list says of its tenant."""
+    """The content of a Quota-Info header.
+
+    `units` is the cost of the request. The other fields say which gateways serve the tenant, according to
+    the client's gateway list; see `ParsedRequest`.
+    """
 
     units: float
     gateway_count: int
@@ -84,23 +91,23 @@
 
 
 class ClassRule(NamedTuple):
-    """What a request of one class must look like. `position` is the class's index in the settings."""
+    """The requirements for requests of one class, which has the index `settings_index` in the settings."""
 
-    position: int
+    settings_index: int
     method: bytes
     needs_idempotency_key: bool
     deadline_us: int
 
 
 class PlanRule(NamedTuple):
-    """What a request under one plan may ask for. `position` is the plan's index in the settings."""
+    """The limit for requests under one plan, which has the index `settings_index` in the settings."""
 
-    position: int
+    settings_index: int
     max_units: float
 
 
 class RequestRules(NamedTuple):
-    """What requests are checked against; classes and plans by their names on the wire."""
+    """The rules that requests are checked against; classes and plans are keyed by their names on the wire."""
 
     classes: Mapping[bytes, ClassRule]
     plans: Mapping[bytes, PlanRule]
@@ -108,7 +115,7 @@
 
     @classmethod
     def from_config(cls, config: Config) -> RequestRules:
-        """The rules of a process, which hold until its end."""
+        """Return the rules that follow from the configuration; they stay the same until the process ends."""
         settings = config.settings
         return cls(
             classes={
@@ -126,7 +133,7 @@
 def _class_rule(index: int, request_class: RequestClass) -> ClassRule:
     is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     return ClassRule(
-        position=index,
+        settings_index=index,
         method=b"GET" if is_idempotent else b"POST",
         needs_idempotency_key=request_class.idempotency is Idempotency.KEYED,
         deadline_us=request_class.deadline_us,
@@ -134,7 +141,10 @@
 
 
 def max_units(plan: QuotaPlan) -> float:
-    """A request of more units never passes: no bucket of the plan is deep enough."""
+    """Return the maximum cost of a request under `plan`.
+
+    A request that costs more than the depth of a token bucket of the plan could never be admitted.
+    """
     depths = []
     if plan.rate_per_s > 0:
         depths.append(plan.burst)
@@ -144,33 +154,36 @@
 
 
 def parse_request(
-    message: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
+    parser: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
 ) -> ParsedRequest:
-    """The request that `message` holds; raises `InvalidRequest`."""
-    headers = message.headers
+    """Return the request that `parser` has collected. Raises `InvalidRequest` if it is not valid.
+
+    `open_trace_ids` holds the trace ids of the pending requests, which a new request must not use.
+    """
+    headers = parser.headers
     class_rule = _read_class(headers, rules)
     plan_rule = _read_plan(headers, rules)
-    _check_host_and_method(message, class_rule)
+    _check_host_and_method(parser, class_rule)
     trace_id = _read_trace_id(headers, open_trace_ids)
     if class_rule.needs_idempotency_key:
         _check_idempotency_key(headers)
     tenant = _read_tenant(headers)
     time_left_us = _read_time_left_us(headers, class_rule.deadline_us)
-    quota = _read_quota_info(headers, rules, plan_rule)
+    quota_info = _read_quota_info(headers, rules, plan_rule)
     method = class_rule.method
     return ParsedRequest(
         trace_id,
         tenant,
-        plan_rule.position,
-        class_rule.position,
+        plan_rule.settings_index,
+        class_rule.settings_index,
         time_left_us,
-        quota.units,
-        quota.first_gateway,
-        quota.gateway_count,
+        quota_info.units,
+        quota_info.first_gateway,
+        quota_info.gateway_count,
         headers.get(RETRY_HEADER) == b"1",
         method != b"GET",
-        b"".join((method, b" ", message.url, b" HTTP/1.1\r\n", *message.header_parts)),
-        b"".join(message.body_parts),
+        b"".join((method, b" ", parser.url, b" HTTP/1.1\r\n", *parser.header_parts)),
+        b"".join(parser.body_parts),
     )
 
 
@@ -192,23 +205,27 @@
     return rule
 
 
-def _check_host_and_method(message: RequestParser, rule: ClassRule) -> None:
-    if HOST_HEADER not in message.headers and message.http_version() == "1.1":
+def _check_host_and_method(parser: RequestParser, rule: ClassRule) -> None:
+    if HOST_HEADER not in parser.headers and parser.http_version() == "1.1":
         raise _bad_request("no Host")
-    if message.method != rule.method:
+    if parser.method != rule.method:
         raise InvalidRequest(
             Status.METHOD_NOT_ALLOWED,
             f"the class wants {rule.method.decode()}",
             b"Allow: " + rule.method + b"\r\n",
         )
-    if rule.method == b"GET" and message.body_bytes:
+    if rule.method == b"GET" and parser.body_bytes:
         raise _bad_request("GET with a body")
 
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
-    """Backends name a request by its trace id: two open ones of the same id could not be told apart."""
+    """Return the trace id. Raises `InvalidRequest` if it is malformed or belongs to a pending request.
+
+    Upstreams identify a request by its trace id, so they could not tell two pending requests with the same
+    trace id apart.
+    """
     trace_id = headers.get(TRACE_ID_HEADER, b"")
-    if not TOKEN.fullmatch(trace_id):
+    if not TOKEN_PATTERN.fullmatch(trace_id):
         raise _bad_request("bad X-Trace-Id")
     if trace_id in open_trace_ids:
         raise InvalidRequest(Status.CONFLICT, "X-Trace-Id of an open request")
@@ -216,13 +233,13 @@
 
 
 def _check_idempotency_key(headers: Mapping[bytes, bytes]) -> None:
-    if not TOKEN.fullmatch(headers.get(IDEMPOTENCY_KEY_HEADER, b"")):
+    if not TOKEN_PATTERN.fullmatch(headers.get(IDEMPOTENCY_KEY_HEADER, b"")):
         raise _bad_request("bad Idempotency-Key")
 
 
 def _read_tenant(headers: Mapping[bytes, bytes]) -> int:
     text = headers.get(TENANT_HEADER, b"")
-    if not TENANT.fullmatch(text):
+    if not TENANT_PATTERN.fullmatch(text):
         raise _bad_request("bad Account")
     tenant = int(text, TENANT_BASE)
     if tenant >= TENANT_LIMIT:
@@ -231,11 +248,11 @@
 
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
-    """What is left of the client's time (X-Expires-In) or of the class's deadline, the shorter of the two.
+    """Return the shorter of the client's remaining time (X-Expires-In) and the deadline of the class.
 
-    `TRANSIT_MARGIN_US` is taken off for the way of the response.
+    `TRANSIT_MARGIN_US` is deducted, so that the response reaches the client in time.
     """
-    duration = DURATION.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
+    duration = DURATION_PATTERN.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
         raise _bad_request("bad X-Expires-In")
     expires_in_us = float(duration[1]) * US_PER_EXPIRES_IN_UNIT[duration[2]]
@@ -248,17 +265,20 @@
     text = headers.get(QUOTA_INFO_HEADER, b"")
     if len(text) > MAX_QUOTA_INFO_BYTES:
         raise _bad_request("bad Quota-Info")
-    quota = decode_quota_info(text, rules.gateway_count)
-    if quota is None:
+    quota_info = decode_quota_info(text, rules.gateway_count)
+    if quota_info is None:
         raise _bad_request("bad Quota-Info")
-    if quota.units > plan.max_units:
+    if quota_info.units > plan.max_units:
         raise _bad_request("more units than the plan can pass")
-    return quota
+    return quota_info
 
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
 def decode_quota_info(text: bytes, gateway_count: int) -> QuotaInfo | None:
-    """The header's value in a fleet of `gateway_count`; None where it is malformed."""
+    """Return the content of a Quota-Info header, or None if the header is malformed.
+
+    `gateway_count` is the number of gateways in the fleet.
+    """
     fields: dict[bytes, bytes] = {}
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
@@ -267,14 +287,14 @@
     spread_text = fields.get(b"spread", b"")
     first_text = fields.get(b"first", b"")
     if not (
-        NUMBER.fullmatch(units_text)
-        and WHOLE_NUMBER.fullmatch(spread_text)
-        and WHOLE_NUMBER.fullmatch(first_text)
+        DECIMAL_PATTERN.fullmatch(units_text)
+        and INTEGER_PATTERN.fullmatch(spread_text)
+        and INTEGER_PATTERN.fullmatch(first_text)
     ):
         return None
-    quota = QuotaInfo(float(units_text), int(spread_text), int(first_text))
-    if quota.units <= 0 or quota.first_gateway >= gateway_count:
+    quota_info = QuotaInfo(float(units_text), int(spread_text), int(first_text))
+    if quota_info.units <= 0 or quota_info.first_gateway >= gateway_count:
         return None
-    if not 1 <= quota.gateway_count <= gateway_count:
+    if not 1 <= quota_info.gateway_count <= gateway_count:
         return None
-    return quota
+    return quota_info
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -96,7 +96,7 @@
             *(config.counter or ("none", 0)),
         )
         self.discovery.change_address(config.discovery)
-        self.proxy.move_counter(config.counter)
+        self.proxy.change_counter_address(config.counter)
 
     def shut_down(self) -> None:
         """Start the graceful shutdown, unless it has started: answer open and new requests, then stop."""
@@ -118,9 +118,9 @@
         try:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
             self.clients.stop_listening()
-            self.clients.close_idle_served()
+            self.clients.close_used_idle_connections()
             await self._wait_while(self.clients.awaits_first_request, FIRST_REQUEST_WAIT_S)
-            self.clients.close_idle()
+            self.clients.close_idle_connections()
             left_us = self.proxy.drain_deadline_us - self.proxy.clock.now_us()
             await self._wait_while(self.clients.has_pending_work, left_us / US_PER_S)
             await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
