--- a/tests/discovery_responses.py
+++ b/tests/discovery_responses.py
@@ -11,7 +11,7 @@
 
 
 def snapshot_response(revision: int, *members: dict[str, object]) -> bytes:
-    """Return a response with the whole list."""
+    """Return a response with the complete list."""
     return make_response(200, encode_json(endpoint_list_dict(*members, revision=revision)))
 
 
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -80,10 +80,10 @@
 
 
 @uvloop_test
-async def test_malformed_response_is_followed_by_fetch_of_whole_list() -> None:
+async def test_malformed_response_is_followed_by_fetch_of_complete_list() -> None:
     """Discovery answers a watch with an error status, a delta of an older version, or malformed data.
 
-    After each such response the next poll must fetch the whole list, so that no change is lost with the
+    After each such response the next poll must fetch the complete list, so that no change is lost with the
     response.
     """
     malformed = [
@@ -120,9 +120,9 @@
 
 @uvloop_test
 async def test_delta_in_response_to_fetch_is_rejected() -> None:
-    """Discovery answers a fetch of the whole list with a delta, although there is no list to apply it to.
+    """Discovery answers a fetch of the complete list with a delta, although there is no list to apply it to.
 
-    If the delta were accepted, it would be taken for the whole list, and all other endpoints would be
+    If the delta were accepted, it would be taken for the complete list, and all other endpoints would be
     missing.
     """
     decider = ScriptedDecider(leave_pending)
@@ -153,10 +153,10 @@
 
 
 @uvloop_test
-async def test_older_version_is_rejected_and_whole_list_is_fetched() -> None:
+async def test_older_version_is_rejected_and_complete_list_is_fetched() -> None:
     """Discovery answers a watch with an older list, in which an endpoint that is now draining is still ready.
 
-    That list must be rejected, and the whole list must be fetched.
+    That list must be rejected, and the complete list must be fetched.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (_, discovery):
@@ -256,11 +256,11 @@
 
 
 @uvloop_test
-async def test_ambiguous_delta_triggers_a_single_fetch_of_whole_list() -> None:
+async def test_ambiguous_delta_triggers_a_single_fetch_of_complete_list() -> None:
     """A delta has an entry without an id: an endpoint is draining, but it is unknown which one.
 
-    The other entries must be passed on at once, and the whole list must be fetched. If the whole list is
-    ambiguous too, fetching it repeatedly would not help, so the next poll must be a watch.
+    The other entries must be passed on at once, and the complete list must be fetched. If the complete list
+    is ambiguous too, fetching it repeatedly would not help, so the next poll must be a watch.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (server, discovery):
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -150,7 +150,7 @@
         self.loop.refuses_connections = False
 
     async def establish_watch(self) -> Streams:
-        """Start the client, send it the whole list, and return the streams once it watches."""
+        """Start the client, send it the complete list, and return the streams once it watches."""
         self.client.start()
         reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
@@ -214,7 +214,7 @@
 
 
 async def slow_snapshot(harness: ManualClockHarness) -> float:
-    """A response with the whole list trickles in."""
+    """A response with the complete list trickles in."""
     harness.changed_at_s = await refused(harness) + harness.loop.now_s
     _, writer = await harness.accept_slow_poll(harness.max_backoff_s)
     writer.write(snapshot_response(42, member_dict("s-1", 9))[:-9])
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -1,11 +1,11 @@
 """Keeps the endpoint list up to date by polling discovery for as long as the process runs.
 
-A poll either fetches the whole list or watches it. A watch request contains the version of the current list.
-Discovery answers it as soon as it has a later version, or with an empty list when the watch times out. The
-next poll follows at once.
+A poll either fetches the complete list or watches for changes. A watch request contains the version of the
+current list. Discovery answers it as soon as it has a later version, or with an empty list when the watch
+times out. The next poll follows at once.
 
 If a poll fails, the next one follows after a backoff, which doubles with each failure up to a maximum. That
-poll fetches the whole list if the last response may have been misread, or if discovery may not know the
+poll fetches the complete list if the last response may have been misread, or if discovery may not know the
 current version.
 """
 
@@ -32,7 +32,7 @@
 log = logging.getLogger("yardlane.proxy.discovery_client")
 
 LIST_PATH = b"/catalog/members"
-# Used in place of a list version if there is none; the next poll then fetches the whole list.
+# Used in place of a list version if there is none; the next poll then fetches the complete list.
 NO_VERSION = -1
 
 OnUpdate = Callable[[EndpointListUpdate, Addresses], None]
@@ -85,7 +85,7 @@
     def change_address(self, address: Address) -> None:
         """Poll another discovery from now on; the current list stays in use until it responds.
 
-        Each discovery counts its own versions, so the first poll fetches the whole list.
+        Each discovery counts its own versions, so the first poll fetches the complete list.
         """
         self.stop()
         self.address = address
@@ -121,7 +121,7 @@
         self.on_poll_failed()
 
     async def _poll(self) -> None:
-        """Fetch or watch the list once, and pass on the update in the response."""
+        """Fetch the list or watch for changes once, and pass on the update in the response."""
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
         connection = await self._ensure_connection()
@@ -149,7 +149,7 @@
         return connection
 
     async def _request(self, connection: DiscoveryConnection, base_version: int) -> bytearray:
-        """Watch for changes since `base_version`, or fetch the whole list if that is NO_VERSION.
+        """Watch for changes since `base_version`, or fetch the complete list if that is NO_VERSION.
 
         Return the body of the response. The timeout applies to the response as a whole, so a response that
         trickles in cannot extend it. Raises DiscoveryUnreachable if the response times out or the connection
@@ -175,13 +175,13 @@
         update = decoded.update
         is_delta = update.kind is UpdateKind.DELTA
         if is_delta and base_version == NO_VERSION:
-            raise MalformedEndpointList("got a delta in response to a request for the whole list")
+            raise MalformedEndpointList("got a delta in response to a request for the complete list")
         if update.version < base_version:  # a late response, or discovery has lost its state
             raise MalformedEndpointList(
                 f"endpoint list has version {update.version}, older than the current version {base_version}"
             )
-        # The whole list may resolve the ambiguity of a delta. If the whole list is ambiguous too, fetching it
-        # again would not help.
+        # The complete list may resolve the ambiguity of a delta. If the complete list is ambiguous too,
+        # fetching it again would not help.
         is_ambiguous = is_delta and decoded.is_ambiguous
         self.version = NO_VERSION if is_ambiguous else update.version
         has_content = bool(update.endpoints) or not is_delta
--- a/yardlane/proxy/discovery_connection.py
+++ b/yardlane/proxy/discovery_connection.py
@@ -58,7 +58,7 @@
             self.response.set_exception(error)
         self.close()
 
-    # Callbacks from asyncio
+    # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called when the connection is established; keeps its transport."""
@@ -77,7 +77,7 @@
             # An exception raised in a callback of the parser is the context of the parser's own error.
             self._fail(DiscoveryError(f"malformed response: {error.__context__ or error}"))
 
-    # Callbacks from the parser
+    # Called by the parser
 
     def on_body(self, body: bytes) -> None:
         """Called with a part of the body; appends it to the buffer.
--- a/yardlane/proxy/endpoint_addresses.py
+++ b/yardlane/proxy/endpoint_addresses.py
@@ -12,8 +12,8 @@
 def addresses_after(old: Addresses, update: EndpointListUpdate, decoded: Addresses) -> Addresses:
     """Return the addresses after an update; `decoded` holds the addresses that could be read from it.
 
-    - An endpoint that is removed, or missing from a whole list, has no address. An endpoint that is missing
-      from a delta keeps its address.
+    - An endpoint that is removed, or missing from a complete list, has no address. An endpoint that is
+      missing from a delta keeps its address.
     - An endpoint that is listed with a readable address has that address.
     - An endpoint that is listed without a readable address is draining. It keeps its old address for the
       attempts in flight.
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -65,7 +65,7 @@
     """An update and the addresses of its endpoints.
 
     `is_ambiguous` is true if the list contains an entry without an id, or two different entries with the same
-    id. Only a whole list can show which endpoint was meant, or which of the two entries is right.
+    id. Only a complete list can show which endpoint was meant, or which of the two entries is right.
     """
 
     update: EndpointListUpdate
