--- a/yardlane/simulator/__init__.py
+++ b/yardlane/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the binary wire of a simulator."""
+"""Connects the decisions to a simulator, which uses a binary wire format on standard input and output."""
