--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -28,12 +28,12 @@
     def __init__(self, server: ClientServer, time_s: float = 1000.0) -> None:
         self.server = server
         self.time_s = time_s
-        server.now = lambda: self.time_s
+        server.loop_time_s = lambda: self.time_s
 
     def advance(self, seconds: float) -> None:
         """Advance the clock, then check the timeouts of all connections."""
         self.time_s += seconds
-        self.server.reap()
+        self.server.check_all_timeouts()
 
 
 async def connect_clients(server: RunningServer, count: int) -> list[Streams]:
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -22,7 +22,7 @@
 )
 from yardlane.decisions.actions import Action, Reject
 from yardlane.decisions.events import Event, RequestArrived
-from yardlane.proxy.client_connection import MAX_PIPELINED, MAX_REJECTED_PIPELINED, REQUEST_TIMEOUT_S
+from yardlane.proxy.client_connection import MAX_EXCESS_REQUESTS, MAX_PENDING_REQUESTS, REQUEST_TIMEOUT_S
 from yardlane.proxy.client_state import ClientState
 
 TOO_LARGE_REQUEST = make_request("file", Content_Length="4000000") + b"x" * 4_000_000
@@ -61,16 +61,16 @@
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         reader, writer = await server.connect_client()
-        writer.write(pipelined_requests(MAX_PIPELINED + 20))
-        await script.wait_for(RequestArrived, MAX_PIPELINED)
+        writer.write(pipelined_requests(MAX_PENDING_REQUESTS + 20))
+        await script.wait_for(RequestArrived, MAX_PENDING_REQUESTS)
         connection = only_connection(server)
-        while len(connection.pending) < MAX_PIPELINED + 20:
+        while len(connection.pending) < MAX_PENDING_REQUESTS + 20:
             await asyncio.sleep(0)
-        assert len(server.proxy.requests) == MAX_PIPELINED
+        assert len(server.proxy.requests) == MAX_PENDING_REQUESTS
         for request_id in list(server.proxy.requests):
             server.proxy.apply(Reject(request_id))
-        statuses = [await read_status(reader) for _ in range(MAX_PIPELINED + 20)]
-        assert statuses == ["429"] * MAX_PIPELINED + ["503"] * 20
+        statuses = [await read_status(reader) for _ in range(MAX_PENDING_REQUESTS + 20)]
+        assert statuses == ["429"] * MAX_PENDING_REQUESTS + ["503"] * 20
 
 
 @uvloop_test
@@ -81,7 +81,7 @@
         reader, writer = await server.connect_client()
         writer.write(pipelined_requests(600))
         responses = await read_until_closed(reader)
-        assert 0 < responses.count(b"HTTP/1.1 ") <= 2 * (MAX_PIPELINED + MAX_REJECTED_PIPELINED)
+        assert 0 < responses.count(b"HTTP/1.1 ") <= 2 * (MAX_PENDING_REQUESTS + MAX_EXCESS_REQUESTS)
 
 
 @uvloop_test
@@ -125,7 +125,7 @@
         await script.wait_for(RequestArrived, 2)
         clients.is_draining = True
         server.proxy.apply(Reject(2))
-        ManualClock(clients, clients.now()).advance(REQUEST_TIMEOUT_S + 0.1)
+        ManualClock(clients, clients.loop_time_s()).advance(REQUEST_TIMEOUT_S + 0.1)
         server.proxy.apply(Reject(1))
         assert [await read_status(reader) for _ in range(2)] == ["429", "429"]
         assert await reader.read() == b""
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -45,7 +45,7 @@
 from yardlane.decisions.events import AttemptEnded, Event, Outcome, RequestArrived, RequestEnded
 from yardlane.decisions.gateway import Gateway
 from yardlane.proxy.attempt import Attempt
-from yardlane.proxy.client_connection import MAX_PIPELINED, ClientConnection
+from yardlane.proxy.client_connection import MAX_PENDING_REQUESTS, ClientConnection
 
 Disconnect = Callable[[asyncio.StreamWriter], None]
 
@@ -195,16 +195,16 @@
 
 
 @parametrize_disconnect
-async def test_disconnect_on_a_paused_connection_is_found_by_the_reaper(disconnect: Disconnect) -> None:
+async def test_timeout_check_finds_a_disconnect_on_a_paused_connection(disconnect: Disconnect) -> None:
     """A connection with the maximum number of pending requests is not read, so the event loop does not report
     the disconnect. The reaper must find it."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script, settings=settings_dict(profiles=LONG_DEADLINE_CLASSES)) as server:
         _, to_proxy = await server.connect_client()
-        to_proxy.write(pipelined_requests(MAX_PIPELINED, X_Expires_In="60000m"))
-        await script.wait_for(RequestArrived, MAX_PIPELINED)
+        to_proxy.write(pipelined_requests(MAX_PENDING_REQUESTS, X_Expires_In="60000m"))
+        await script.wait_for(RequestArrived, MAX_PENDING_REQUESTS)
         disconnect(to_proxy)
-        await script.wait_for(RequestEnded, MAX_PIPELINED)
+        await script.wait_for(RequestEnded, MAX_PENDING_REQUESTS)
         await wait_until_released(server)
 
 
@@ -212,25 +212,25 @@
 # reaper is stopped.
 
 
-def stop_reaper_and_record_attempts(server: RunningServer) -> list[Attempt]:
+def stop_timeout_checks_and_record_attempts(server: RunningServer) -> list[Attempt]:
     """Stop the reaper; return a list that collects the attempts that start from now on."""
-    server.clients.reap = lambda: None  # type: ignore[method-assign]
+    server.clients.check_all_timeouts = lambda: None  # type: ignore[method-assign]
     started_attempts: list[Attempt] = []
     send = server.pool.send
 
-    def recorded(attempt: Attempt) -> None:
+    def record_and_send(attempt: Attempt) -> None:
         started_attempts.append(attempt)
         send(attempt)
 
-    server.pool.send = recorded  # type: ignore[method-assign]
+    server.pool.send = record_and_send  # type: ignore[method-assign]
     return started_attempts
 
 
 async def fill_pipeline(server: RunningServer) -> asyncio.StreamWriter:
     """Connect a client and make so many of its requests pending that its connection is not read."""
     _, to_proxy = await server.connect_client()
-    to_proxy.write(pipelined_requests(MAX_PIPELINED))
-    while len(server.proxy.requests) < MAX_PIPELINED:
+    to_proxy.write(pipelined_requests(MAX_PENDING_REQUESTS))
+    while len(server.proxy.requests) < MAX_PENDING_REQUESTS:
         await asyncio.sleep(0)
     return to_proxy
 
@@ -256,12 +256,12 @@
     proxy must not start it, and must end all requests of the connection."""
     script = ScriptedDecider(leave_pending)
     async with running_server_with_backend(script) as (server, _):
-        started_attempts = stop_reaper_and_record_attempts(server)
+        started_attempts = stop_timeout_checks_and_record_attempts(server)
         disconnect(await fill_pipeline(server))
         await wait_until_disconnect_detectable(server)
         server.proxy.apply(StartAttempt(1, b"s-1"))
         assert not started_attempts
-        await script.wait_for(RequestEnded, MAX_PIPELINED)
+        await script.wait_for(RequestEnded, MAX_PENDING_REQUESTS)
         await wait_until_released(server)
 
 
@@ -270,7 +270,7 @@
     """One request is in flight, and the others of the same connection are queued by the concurrency limit.
     When the first one ends after the disconnect, none of the queued requests may be sent."""
     async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
-        started_attempts = stop_reaper_and_record_attempts(server)
+        started_attempts = stop_timeout_checks_and_record_attempts(server)
         to_proxy = await fill_pipeline(server)
         reader, writer = await backend.accept_connection()
         await read_message(reader)
@@ -297,19 +297,19 @@
 
     script = ScriptedDecider(retry)
     async with running_server_with_backend(script) as (server, backend):
-        started_attempts = stop_reaper_and_record_attempts(server)
+        started_attempts = stop_timeout_checks_and_record_attempts(server)
         to_proxy = await fill_pipeline(server)
-        streams = [await backend.accept_connection() for _ in range(MAX_PIPELINED)]
+        streams = [await backend.accept_connection() for _ in range(MAX_PENDING_REQUESTS)]
         for reader, _ in streams:
             await read_message(reader)
         disconnect(to_proxy)
         await wait_until_disconnect_detectable(server)
         for _, writer in streams:
             writer.write(NOT_RUN_RESPONSE)
-        while server.proxy.requests and len(started_attempts) == MAX_PIPELINED:
+        while server.proxy.requests and len(started_attempts) == MAX_PENDING_REQUESTS:
             await asyncio.sleep(0)
-        assert [attempt.attempt_index for attempt in started_attempts] == [0] * MAX_PIPELINED
-        await script.wait_for(RequestEnded, MAX_PIPELINED)
+        assert [attempt.attempt_index for attempt in started_attempts] == [0] * MAX_PENDING_REQUESTS
+        await script.wait_for(RequestEnded, MAX_PENDING_REQUESTS)
 
 
 @parametrize_disconnect
@@ -320,7 +320,7 @@
     may be sent on them."""
     script = ScriptedDecider(forward_all)
     async with running_server_with_backend(script) as (server, backend):
-        stop_reaper_and_record_attempts(server)
+        stop_timeout_checks_and_record_attempts(server)
         delayed = DelayedConnectLoop(server, backend.port)
         to_proxy = await fill_pipeline(server)
         await delayed.connect_requested.wait()
@@ -329,9 +329,9 @@
         delayed.may_connect.set()
         reader, _ = await backend.accept_connection()
         assert await read_first_byte(reader) == b""
-        ends = await script.wait_for(AttemptEnded, MAX_PIPELINED)
+        ends = await script.wait_for(AttemptEnded, MAX_PENDING_REQUESTS)
         assert {(e.outcome, e.request_ended) for e in ends} == {(Outcome.NOT_SENT, True)}
-        await script.wait_for(RequestEnded, MAX_PIPELINED)
+        await script.wait_for(RequestEnded, MAX_PENDING_REQUESTS)
         await wait_until_released(server)
         while not backend.accepted.empty():
             assert await read_first_byte((await backend.accept_connection())[0]) == b""
@@ -382,7 +382,7 @@
             writer.write(make_response(200, LARGE_BODY))
         while not connection.is_write_buffer_full or len(connection.pending) > 1:
             await asyncio.sleep(0)
-        started_attempts = stop_reaper_and_record_attempts(server)
+        started_attempts = stop_timeout_checks_and_record_attempts(server)
         disconnect(to_proxy)
         await wait_until_disconnect_detectable(server)
         server.proxy.apply(StartAttempt(4, b"s-1"))
@@ -402,7 +402,7 @@
         writer.write(make_response(200, LARGE_BODY))  # too little to pause reading
         while len(connection.pending) > 1:
             await asyncio.sleep(0)
-        started_attempts = stop_reaper_and_record_attempts(server)
+        started_attempts = stop_timeout_checks_and_record_attempts(server)
         half_close(to_proxy)
         await script.wait_for(RequestEnded)
         assert connection.transport is not None and connection.transport.get_write_buffer_size() > 0
@@ -434,7 +434,7 @@
             await read_message(reader)
             writer.write(make_response())
             await read_message(client)
-            started_attempts = stop_reaper_and_record_attempts(server)
+            started_attempts = stop_timeout_checks_and_record_attempts(server)
             with socket.create_connection(("127.0.0.1", server.clients.port())) as client_socket:
                 client_socket.sendall(make_request())
                 disconnect(client_socket)
--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -61,7 +61,7 @@
                     connection.state = old_state
                     clients.connections[connection] = None
                     connection.pending.append(ClientRequest(connection))
-                    assert connection._apply(event) is (new_state is not old_state)
+                    assert connection._change_state(event) is (new_state is not old_state)
                     assert connection.state is new_state
                     expected_line = (
                         f"unexpected event {event.name} in state {old_state.name} of a client connection"
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -196,7 +196,7 @@
                         serve_endpoint_list(
                             serving,
                             endpoint_list_dict(
-                                *(member_dict(f"s-{peer.port}", peer.port) for peer in backends)
+                                *(member_dict(f"s-{backend.port}", backend.port) for backend in backends)
                             ),
                             watched,
                         )
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -272,6 +272,6 @@
             await read_message(reader)
             poll_writer.write(make_list_response(6, member_dict("s-1", backend.port, host_port="?")))
             await read_message(poll_reader)
-            assert server.proxy.addresses == {b"s-1": ("127.0.0.1", backend.port)}
+            assert server.proxy.endpoint_addresses == {b"s-1": ("127.0.0.1", backend.port)}
             writer.write(make_response())
             assert (await read_message(client_reader))[2] == b"done"
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -55,7 +55,7 @@
         for _ in range(3):  # several changes in a row
             server.discovery.change_address(("127.0.0.1", new.port))
         assert await reader.read() == b""  # the watch at the old address is closed
-        assert server.proxy.addresses == {b"s-1": ("127.0.0.1", 9)}
+        assert server.proxy.endpoint_addresses == {b"s-1": ("127.0.0.1", 9)}
         while True:  # the connections of the earlier changes are closed without a request
             to_new, new_writer = await new.accept_connection()
             if line := await to_new.readline():
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -1,7 +1,7 @@
 """A connection of a client. It reads pipelined requests and writes one response to each, in order.
 
-`client_state` defines the states of the connection. Only `ClientConnection._apply` changes the state, and
-only `ClientConnection._update_reading` pauses and resumes reading from the socket.
+`client_state` defines the states of the connection. Only `ClientConnection._change_state` changes the
+state, and only `ClientConnection._update_reading` pauses and resumes reading from the socket.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 log = logging.getLogger("yardlane.proxy.client_connection")
 
 # A connection is not read while it has this number of pending requests.
-MAX_PIPELINED = 4
+MAX_PENDING_REQUESTS = 4
 # A single read may bring more requests than that. Up to this number of excess requests are rejected one by
 # one; with more, the connection is closed.
-MAX_REJECTED_PIPELINED = 64
+MAX_EXCESS_REQUESTS = 64
 # The time to receive a whole request, and to receive the first byte on a new connection.
 REQUEST_TIMEOUT_S = 1.5
 # The time that a client has to read the last response and close its side of the connection.
@@ -49,7 +49,7 @@
     open_trace_ids: set[bytes]
     is_draining: bool
 
-    def now(self) -> float:
+    def loop_time_s(self) -> float:
         """Return the time of the event loop's clock in seconds."""
 
     def is_near_connection_limit(self) -> bool:
@@ -70,13 +70,13 @@
         self.pending: deque[ClientRequest] = deque()  # in the order of the requests, and so of the responses
         self.state = ClientState.ACCEPTED
         self.is_write_buffer_full = False
-        self.has_sent_request = False
-        self.last_active_s = server.now()  # when a request was last answered, or CLOSING began
-        self.request_started_s = self.last_active_s
+        self.has_received_request = False
+        self.last_active_s = server.loop_time_s()  # when a request was last answered, or CLOSING began
+        self.request_timeout_started_s = self.last_active_s
 
     # State
 
-    def _apply(self, event: ClientEvent) -> bool:
+    def _change_state(self, event: ClientEvent) -> bool:
         """Change the state as `TRANSITIONS` defines it; return whether the state has changed.
 
         An event that the table does not allow in this state is a bug in this program: it is logged and
@@ -91,7 +91,7 @@
             return False
         self.state = new_state
         if new_state is CLOSING or new_state is CLOSED:
-            self.last_active_s = self.server.now()
+            self.last_active_s = self.server.loop_time_s()
             self._release_pending()
         if new_state is CLOSED:
             self._on_closed()
@@ -122,12 +122,14 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        is_full = self.is_write_buffer_full or len(self.pending) >= MAX_PIPELINED
+        is_full = self.is_write_buffer_full or len(self.pending) >= MAX_PENDING_REQUESTS
         should_read = not (is_full and (self.state is OPEN or self.state is LAST_REQUEST))
         if should_read is transport.is_reading():
             return
         if should_read:
-            self.request_started_s = self.server.now()  # the pause does not count towards the timeout
+            self.request_timeout_started_s = (
+                self.server.loop_time_s()
+            )  # the pause does not count towards the timeout
             transport.resume_reading()
         else:
             transport.pause_reading()
@@ -138,7 +140,7 @@
         """Return the protocol that the transport is created for: the connection itself."""
         return self
 
-    def on_connect_failed(self) -> None:
+    def on_transport_creation_failed(self) -> None:
         """Called when the client's connection was lost before its transport was created."""
         self.connection_lost(None)
 
@@ -151,13 +153,13 @@
         """
         transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
         self.transport = transport
-        if not self._apply(ClientEvent.CONNECTED):
+        if not self._change_state(ClientEvent.CONNECTED):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Called when the transport has been closed, as its last call."""
         self.transport = None
-        self._apply(ClientEvent.TRANSPORT_LOST)
+        self._change_state(ClientEvent.TRANSPORT_LOST)
 
     def data_received(self, data: bytes) -> None:
         """Called when bytes have been received; discards them if no further request is handled."""
@@ -168,7 +170,7 @@
                 self._close_after_pending()
         except FatalRequestError as error:
             self._close_with_error(error)
-        if len(self.pending) >= MAX_PIPELINED:
+        if len(self.pending) >= MAX_PENDING_REQUESTS:
             self._update_reading()
 
     def eof_received(self) -> bool:
@@ -194,7 +196,7 @@
 
     def on_request_begin(self) -> None:
         """Called when the first byte of a request has been read."""
-        self.request_started_s = self.server.now()
+        self.request_timeout_started_s = self.server.loop_time_s()
 
     def on_expect_continue(self) -> None:
         """Called when the client waits for 100 Continue before it sends the body; sends it.
@@ -208,14 +210,14 @@
         """Called when a complete request has been read; answers it or passes it to the handler."""
         if self.state is not OPEN:
             return  # pipelined after the last request that this connection handles
-        self.has_sent_request = True
-        if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
+        self.has_received_request = True
+        if len(self.pending) >= MAX_PENDING_REQUESTS + MAX_EXCESS_REQUESTS:
             raise FatalRequestError(Status.SERVICE_UNAVAILABLE, "too many requests at once")
         request = ClientRequest(self)
         self.pending.append(request)
         if not self.parser.should_keep_alive:
             self._close_after(request)
-        if len(self.pending) > MAX_PIPELINED:  # one read may contain any number of requests
+        if len(self.pending) > MAX_PENDING_REQUESTS:  # one read may contain any number of requests
             request.reply(Status.SERVICE_UNAVAILABLE, b"too many requests at once\n")
         elif self.parser.url.partition(b"?")[0] == HEALTH_PATH:
             self._answer_health_check(request)
@@ -265,7 +267,7 @@
         if self._write_ready_responses(transport):
             self._begin_lingering_close()
             return
-        self.last_active_s = server.now()
+        self.last_active_s = server.loop_time_s()
         if server.is_draining and self.is_idle():  # the response was encoded before draining began
             self.close_idle()
             return
@@ -292,7 +294,7 @@
         """Close the connection after the response to `request`, which must be the newest request."""
         if not request.closes_connection:
             request.closes_connection = True
-            self._apply(ClientEvent.LAST_REQUEST_READ)
+            self._change_state(ClientEvent.LAST_REQUEST_READ)
 
     def _close_after_pending(self) -> None:
         """Close the connection after all pending responses.
@@ -310,13 +312,13 @@
         Closing the socket with unread bytes would reset the connection, and the reset may reach the client
         before it has read the response.
         """
-        if self._apply(ClientEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
+        if self._change_state(ClientEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
             self.transport.write_eof()
             self._update_reading()
 
     def _close_with_error(self, error: FatalRequestError) -> None:
         """Queue an error response after the pending responses, and close the connection after it."""
-        if not self._apply(ClientEvent.FATAL_REQUEST_ERROR):
+        if not self._change_state(ClientEvent.FATAL_REQUEST_ERROR):
             return
         self.parser.abandon_message()
         request = ClientRequest(self)
@@ -341,12 +343,12 @@
 
         A request that has arrived in the meantime is not read, so the client can safely send it again.
         """
-        if self._apply(ClientEvent.IDLE_CLOSED) and self.transport is not None:
+        if self._change_state(ClientEvent.IDLE_CLOSED) and self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
         """Close the connection at once and discard unsent responses."""
-        self._apply(ClientEvent.ABORTED)
+        self._change_state(ClientEvent.ABORTED)
 
     def is_client_disconnected(self) -> bool:
         """Return whether the client has closed its side or reset the connection.
@@ -356,8 +358,8 @@
         if self.transport is None or self.transport.is_closing():
             return True
         if self.probe is None:
-            file_number = self.transport.get_extra_info("socket").fileno()
-            self.probe = SocketProbe(file_number, select.POLLRDHUP)
+            file_descriptor = self.transport.get_extra_info("socket").fileno()
+            self.probe = SocketProbe(file_descriptor, select.POLLRDHUP)
         return bool(self.probe.pending_events())
 
     def close_if_client_disconnected(self) -> bool:
@@ -373,7 +375,7 @@
         return is_disconnected
 
     def _on_client_disconnected(self) -> None:
-        if self._apply(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
+        if self._change_state(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
             self.transport.close()
 
     # Timeouts
@@ -408,13 +410,13 @@
         The timeout applies to the whole request, so a client cannot extend it by sending single bytes. In
         ERROR_PENDING, it limits how long the error response waits for the responses before it.
         """
-        if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
+        if now_s - self.request_timeout_started_s <= REQUEST_TIMEOUT_S:
             return
         self._close_with_error(FatalRequestError(Status.REQUEST_TIMEOUT, "request came too slowly"))
         for request in [request for request in self.pending if not request.response]:
             self.server.handler.abandon_request(request)
 
     def _check_idle_timeout(self, now_s: float, idle_timeout_s: float) -> None:
-        timeout_s = idle_timeout_s if self.has_sent_request else REQUEST_TIMEOUT_S
+        timeout_s = idle_timeout_s if self.has_received_request else REQUEST_TIMEOUT_S
         if now_s - self.last_active_s > timeout_s:
             self.close_idle()
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -18,7 +18,7 @@
 # connections applies.
 NEAR_LIMIT_SHARE = 0.85
 NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
-REAP_INTERVAL_S = 0.2
+TIMEOUT_CHECK_INTERVAL_S = 0.2
 
 
 class ClientServer:
@@ -30,25 +30,25 @@
         handler: RequestHandler,
         max_connections: int,
         loop: asyncio.AbstractEventLoop,
-        now: Callable[[], float] | None = None,
+        loop_time_s: Callable[[], float] | None = None,
     ) -> None:
         self.config = config
         self.handler = handler
         self.max_connections = max_connections
         self.loop = loop
-        self.now = now or loop.time
+        self.loop_time_s = loop_time_s or loop.time
         self.rules = RequestRules.from_config(config)
         self.connections: dict[ClientConnection, None] = {}  # in the order of acceptance
         self.open_trace_ids: set[bytes] = set()
         self.is_draining = False
-        self.reap_due_s = 0.0
+        self.timeout_check_due_s = 0.0
         self.listener = Listener(self.make_connection, loop)
 
     def listen(self) -> None:
         """Start accepting connections. Raises OSError if the configured address is not available."""
         self.listener.listen(self.config.listen)
-        self.reap_due_s = self.now() + REAP_INTERVAL_S
-        self.loop.call_later(REAP_INTERVAL_S, self._on_reap_timer)
+        self.timeout_check_due_s = self.loop_time_s() + TIMEOUT_CHECK_INTERVAL_S
+        self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._on_timeout_check_due)
 
     def port(self) -> int:
         """Return the port of the listening socket."""
@@ -82,22 +82,22 @@
         has been idle for longest. Connections that became idle a short time ago are kept, because their next
         request may be on its way.
         """
-        connection = self._find_unused() or self._find_longest_idle()
+        connection = self._find_closing_or_unused() or self._find_longest_idle()
         if connection is None:
             return False
         connection.abort()
         return True
 
-    def _find_unused(self) -> ClientConnection | None:
+    def _find_closing_or_unused(self) -> ClientConnection | None:
         for connection in self.connections:
             if connection.state is ClientState.CLOSING:
                 return connection
-            if connection.is_idle() and not connection.has_sent_request:
+            if connection.is_idle() and not connection.has_received_request:
                 return connection
         return None
 
     def _find_longest_idle(self) -> ClientConnection | None:
-        idle_before_s = self.now() - NEAR_LIMIT_IDLE_TIMEOUT_S
+        idle_before_s = self.loop_time_s() - NEAR_LIMIT_IDLE_TIMEOUT_S
         idle = [
             connection
             for connection in self.connections
@@ -107,22 +107,22 @@
 
     # Timeouts
 
-    def _on_reap_timer(self) -> None:
+    def _on_timeout_check_due(self) -> None:
         """Check all timeouts, unless this call comes late because the process was stalled.
 
         After a stall, bytes that arrived in the meantime have not been read yet, so clients would time out
         although they were not slow.
         """
-        self.loop.call_later(REAP_INTERVAL_S, self._on_reap_timer)
-        now_s = self.now()
-        delay_s = now_s - self.reap_due_s
-        self.reap_due_s = now_s + REAP_INTERVAL_S
-        if delay_s < REAP_INTERVAL_S:
-            self.reap()
-
-    def reap(self) -> None:
+        self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._on_timeout_check_due)
+        now_s = self.loop_time_s()
+        delay_s = now_s - self.timeout_check_due_s
+        self.timeout_check_due_s = now_s + TIMEOUT_CHECK_INTERVAL_S
+        if delay_s < TIMEOUT_CHECK_INTERVAL_S:
+            self.check_all_timeouts()
+
+    def check_all_timeouts(self) -> None:
         """Check the timeouts of all connections."""
-        now_s = self.now()
+        now_s = self.loop_time_s()
         idle_timeout_s = NEAR_LIMIT_IDLE_TIMEOUT_S if self.is_near_connection_limit() else IDLE_TIMEOUT_S
         for connection in list(self.connections):
             connection.check_timeouts(now_s, idle_timeout_s)
@@ -139,7 +139,7 @@
         New connections stay open, because their first request may be on its way.
         """
         for connection in list(self.connections):
-            if connection.is_idle() and connection.has_sent_request:
+            if connection.is_idle() and connection.has_received_request:
                 connection.close_idle()
 
     def close_idle_connections(self) -> None:
@@ -151,7 +151,7 @@
     def awaits_first_request(self) -> bool:
         """Return whether any open connection has not sent a request yet."""
         return any(
-            not (connection.has_sent_request or connection.state is ClientState.CLOSING)
+            not (connection.has_received_request or connection.state is ClientState.CLOSING)
             for connection in self.connections
         )
 
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -41,20 +41,20 @@
 
 
 class EventBatch(list[Event]):
-    """The events of one turn; `started_count` of them have been handled or are being handled."""
+    """The events of one turn; `handled_count` of them have been handled or are being handled."""
 
-    started_count = 0
+    handled_count = 0
 
     def __iter__(self) -> Iterator[Event]:
         for index in range(len(self)):
-            self.started_count = index + 1
+            self.handled_count = index + 1
             yield self[index]
 
-    def last_started(self) -> Event | None:
+    def last_handled(self) -> Event | None:
         """Return the event whose handling began last, or None if none has begun."""
-        if not self.started_count:
+        if not self.handled_count:
             return None
-        return self[self.started_count - 1]
+        return self[self.handled_count - 1]
 
 
 class ActionHandler(Protocol):
@@ -112,7 +112,7 @@
         try:
             actions = self.decider.handle(self.clock.now_us(), events)
         except Exception:
-            event = events.last_started()
+            event = events.last_handled()
             log.exception(
                 "the decider raised an exception; the last event that it began to handle: %s",
                 "no event" if event is None else type(event).__name__,
@@ -134,10 +134,10 @@
 
         Return the actions that were decided before the exception.
         """
-        request_id = getattr(events.last_started(), "request_id", None)
+        request_id = getattr(events.last_handled(), "request_id", None)
         if request_id is not None:
             self.handler.fail_request(request_id)
-        for event in events[events.started_count :]:
+        for event in events[events.handled_count :]:
             self.post(event)
         # Work that was due in this turn may not have been done, and no timer is left that would trigger it.
         call_after(self.loop, RECOVERY_DELAY_US, self.schedule_turn)
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -30,7 +30,7 @@
     def protocol_factory(self) -> asyncio.Protocol:
         """Return the protocol that the transport is created for."""
 
-    def on_connect_failed(self) -> None:
+    def on_transport_creation_failed(self) -> None:
         """Called when the client's connection was lost before its transport was created."""
 
 
@@ -127,4 +127,4 @@
             await self.loop.connect_accepted_socket(connection.protocol_factory, accepted_socket)
         except OSError:
             accepted_socket.close()
-            connection.on_connect_failed()
+            connection.on_transport_creation_failed()
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -75,8 +75,8 @@
             self.counter = CounterClient(config.counter, self.settings.counter_timeout_us, self.post, loop)
         self.requests: dict[int, RequestInFlight] = {}
         self.last_request_id = 0
-        self.addresses: Addresses = {}
-        self.has_endpoint_list = False
+        self.endpoint_addresses: Addresses = {}
+        self.has_usable_endpoint_list = False
         self.drain_deadline_us = 0  # when all requests must be answered; 0 before the graceful shutdown
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
@@ -139,21 +139,21 @@
 
         A cached list counts only once a poll of discovery has failed.
         """
-        return self.has_endpoint_list
+        return self.has_usable_endpoint_list
 
     # Called by discovery, on a reload of the configuration and on the graceful shutdown
 
     def apply_update(self, update: EndpointListUpdate, addresses: Addresses) -> None:
         """Apply an update of the endpoint list; `addresses` holds the addresses decoded from it."""
         if update.kind is not UpdateKind.CACHED:
-            self.has_endpoint_list = True
-        old_addresses = self.addresses
-        self.addresses = addresses_after(old_addresses, update, addresses)
+            self.has_usable_endpoint_list = True
+        old_addresses = self.endpoint_addresses
+        self.endpoint_addresses = addresses_after(old_addresses, update, addresses)
         # The update is posted before the attempts that it ends. Otherwise the decider could send a retry to
         # another endpoint that the same update marks as draining.
         self.post(update)
         for endpoint_id, address in old_addresses.items():
-            if self.addresses.get(endpoint_id) != address:
+            if self.endpoint_addresses.get(endpoint_id) != address:
                 self.pool.remove_endpoint(endpoint_id)
         for endpoint in update.endpoints:
             if endpoint.state is not EndpointState.READY:
@@ -164,7 +164,7 @@
 
         The cached list may name endpoints that no longer exist.
         """
-        self.has_endpoint_list = self.has_endpoint_list or bool(self.addresses)
+        self.has_usable_endpoint_list = self.has_usable_endpoint_list or bool(self.endpoint_addresses)
 
     def change_counter_address(self, address: Address | None) -> None:
         """Use the shared counter at another address from now on; None changes nothing."""
@@ -273,13 +273,13 @@
         now_us = self.clock.now_us()
         attempt_index = len(request.attempts)
         attempt = Attempt(
-            action.request_id, attempt_index, action.endpoint_id, now_us, self._on_attempt_finished
+            action.request_id, attempt_index, action.endpoint_id, now_us, self._on_attempt_ended
         )
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not request.has_ended:
             request.client_request.connection.close_if_client_disconnected()  # if so, this ends the request
-        address = self.addresses.get(action.endpoint_id)
+        address = self.endpoint_addresses.get(action.endpoint_id)
         time_left_us = request.deadline_us - now_us
         if action.timeout_us > 0:
             time_left_us = min(time_left_us, action.timeout_us)
@@ -318,7 +318,7 @@
         else:
             next_callback()
 
-    def _on_attempt_finished(
+    def _on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, response: UpstreamResponse | None
     ) -> None:
         """Called once for each attempt, when it has ended; sends the first OK response to the client."""
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -36,7 +36,7 @@
 )
 from yardlane.units import US_PER_MS
 
-MAX_TIME_LEFT_US = 3_600_000_000
+MAX_EXPIRES_IN_US = 3_600_000_000
 # Deducted from the client's time for the transit of request and response, and for the proxy's own processing.
 TRANSIT_MARGIN_US = 10_000
 # A plan without a rate has no bucket that limits the units of a request. This limit keeps huge numbers out of
@@ -111,7 +111,7 @@
 
     classes: Mapping[bytes, ClassRule]
     plans: Mapping[bytes, PlanRule]
-    gateway_count: int
+    fleet_size: int
 
     @classmethod
     def from_config(cls, config: Config) -> RequestRules:
@@ -126,7 +126,7 @@
                 name.encode(): PlanRule(index, max_units(settings.quota_plans[index]))
                 for index, name in enumerate(config.quota_plan_names)
             },
-            gateway_count=settings.gateway_count,
+            fleet_size=settings.gateway_count,
         )
 
 
@@ -205,16 +205,16 @@
     return rule
 
 
-def _check_host_and_method(parser: RequestParser, rule: ClassRule) -> None:
+def _check_host_and_method(parser: RequestParser, class_rule: ClassRule) -> None:
     if HOST_HEADER not in parser.headers and parser.http_version() == "1.1":
         raise _bad_request("no Host")
-    if parser.method != rule.method:
+    if parser.method != class_rule.method:
         raise InvalidRequest(
             Status.METHOD_NOT_ALLOWED,
-            f"the class wants {rule.method.decode()}",
-            b"Allow: " + rule.method + b"\r\n",
+            f"the class wants {class_rule.method.decode()}",
+            b"Allow: " + class_rule.method + b"\r\n",
         )
-    if rule.method == b"GET" and parser.body_bytes:
+    if class_rule.method == b"GET" and parser.body_bytes:
         raise _bad_request("GET with a body")
 
 
@@ -256,28 +256,28 @@
     if duration is None:
         raise _bad_request("bad X-Expires-In")
     expires_in_us = float(duration[1]) * US_PER_EXPIRES_IN_UNIT[duration[2]]
-    if not 0 < expires_in_us <= MAX_TIME_LEFT_US:
+    if not 0 < expires_in_us <= MAX_EXPIRES_IN_US:
         raise _bad_request("bad X-Expires-In")
     return max(1, int(min(expires_in_us, deadline_us)) - TRANSIT_MARGIN_US)
 
 
-def _read_quota_info(headers: Mapping[bytes, bytes], rules: RequestRules, plan: PlanRule) -> QuotaInfo:
+def _read_quota_info(headers: Mapping[bytes, bytes], rules: RequestRules, plan_rule: PlanRule) -> QuotaInfo:
     text = headers.get(QUOTA_INFO_HEADER, b"")
     if len(text) > MAX_QUOTA_INFO_BYTES:
         raise _bad_request("bad Quota-Info")
-    quota_info = decode_quota_info(text, rules.gateway_count)
+    quota_info = decode_quota_info(text, rules.fleet_size)
     if quota_info is None:
         raise _bad_request("bad Quota-Info")
-    if quota_info.units > plan.max_units:
+    if quota_info.units > plan_rule.max_units:
         raise _bad_request("more units than the plan can pass")
     return quota_info
 
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
-def decode_quota_info(text: bytes, gateway_count: int) -> QuotaInfo | None:
+def decode_quota_info(text: bytes, fleet_size: int) -> QuotaInfo | None:
     """Return the content of a Quota-Info header, or None if the header is malformed.
 
-    `gateway_count` is the number of gateways in the fleet.
+    `fleet_size` is the number of gateways in the fleet.
     """
     fields: dict[bytes, bytes] = {}
     for part in text.split(b","):
@@ -293,8 +293,8 @@
     ):
         return None
     quota_info = QuotaInfo(float(units_text), int(spread_text), int(first_text))
-    if quota_info.units <= 0 or quota_info.first_gateway >= gateway_count:
+    if quota_info.units <= 0 or quota_info.first_gateway >= fleet_size:
         return None
-    if not 1 <= quota_info.gateway_count <= gateway_count:
+    if not 1 <= quota_info.gateway_count <= fleet_size:
         return None
     return quota_info
