--- a/yardlane/decisions/actions.py
+++ b/yardlane/decisions/actions.py
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send a request to an endpoint.
+    """Start an attempt: send a request to an endpoint.
 
-    A `timeout_us` of 0 lets the attempt run until the client's deadline. No rule sets another value: the
+    If `timeout_us` is 0, the attempt may last until the client's deadline. No rule sets another value: the
     field is part of the wire format only.
 
     `send_within_us` limits when the last byte of the request may be written, as a connection may be
     established late. If the request has not been written completely by then, it is not sent any more, and the
-    attempt ends as `NOT_CONNECTED`. 0 sets no limit.
+    attempt ends as `NOT_CONNECTED`. 0 means no limit.
     """
 
     request_id: int
@@ -36,9 +36,9 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Give a request its final answer, and promise that its client may safely send it again.
+    """Give a request a final answer which promises that the client may safely send it again.
 
-    If `retry_after_us` is 0, the client is not told when to do so.
+    If `retry_after_us` is 0, the client is not told when to send it again.
     """
 
     request_id: int
@@ -47,14 +47,17 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Give a request its final answer without that promise: the request may have taken effect."""
+    """Give a request a final answer without the promise of `Reject`: the request may have taken effect."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a count of the shared counter and read its total; a new key expires after `lifetime_us`."""
+    """Add an amount to a count of the shared counter, and read the new total.
+
+    A count that does not exist yet is created, and expires after `lifetime_us`.
+    """
 
     counter_key: int
     amount: float
@@ -63,7 +66,10 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Call the decisions again after a delay, with a `TimerFired` event."""
+    """Pass a `TimerFired` event with this token to the gateway after a delay.
+
+    Timers that were set earlier may fire as well.
+    """
 
     delay_us: int
     token: int = 0
--- a/yardlane/decisions/attempt_record.py
+++ b/yardlane/decisions/attempt_record.py
@@ -11,8 +11,8 @@
 class AttemptRecord:
     """The endpoint and the start time of one attempt, and what is known about its state.
 
-    `may_have_run` becomes false only when the outcome proves that the endpoint never began the request. An
-    attempt that timed out or lost its connection may have taken effect.
+    `may_have_run` is true until the outcome proves that the endpoint never began to process the request. It
+    stays true for an attempt that timed out or lost its connection, as that may have taken effect.
     """
 
     __slots__ = ("endpoint", "is_in_flight", "may_have_run", "sent_at_us")
--- a/yardlane/decisions/decider.py
+++ b/yardlane/decisions/decider.py
@@ -1,4 +1,4 @@
-"""The interface of the decisions to their callers: the proxy and the simulator's adapter."""
+"""The interface through which the proxy and the simulator's adapter call the decisions."""
 
 from __future__ import annotations
 
@@ -17,11 +17,14 @@
     actions: list[Action]
     """The actions of the last call of `handle`.
 
-    If that call raised an exception, these are the actions decided before it; they must be carried out.
+    If that call raised an exception, these are the actions that were decided before the exception. They must
+    be carried out.
     """
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Handle the events up to `now_us`; return the actions in the order in which to carry them out.
+        """Handle the events that arrived up to `now_us`, and the timers that are due by then.
+
+        Return the actions in the order in which they are to be carried out.
 
         Raises SettingsError if a request names a class or a plan that the settings do not have.
         """
--- a/yardlane/decisions/endpoints.py
+++ b/yardlane/decisions/endpoints.py
@@ -1,8 +1,8 @@
 """The endpoint list of one gateway, and the subset of the endpoints that this gateway uses.
 
 A gateway uses at most `SUBSET_SIZE` of the endpoints that are ready. If it sent to more endpoints than it has
-requests in a second, its knowledge of each endpoint (attempts in flight, latency, whether it responds at all)
-would be out of date, and nearly every request would open a new connection.
+requests in a second, what it knows about each endpoint (attempts in flight, latency, whether it responds at
+all) would be out of date, and nearly every request would open a new connection.
 
 The subset is deterministic. Each endpoint has its own order of the gateways, which is computed from the
 endpoint's id. `subset_rank` is the position of this gateway in that order, counted from 0. A gateway uses the
@@ -40,7 +40,7 @@
         self._recently_removed: dict[bytes, EndpointRecord] = {}
 
     def apply_update(self, update: EndpointListUpdate) -> None:
-        """Apply an update. Unless it is a delta, remove all endpoints that it does not list."""
+        """Apply an update. Unless its kind is `DELTA`, remove all endpoints that it does not list."""
         if update.kind is not UpdateKind.DELTA:
             self._remove_unlisted({entry.endpoint_id for entry in update.endpoints})
         for entry in update.endpoints:
@@ -59,7 +59,7 @@
 
         The record is kept for at least `overload_window_us` after the last attempt. An endpoint may be
         missing from the list for a moment and then be listed again with the same start time. With a new
-        record, this gateway would spend its share of the warm-up budget a second time, and the endpoint
+        record, this gateway would use its share of the slow-start budget a second time, and the endpoint
         would be overloaded.
         """
         removed = self.by_id.pop(endpoint_id, None)
@@ -74,6 +74,7 @@
         }
 
     def _add_or_update(self, entry: Endpoint) -> None:
+        """Set the entry of an endpoint; create a new record if the endpoint is unknown or has restarted."""
         endpoint_id = entry.endpoint_id
         record = self.by_id.get(endpoint_id) or self._recently_removed.pop(endpoint_id, None)
         if record is None or record.entry.started_at_us != entry.started_at_us:
@@ -92,8 +93,9 @@
     def _subset_rank(self, endpoint_id: bytes) -> int:
         """Return the position of this gateway in the endpoint's order of the gateways, from 0.
 
-        The positions of gateways with consecutive ranks are `stride` apart, modulo the number of gateways.
-        The stride has no common factor with that number, so no two gateways have the same position.
+        The gateway with rank 0 has the position `offset`. The positions of gateways with consecutive ranks
+        are `stride` apart, modulo the number of gateways. The stride has no common factor with that number,
+        so no two gateways have the same position.
         """
         count = self.settings.gateway_count
         stride, offset = divmod(zlib.crc32(endpoint_id), count)
--- a/yardlane/decisions/events.py
+++ b/yardlane/decisions/events.py
@@ -1,7 +1,7 @@
 """The events that are passed to the decisions of a gateway.
 
-Times are whole microseconds of the gateway's own clock. Endpoint ids and counter keys only identify an
-endpoint or a count; events and actions refer to it by the same value.
+Times are whole microseconds of the gateway's own clock, unless stated otherwise. Endpoint ids and counter
+keys have no meaning except to identify an endpoint or a count; events and actions use the same values.
 
 The dataclasses of events are not frozen, although events are never modified. The constructor of a frozen
 dataclass makes one extra call for each field, and several events are constructed for each request.
@@ -19,7 +19,7 @@
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"
-    """The peer refused the request or call and promises that it had no effect."""
+    """The other side refused the request or the call, and promises that it had no effect."""
     TIMED_OUT = "timed out"
     NOT_CONNECTED = "not connected"
     CONNECTION_LOST = "connection lost"
@@ -39,18 +39,21 @@
     """The kind of an endpoint list update."""
 
     DELTA = "delta"
+    """Only the entries that have changed."""
     SNAPSHOT = "snapshot"
+    """The whole list."""
     CACHED = "cached"
-    """The last list that an earlier process of this gateway had; it may be out of date."""
+    """The whole list as an earlier process of this gateway last had it. It may be out of date."""
     FAILED = "failed"
+    """No list: watching the endpoint list failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """One entry of the endpoint list.
 
-    `started_at_us` is in Unix time, or 0 for an endpoint that started long ago. `weight` (the endpoint's
-    size) and `hardware_kind` are part of the wire format only: no rule reads them.
+    `started_at_us` is the endpoint's start in Unix time, or 0 if the endpoint started long ago. `weight` (the
+    endpoint's size) and `hardware_kind` are part of the wire format only: no rule reads them.
     """
 
     endpoint_id: bytes
@@ -64,7 +67,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """The load that an endpoint reports of itself; a value that it does not report is None.
+    """The load that an endpoint reports about itself; a value that it does not report is None.
 
     `in_flight` is a number of requests. If it is not reported, the sum of `queued` and `utilization` is used
     instead.
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """An update of the endpoint list, which brings it to version `version` of discovery's list."""
+    """An update of the endpoint list to version `version` of the list that discovery has."""
 
     kind: UpdateKind
     version: int
@@ -88,10 +91,11 @@
 class RequestArrived:
     """A client's request arrived.
 
-    `quota_plan` and `request_class` are indices into the settings. `gateway_count` gateways with consecutive
-    ranks serve the tenant; the first of them has the rank `first_gateway`. `units` is the cost of the
-    request, which counts against the rates of its plan. `is_retry` and `is_write` are part of the wire format
-    only: no rule reads them.
+    `quota_plan` and `request_class` are indices into the settings. The client's deadline is `time_left_us`
+    after the arrival. `units` is the cost of the request, which counts against the rates of its plan.
+    `gateway_count` gateways with consecutive ranks serve the tenant, beginning with the rank `first_gateway`;
+    rank 0 follows the highest rank. `is_retry` and `is_write` are part of the wire format only: no rule reads
+    them.
     """
 
     request_id: int
@@ -108,9 +112,9 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; each attempt has exactly one such event.
+    """An attempt ended; there is exactly one such event for each attempt.
 
-    `request_ended` says whether the request has already had its final answer. `usage_percent` is part of the
+    `request_ended` says whether the request has already got its final answer. `usage_percent` is part of the
     wire format only: no rule reads it.
     """
 
@@ -126,7 +130,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A response began to stream to the client. It is the final answer, even if it fails later."""
+    """A response began to stream to the client. It is the final answer, even if the stream fails later."""
 
     request_id: int
     attempt_index: int
@@ -138,7 +142,7 @@
 class RequestEnded:
     """A request ended without a decision, usually because its client disconnected.
 
-    The decisions give it no final answer.
+    The decisions must not give it a final answer any more.
     """
 
     request_id: int
@@ -146,7 +150,7 @@
 
 @dataclass(slots=True)
 class CounterResult:
-    """An `AddToCounter` ended; `total` is valid only if the outcome is OK."""
+    """A call to the shared counter (`AddToCounter`) ended; `total` is valid only if the outcome is OK."""
 
     counter_key: int
     outcome: Outcome
@@ -156,7 +160,7 @@
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A `CheckHealth` ended. The event is part of the wire format only: no rule reads it."""
+    """A health check (`CheckHealth`) ended. The event is part of the wire format only: no rule reads it."""
 
     endpoint_id: bytes
     outcome: Outcome
@@ -166,7 +170,7 @@
 
 @dataclass(slots=True)
 class Gossip:
-    """A message arrived from another gateway; `sender` is the rank of that gateway.
+    """A message from another gateway arrived; `sender` is the rank of that gateway.
 
     The event is part of the wire format only: no rule reads it.
     """
@@ -177,7 +181,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """The timer of a `SetTimer` fired."""
+    """The timer that a `SetTimer` set fired; `token` is the token of that action, which no rule reads."""
 
     token: int
 
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -3,13 +3,15 @@
 Each rule has a module of its own; this module defines the order in which the rules are applied. A request
 passes through these steps:
 
-1. The request arrives. If its tenant's total is too old, `counter_polling` first polls the shared counter.
+1. The request arrives. If its tenant's total is missing or too old, `counter_polling` may first poll the
+   shared counter.
 2. `admission` rejects the request, or the request joins its tenant's queue (`tenant`, `quota`, `burst`).
 3. The request leaves the queue once the tenant's concurrency bound, the hard rate (`hard_rate`) and the limit
    on all attempts (`concurrency`) allow it, and `load_balancing` finds an endpoint for it (`endpoints`,
    `slow_start`).
-4. When an attempt ends or is overdue, `outliers`, `service_time` and `concurrency` update their statistics.
-   `retries` then decides whether another attempt may follow, and if not, what the final answer is.
+4. When an attempt ends, `outliers`, `service_time` and `concurrency` update their statistics. When an attempt
+   is overdue, only `outliers` does. `retries` then decides whether the request gets another attempt. If it
+   gets none and has no attempt in flight, `retries` decides on its final answer.
 
 See docs/design.md for the reasons behind this design.
 """
@@ -59,8 +61,8 @@
 class Gateway:
     """Makes all decisions of one gateway.
 
-    An instance holds the requests and tenants; each rule holds its own state. One call of `handle` is called
-    a turn.
+    An instance holds the requests and the tenants; each rule holds its own state. One call of `handle` is a
+    turn. `now_us` is the time of the current turn, and `actions` are the actions that were decided in it.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -81,7 +83,9 @@
         self.retries = RetryPolicy(settings)
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Handle the events up to `now_us`; return the actions in the order in which to carry them out.
+        """Handle the events that arrived up to `now_us`, and the timers that are due by then.
+
+        Return the actions in the order in which they are to be carried out.
 
         Raises SettingsError if a request names a class or a plan that the settings do not have.
         """
@@ -101,7 +105,10 @@
         return self.actions
 
     def _start(self) -> None:
-        """Called in the first turn: record its time, and watch the endpoint list unless it is pushed."""
+        """Record the start time of the gateway, and watch the endpoint list unless it is pushed.
+
+        Called at the beginning of the first turn.
+        """
         self.slow_start.gateway_started_at_us = self.now_us
         if not self.settings.endpoint_list_is_pushed:
             self._watch_endpoints()
@@ -119,8 +126,8 @@
             case EndpointListUpdate():
                 self._on_endpoint_list_update(event)
             case _:
-                # `TimerFired` needs no handler, as each turn runs the callbacks that are due. The gateway
-                # never requests health checks or gossip, so it ignores events of these kinds.
+                # `TimerFired` needs no handler, because each turn runs the callbacks that are due. Health
+                # checks and gossip are never requested, so their events are ignored.
                 pass
 
     # Endpoints
@@ -138,7 +145,7 @@
     # Requests, from arrival until they are forwarded
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
-        """Register a request and count its demand; then poll the counter or decide on its admission."""
+        """Register a request and count its demand; then poll the counter or decide on the admission."""
         self.settings.require_known(event.request_class, event.quota_plan)
         request = self._register_request(event)
         tenant = request.tenant
@@ -165,11 +172,12 @@
         return request
 
     def _get_or_create_tenant(self, event: RequestArrived) -> Tenant:
-        """Return the tenant of a request, created if necessary, and move it to the end of `tenants`."""
+        """Return the tenant of a request; create it if necessary, and move it to the end of `tenants`."""
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
         if tenant is None:
             started_at_us = self.slow_start.gateway_started_at_us
+            # The random number is the initial admission credit.
             tenant = Tenant(event, self.settings, started_at_us, self.now_us, self.random.random())
         self.tenants[tenant_id] = tenant
         return tenant
@@ -201,7 +209,8 @@
     def _forward_queued(self, tenant: Tenant) -> None:
         """Forward a tenant's queued requests in order of arrival.
 
-        Stop at the first one that lacks a concurrency slot, units of the hard rate or an endpoint.
+        Stop at the first one that lacks a concurrency slot, units of the hard rate or an endpoint, or that
+        the limit on all attempts does not allow.
         """
         while tenant.queue and tenant.has_free_slot():
             request = tenant.queue[0]
@@ -221,7 +230,8 @@
     def _schedule_forwarding(self, tenant: Tenant, missing_units: float) -> None:
         """Schedule the next `_forward_queued` of this tenant, unless one is already scheduled.
 
-        By then the missing units of the hard rate may have been refilled, or an endpoint may be free.
+        By then the missing units of the hard rate may have been refilled, an endpoint may be available, or
+        the limit on all attempts may allow the request.
         """
         if tenant.next_forwarding_at_us > self.now_us:
             return
@@ -232,6 +242,10 @@
     # Attempts
 
     def _choose_endpoint(self, request: Request) -> EndpointRecord | None:
+        """Return the endpoint for the next attempt of a request.
+
+        Return None if no endpoint may get it, or if the limit on all attempts does not allow it now.
+        """
         weight_per_time = self.service_times.relative_weight_per_time(request.class_index)
         if not self.concurrency.admits(weight_per_time, self._mean_service_time_us(request), self.now_us):
             return None
@@ -254,12 +268,12 @@
         self.timers.schedule(overdue_at_us, self._on_attempt_overdue, request, attempt)
 
     def _on_attempt_overdue(self, request: Request, attempt: AttemptRecord) -> None:
-        """Called at the time when an attempt becomes overdue.
+        """Called at the time when an attempt is overdue, even if it has ended before.
 
         If the attempt is still in flight, count it as overdue and send a hedged request if one is allowed. If
         the settings allow cancelling but not hedging, cancel the overdue attempt instead, provided that a
-        retry could be sent now. The `AttemptEnded` of the cancelled attempt then triggers that retry
-        (`_on_attempt_ended`).
+        retry could be sent now. The `AttemptEnded` of the cancelled attempt then triggers the retry
+        (`_on_attempt_ended`). If the settings allow neither, leave the attempt in flight.
         """
         if not attempt.is_in_flight:
             return
@@ -281,12 +295,12 @@
             self._end_request(request)
         elif not request.has_attempt_in_flight() and not self._retry(request):
             self._reject_or_fail(request)
-        # Only this tenant's queue is checked now. The queues of other tenants that wait for an endpoint are
-        # checked again within ENDPOINT_RECHECK_DELAY_US.
+        # Only the queue of this request's tenant is checked now. If the queue of another tenant waits for an
+        # endpoint, it is checked again within ENDPOINT_RECHECK_DELAY_US (`admission.py`).
         self._forward_queued(request.tenant)
 
     def _record_attempt_end(self, request: Request, attempt: AttemptRecord, event: AttemptEnded) -> None:
-        """Update the attempt, its endpoint and tenant, and the rules when an attempt has ended."""
+        """Update the attempt, its endpoint, its tenant and the statistics of the rules."""
         endpoint = attempt.endpoint
         attempt.record_end(event.outcome)
         request.tenant.in_flight -= 1
@@ -306,12 +320,13 @@
             endpoint.record_load(event.load, self.now_us)
 
     def _choose_endpoint_for_retry(self, request: Request) -> EndpointRecord | None:
+        """Return the endpoint for a retry of a request; None if no retry may be sent now."""
         if not self.retries.may_retry(request, self._mean_service_time_us(request), self.now_us):
             return None
         return self._choose_endpoint(request)
 
     def _retry(self, request: Request) -> bool:
-        """Send a further attempt if one is allowed and there is an endpoint; return whether it was sent."""
+        """Send a retry if one is allowed and there is an endpoint for it; return whether it was sent."""
         endpoint = self._choose_endpoint_for_retry(request)
         if endpoint is None:
             return False
@@ -322,9 +337,9 @@
     # The end of requests
 
     def _on_final_answer_due(self, request: Request) -> None:
-        """Called when a request's queueing time ends, and again shortly before its client gives up.
+        """Called when a request's queueing time ends, and again shortly before its deadline if necessary.
 
-        Reject or fail the request if it is still queued, or if its client is about to give up.
+        Reject or fail the request if it is still queued, or if its deadline is near (`final_answer_by_us`).
         """
         if request.has_ended:
             return
@@ -339,16 +354,19 @@
         self._end_request(request)
 
     def _on_request_ended(self, request_id: int) -> None:
-        """Called when a request needs no decisions any more: end it, so that nothing more is sent for it.
+        """Called when a response begins to stream to the client, or a request ends without a decision.
 
-        Its client has disconnected, or a response has begun to stream to the client.
+        The request needs no more decisions, so end it; no further attempt is then sent for it.
         """
         request = self.requests.get(request_id)
         if request is not None:
             self._end_request(request)
 
     def _end_request(self, request: Request) -> None:
-        """End a request and remove it from its queue; keep its record while an attempt is in flight."""
+        """End a request and remove it from its queue.
+
+        It stays in `requests` until it has no attempt in flight.
+        """
         request.has_ended = True
         if request.is_queued:
             request.tenant.queue.remove(request)
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -5,23 +5,24 @@
 
 - The expected time until the endpoint has finished the attempt. This is the mean service time of the request
   class, times the endpoint's latency ratio, times the number of attempts there (those in flight and the new
-  one), divided by the endpoint's warm-up factor.
+  one), divided by the endpoint's warm-up factor. The number of attempts is a factor because they are assumed
+  to share the capacity of the endpoint.
 - The expected cost of a failure. This is the latency objective times the sum of two failure rates of the
   endpoint: the rate over all plans and the rate of the request's plan. So a failure costs as much as a
   response that takes the whole latency objective.
 
 Older observations count less. `outliers.decay_factor` reduces the failure rates and the deviation of the
-latency ratio from 1. The in-flight attempts of other gateways, as the endpoint reported them, are reduced to
-zero within `LOAD_REPORT_FADE_US`.
+latency ratio from 1. The in-flight attempts of other gateways are known only from the endpoint's last load
+report. Their weight falls linearly to zero within `LOAD_REPORT_FADE_US` after the report.
 
-An endpoint that is warming up is a candidate only while `slow_start.py` admits a request. This is rarely the
-case, and the part of the budget that is not used is lost. So the endpoint is preferred for a request that it
-is expected to serve well within the latency objective. Without this preference it would get its first
-requests only when all other endpoints are busy.
+An endpoint that is warming up can be chosen only while `slow_start.py` admits a request. This is rarely the
+case, and the part of the slow-start budget that is not used is lost. So the endpoint is preferred for a
+request that it is expected to serve well within the latency objective. Without this preference it would get
+its first requests only when all other endpoints are busy.
 
-If sending to another zone has a price, the cost of each endpoint there is multiplied by
-`CROSS_ZONE_COST_FACTOR`. Random jitter is added to all costs. Without it, gateways that see the same loads
-would all send to the same endpoint.
+If the settings give sending to another zone a cost, the cost of each endpoint there is multiplied by
+`CROSS_ZONE_COST_FACTOR`, however high that setting is. Finally, each cost is raised by a random part of up to
+`JITTER_SHARE`. Without this jitter, gateways that see the same loads would all send to the same endpoint.
 """
 
 from __future__ import annotations
@@ -39,8 +40,8 @@
 from yardlane.decisions.units import SECOND_US
 
 LOAD_REPORT_FADE_US = SECOND_US
-# A warming endpoint is preferred for requests whose expected service time there is below this share of the
-# latency objective.
+# A warming endpoint is preferred for a request if the expected service time there, without other attempts, is
+# below this share of the latency objective.
 WARMING_MAX_LATENCY_SHARE = 0.5
 WARMING_COST_FACTOR = 0.5
 CROSS_ZONE_COST_FACTOR = 1.5
@@ -64,7 +65,7 @@
     def choose(
         self, request: Request, candidates: Iterable[EndpointRecord], now_us: int
     ) -> EndpointRecord | None:
-        """Return the cheapest candidate that the request was not yet sent to; None if there is none."""
+        """Return the cheapest candidate that the request has not yet been sent to; None if there is none."""
         tried = [attempt.endpoint for attempt in request.attempts]
         plan = request.tenant.plan
         objective_us = self._settings.request_classes[request.class_index].latency_objective_us
@@ -95,6 +96,7 @@
         warm_up_factor: float,
         now_us: int,
     ) -> float:
+        """Return the expected cost of an attempt at an endpoint, without jitter."""
         decay = decay_factor(now_us - endpoint.last_sent_at_us)
         latency_ratio = 1.0 + (endpoint.latency_ratio - 1.0) * decay
         report_age_us = now_us - endpoint.load_reported_at_us
@@ -107,9 +109,9 @@
             warm_up_factor < 1.0
             and service_time_us < warm_up_factor * objective_us * WARMING_MAX_LATENCY_SHARE
         ):
-            # Multiplying by the warm-up factor undoes the division above, so that the endpoint is compared as
-            # if it were warm; WARMING_COST_FACTOR then makes it cheaper than a warm one. The failure cost
-            # was not divided, and is reduced as well.
+            # For the expected time, the warm-up factor undoes the division above, so that the endpoint is
+            # compared as if it were warm. WARMING_COST_FACTOR then makes it cheaper than a warm one. Both
+            # factors also reduce the cost of a failure, although that was not divided by the warm-up factor.
             cost_us *= warm_up_factor * WARMING_COST_FACTOR
         if self._prefers_own_zone and endpoint.entry.zone != self._settings.zone:
             cost_us *= CROSS_ZONE_COST_FACTOR
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -1,30 +1,32 @@
-"""Outlier detection: how much worse an endpoint performs than the others.
+"""Outlier detection: how often the attempts at an endpoint fail, and how slow it is compared with the others.
 
-An outlier costs more in load balancing (`load_balancing.py`), but no endpoint is ejected.
+Endpoints are not divided into outliers and others, and none is ejected. The worse the statistics of an
+endpoint are, the more an attempt there costs in load balancing (`load_balancing.py`).
 
-Each endpoint has a failure rate over all plans and one for each quota plan (as an endpoint may be full for
-one plan only), from 0 to 1. It also has a latency ratio: its service times relative to the mean service times
-of all endpoints. All of these are moving averages over attempts. `decay_factor` reduces their effect while an
-endpoint is not used, so that the endpoint gets requests again and can recover.
+Each endpoint has a failure rate over all plans and one for each quota plan, each from 0 to 1. The rates per
+plan are kept because an endpoint may reject the requests of one plan only. An endpoint also has a latency
+ratio: its service times relative to the mean service times of all endpoints. All of these are moving averages
+over attempts. `decay_factor` reduces their effect while an endpoint is not used, so that the endpoint gets
+requests again and can recover.
 
 Attempts are counted as follows:
 
-- A response counts as a success, in the rate over all plans and in the rate of its plan, and as a latency
-  sample.
+- A successful response counts as a success, in the rate over all plans and in the rate of its plan, and as a
+  latency sample. A sample is at most `OVERDUE_MULTIPLE`.
 - A rejection counts as a failure, only in the rate of its plan.
 - Any other failure counts as a failure, only in the rate over all plans. Failures that the client or this
   gateway caused are not counted: a cancelled or unsent attempt, or a timeout after less than
   `OVERDUE_MULTIPLE` mean service times, which happens if the request arrived with little time left.
 - An attempt that has been in flight for `OVERDUE_MULTIPLE` mean service times is overdue. It is counted at
-  that moment, long before any timeout: as a latency sample of that size, and in the rate over all plans. In
-  that rate it counts as a failure, or as a success if the endpoint has responded to another attempt since
-  this one was sent: such an endpoint is slow, but it does respond.
+  that moment, long before any timeout: as a latency sample of `OVERDUE_MULTIPLE`, and in the rate over all
+  plans. In that rate it counts as a success if the endpoint has completed another attempt successfully since
+  this one was sent, because such an endpoint is slow but does respond. Otherwise it counts as a failure.
 
-An overdue attempt is counted again when it ends. If it was counted as a failure and then times out, it counts
-as two failures.
+An overdue attempt is counted again when it ends. So an attempt that is counted as a failure when it becomes
+overdue, and then times out, adds two failures to the rate.
 
-Attempts that were in flight while the gateway itself stalled (`timers.py`) are not counted. Their responses
-were read late, and counting them would make outliers of all endpoints at once.
+Attempts that were in flight while the gateway's own process stalled (`timers.py`) are not counted. Their
+responses were read late, and counting them would make outliers of all endpoints at once.
 """
 
 from __future__ import annotations
@@ -39,17 +41,20 @@
 FAILURE_SAMPLE_WEIGHT = 0.25  # large, so that failures take effect after a few attempts
 LATENCY_SAMPLE_WEIGHT = 0.1
 OVERDUE_MULTIPLE = 4.0  # of the mean service time
-DECAY_PER_S = 0.1  # the share that failure rates and excess latency lose per second without use
+DECAY_PER_S = 0.1  # the share of their weight that the statistics of an unused endpoint lose per second
 
 
 def decay_factor(unused_us: int) -> float:
-    """Return the factor for an endpoint's failure rates and excess latency after `unused_us` without use."""
+    """Return the weight of an endpoint's statistics after `unused_us` without use, from 0 to 1.
+
+    The load balancer multiplies the failure rates, and the deviation of the latency ratio from 1, by it.
+    """
     factor: float = (1.0 - DECAY_PER_S) ** (unused_us / SECOND_US)
     return factor
 
 
 def overdue_after_us(mean_service_time_us: float) -> int:
-    """Return how many microseconds after it was sent an attempt becomes overdue."""
+    """Return the time after which an attempt in flight is overdue, in microseconds."""
     return int(OVERDUE_MULTIPLE * mean_service_time_us)
 
 
@@ -99,10 +104,12 @@
 
 
 def _add_failure_sample(endpoint: EndpointRecord, plan: QuotaPlan | None, sample: float) -> None:
+    """Add a failure (1.0) or a success (0.0) to the rate of a plan; None is the rate over all plans."""
     rate = endpoint.failure_rates.get(plan, 0.0)
     endpoint.failure_rates[plan] = rate + FAILURE_SAMPLE_WEIGHT * (sample - rate)
 
 
 def _add_latency_sample(endpoint: EndpointRecord, ratio: float) -> None:
+    """Add a service time, relative to the mean service time, to the latency ratio of an endpoint."""
     sample = min(ratio, OVERDUE_MULTIPLE)
     endpoint.latency_ratio += LATENCY_SAMPLE_WEIGHT * (sample - endpoint.latency_ratio)
--- a/yardlane/decisions/settings.py
+++ b/yardlane/decisions/settings.py
@@ -1,7 +1,8 @@
 """The settings of a gateway, which do not change while it runs.
 
-Field names end in their unit: `_us` for whole microseconds, `_per_s` for a rate, `_share` for a fraction. The
-settings text has other names for the fields; only `yardlane.settings_reader` knows them.
+Some field names end in a unit or a kind of value: `_us` for whole microseconds, `_per_s` for a rate per
+second, `_share` for a fraction. The settings text has other names for the fields; only
+`yardlane.settings_reader` maps one to the other.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a class may take effect more than once."""
+    """Whether a request of a class may be sent again after it may have run."""
 
     IDEMPOTENT = "idempotent"
     KEYED = "keyed"
-    """Requests have an idempotency key. Backends of one `DeduplicationScope` drop a duplicate of the key."""
+    """Requests have an idempotency key, and the endpoints of one `DeduplicationScope` drop duplicates."""
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class DeduplicationScope(Enum):
-    """Which backends share their record of idempotency keys."""
+    """Which endpoints share one store of idempotency keys: all, those of a zone, or those of a cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,8 +34,8 @@
 class RequestClass:
     """A class of requests: its latency objective, and whether its requests may be sent again.
 
-    `priority_weight` is the value of one timely response, relative to the other classes. A further attempt of
-    a `KEYED` request must be sent within `idempotency_window_us` of the first attempt that may have run.
+    `priority_weight` is the value of one timely response, relative to the other classes. A retry of a `KEYED`
+    request must be sent within `idempotency_window_us` of the first attempt that may have run.
     """
 
     latency_objective_us: int
@@ -49,9 +50,9 @@
 class QuotaPlan:
     """The limits on what each tenant of a plan may use over all gateways together; 0 means no such limit.
 
-    The quota is a token bucket (`rate_per_s`, `burst` units) or a limit on attempts in flight. Use beyond the
-    quota is allowed, but worth less. The hard rate is a second token bucket, which must never be overdrawn by
-    more than `hard_rate_slack` units.
+    The quota is a token bucket (`rate_per_s`, `burst` units) or a limit on attempts in flight. Requests
+    beyond the quota are allowed, but a response to them is worth less. The hard rate is a second token
+    bucket, which must never be overdrawn by more than `hard_rate_slack` units.
     """
 
     rate_per_s: float
@@ -75,21 +76,22 @@
     tick_us: int
     """The longest time by which a timer of the gateway may fire late."""
     answer_grace_us: int
-    """How long after its deadline a request may still get its final answer; the decisions do not use it."""
+    """How long after its deadline a request may still get its final answer. The decisions do not use it."""
     drain_grace_us: int
     """How long a gateway may still send to an endpoint after being notified that the endpoint drains."""
     initial_capacity_share: float
-    """The share of its capacity that an endpoint has when it starts."""
+    """The share of its full capacity that an endpoint has when it starts."""
     warm_up_us: int
     overload_multiple: float
     """The multiple of its capacity above which an endpoint fails while it is warming up.
 
-    The work that it is sent within `overload_window_us` is compared with what it can do in that time.
+    The work that is sent to it within `overload_window_us` is compared with the work that it can do in that
+    time.
     """
     overload_window_us: int
     max_attempts: int
     may_hedge: bool
-    """Whether two attempts of one request may be in flight at once."""
+    """Whether several attempts of one request may be in flight at once."""
     may_cancel: bool
     may_send_retry_after: bool
     max_retry_after_us: int
@@ -97,7 +99,7 @@
     has_shared_counter: bool
     counter_timeout_us: int
     cross_zone_cost: float
-    """The cost of an attempt in another zone; the decisions use only whether it is 0."""
+    """The cost of an attempt in another zone. The decisions use only whether it is 0."""
 
     def __post_init__(self) -> None:
         _require(self.gateway_count >= 1, "gateway_count", self.gateway_count, "at least 1")
@@ -131,7 +133,7 @@
                 _require(value >= 0, f"quota_plans[{n}].{field}", value, "at least 0")
 
     def require_known(self, request_class: int, quota_plan: int) -> None:
-        """Raise SettingsError if these settings do not have the class or plan of a request."""
+        """Raise SettingsError if these settings do not contain the class or the plan of a request."""
         _require(
             0 <= request_class < len(self.request_classes),
             "request_class",
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -4,16 +4,18 @@
 linearly to the full capacity over `warm_up_us`. While it warms up, it fails if all gateways together send it,
 within `overload_window_us`, more than `overload_multiple` times the work that it can do in that time. This
 limit is its budget. A warm endpoint is assumed to have one core, so its capacity is 1 us of service time per
-us. Work is service time in microseconds: each request counts as the mean service time that this gateway
-measures, but never as less than `min_request_work_us`.
+us. Work is service time in microseconds. Each request counts as the mean service time that this gateway has
+measured over all classes, but never as less than `min_request_work_us`.
 
-The gateways do not tell each other what they send. So the budget is divided evenly among the gateways whose
-`subset_rank` for the endpoint is below `gateways_per_endpoint`, whatever endpoint list each of them holds:
+The gateways do not tell each other what they send. So `USABLE_BUDGET_SHARE` of the budget is divided evenly
+among the gateways whose `subset_rank` for the endpoint is below `gateways_per_endpoint` (`endpoints.py`). The
+rank does not depend on the endpoint list, so two gateways never share a rank, even if their lists differ.
 
-- If a gateway's share is at least one request, the gateway sends a request whenever its work of the last
+- If a gateway's share is at least one request, the gateway may send a request whenever its work of the last
   window plus that request fits into its share.
 - If the share is less than one request, the gateways have time slots, one after the other in the order of
-  their subset rank, and each gateway sends one request in its own time slot.
+  their subset rank. Each gateway may send at most one request for each of its own time slots, and only until
+  `TIME_SLOT_OPEN_SHARE` of a window after the time slot's start.
 
 A gateway that restarts does not know what it sent before. So in its first window, for endpoints that were
 already up when it started, it uses only `RESTART_BUDGET_SHARE` of its share, and no time slot that began
@@ -33,17 +35,21 @@
 from yardlane.decisions.service_time import INITIAL_SERVICE_TIME_SHARE
 from yardlane.decisions.settings import Settings
 
-USABLE_BUDGET_SHARE = 0.6  # of the budget; the rest is a margin, as the work of requests varies
-# Of a gateway's share. If all gateways restart within one window, together they send
-# USABLE_BUDGET_SHARE * (1 + RESTART_BUDGET_SHARE) = 0.9 of the budget.
+# Share of the budget that is divided among the gateways. The rest is a margin, because the work of requests
+# varies.
+USABLE_BUDGET_SHARE = 0.6
+# Share of its own part that a gateway uses after a restart. If all gateways restart within one window, they
+# send at most USABLE_BUDGET_SHARE * (1 + RESTART_BUDGET_SHARE) = 0.9 of the budget together.
 RESTART_BUDGET_SHARE = 0.5
-TIME_SLOT_OPEN_SHARE = 0.5  # of the window: how long after its start a time slot may be used
+# How long a time slot may be used after its start, as a share of `overload_window_us`.
+TIME_SLOT_OPEN_SHARE = 0.5
 
 
 class SlowStart:
     """Decides what one gateway may send to the endpoints that are warming up.
 
-    `gateway_started_at_us` is the time of the gateway's first turn.
+    `gateway_started_at_us` is the time of the gateway's first turn. `min_request_work_us` is the mean service
+    time that a gateway assumes before it has measured any (`service_time.py`).
     """
 
     def __init__(self, settings: Settings, endpoints: EndpointList) -> None:
@@ -52,15 +58,15 @@
         self.gateway_started_at_us = 0
         longest_objective_us = max(c.latency_objective_us for c in settings.request_classes)
         self.min_request_work_us = longest_objective_us * INITIAL_SERVICE_TIME_SHARE
-        # The work that time slots admit per microsecond, at full capacity. A request that is sent in a window
-        # may belong to a time slot that started in that window, or up to TIME_SLOT_OPEN_SHARE of a window
-        # before it. The division leaves room for these earlier time slots.
+        # The work per microsecond that the time slots of all gateways allow at full capacity. A request that
+        # is sent in a window may belong to a time slot that started in that window, or up to
+        # TIME_SLOT_OPEN_SHARE of a window before it. The division leaves room for these earlier time slots.
         self._time_slot_work_rate = (
             USABLE_BUDGET_SHARE * settings.overload_multiple / (1.0 + TIME_SLOT_OPEN_SHARE)
         )
 
     def warm_up_factor(self, endpoint: EndpointRecord, now_us: int) -> float:
-        """Return the share of its full capacity that an endpoint has at least by now; 1.0 if it is warm."""
+        """Return the share of its full capacity that an endpoint has at `now_us`; 1.0 if it is warm."""
         settings = self.settings
         warm_up_progress = max(0, now_us - endpoint.entry.started_at_us) / max(1, settings.warm_up_us)
         initial_share = settings.initial_capacity_share
@@ -73,7 +79,11 @@
         overall_mean_service_time_us: float,
         now_us: int,
     ) -> bool:
-        """Return whether one more request fits into this gateway's share of a warming endpoint's budget."""
+        """Return whether this gateway may send one more request to a warming endpoint now.
+
+        The request must fit into this gateway's share of the budget. If the share is less than one request, a
+        time slot of this gateway must be open and unused instead.
+        """
         settings = self.settings
         gateways_per_endpoint = self.endpoints.gateways_per_endpoint
         if endpoint.subset_rank >= gateways_per_endpoint:
@@ -101,7 +111,7 @@
     ) -> bool:
         """Return whether a time slot of this gateway is open and has certainly not been used.
 
-        It may have been used by this process, or by an earlier process of the same gateway.
+        It must have been used neither by this process nor by an earlier process of the same gateway.
         """
         window_us = self.settings.overload_window_us
         rounded_work_us = self._rounded_work_us(work_us)
@@ -113,18 +123,19 @@
             return False
         if may_have_restarted and now_us - since_time_slot_start_us < self.gateway_started_at_us:
             return False
-        # Time slots get shorter as the endpoint warms up, and shift when the mean service time changes. The
-        # computed start of a time slot that this gateway has used may thus move to a time after that use, and
-        # the time slot would be used twice. So the gateway also waits for half a round after each use. A
-        # round is one time slot for each gateway that shares the budget.
+        # Time slots get shorter as the endpoint warms up, and they shift when the mean service time changes.
+        # The computed start of a time slot that this gateway has used may then move to a time after that use,
+        # and the gateway would use the time slot a second time. So it also waits for half a round after each
+        # use. A round consists of one time slot for each gateway that shares the budget.
         half_round_us = self.endpoints.gateways_per_endpoint * time_slot_us / 2
         return endpoint.last_sent_at_us < now_us - max(since_time_slot_start_us, half_round_us)
 
     def _rounded_work_us(self, work_us: float) -> float:
         """Return the work of a request, rounded to `min_request_work_us` times a power of two.
 
-        All gateways that share an endpoint's budget have to number its time slots in the same way. The
-        rounding gives the same work to gateways whose mean service times are nearly equal.
+        The time slots of an endpoint have to be the same for all gateways that share its budget, and their
+        length depends on this work. Because of the rounding, gateways whose mean service times are nearly
+        equal usually compute the same work.
         """
         min_work_us = self.min_request_work_us
         rounded_us: float = min_work_us * 2.0 ** round(math.log2(work_us / min_work_us))
@@ -133,9 +144,12 @@
     def _time_slots_since_last_own(
         self, endpoint: EndpointRecord, warm_up_factor: float, rounded_work_us: float, now_us: int
     ) -> float:
-        """Return the number of time slots, with fraction, since this gateway's last time slot started.
+        """Return how many time slots, with fraction, have passed since this gateway's last one started.
 
-        Time slots are counted from the endpoint's start, with the mean of its warm-up factor since then.
+        The time slots of all gateways are counted from the endpoint's start. Their rate is proportional to
+        the warm-up factor, which grows linearly, so its mean since then gives their number. If the first time
+        slot of this gateway has not started yet, the last one is the one that it would have had before the
+        endpoint's start.
         """
         mean_factor = (self.settings.initial_capacity_share + warm_up_factor) / 2
         age_us = max(0, now_us - endpoint.entry.started_at_us)
@@ -144,6 +158,9 @@
         return started_since + time_slots % 1.0
 
     def record_sent(self, endpoint: EndpointRecord, overall_mean_service_time_us: float, now_us: int) -> None:
-        """Count the work of a request that is sent to a warming endpoint. A warm endpoint has no budget."""
+        """Count the work of a request that is sent to an endpoint.
+
+        Do nothing for a warm endpoint, which has no budget.
+        """
         if self.warm_up_factor(endpoint, now_us) < 1.0:
             endpoint.sent_work.add(int(max(overall_mean_service_time_us, self.min_request_work_us)), now_us)
--- a/yardlane/decisions/timers.py
+++ b/yardlane/decisions/timers.py
@@ -1,8 +1,8 @@
 """The timers of one gateway: callbacks that are scheduled for later, and the detection of stalls.
 
-The caller keeps a single timer for each gateway, which `SetTimer` sets. `Timers` holds the callbacks that the
-decisions schedule, and computes the delay until the earliest one is due. Callbacks with equal times run in
-the order in which they were scheduled. Times are microseconds of the gateway's own clock.
+`Timers` holds the callbacks that the decisions schedule, and computes the delay until the earliest one is
+due. The gateway asks its caller, with a `SetTimer`, for a turn after that delay. Callbacks with equal times
+run in the order in which they were scheduled. Times are microseconds of the gateway's own clock.
 
 A turn that starts more than `STALL_THRESHOLD_US` after the timer was due is the end of a stall, in which the
 process was stopped or got no CPU time. Responses that arrived during the stall are read late, so every
@@ -44,7 +44,7 @@
         heapq.heappush(self._queue, (at_us, self._sequence_number, callback, arguments))
 
     def detect_stall(self, now_us: int) -> None:
-        """Record the end of a stall if this turn starts too late. Must be called first in each turn."""
+        """Record the end of a stall if this turn starts too late. Call it first in each turn."""
         if self._queue and now_us > self._timer_due_at_us + STALL_THRESHOLD_US:
             self.stall_ended_at_us = now_us
 
@@ -55,9 +55,9 @@
             callback(*arguments)
 
     def next_delay_us(self, now_us: int) -> int | None:
-        """Return the delay to which the caller must set its timer.
+        """Return the delay after which the caller must start a turn, to be passed on in a `SetTimer`.
 
-        Return None if no callback is scheduled, or if the timer will fire early enough as it is set now.
+        Return None if no callback is scheduled, or if the timer that was set last fires early enough.
         """
         if not self._queue:
             return None
--- a/yardlane/decisions/work_window.py
+++ b/yardlane/decisions/work_window.py
@@ -1,9 +1,10 @@
-"""The work that was sent to an endpoint within the last `window_us`.
+"""The work that one gateway sent to an endpoint within the last `window_us`.
 
 Work is service time in microseconds. Each request counts as the mean service time that the gateway expected
 when it sent the request (`SlowStart.record_sent`), not as the time that the request took. The work is summed
-in buckets of a hundredth of the window, which limits the number of entries. A bucket is removed as a whole,
-once its end is older than the window, so the sum is never too low.
+in buckets of a hundredth of the window, which limits the number of entries. A bucket is removed as a whole
+once all of it is older than the window. So the sum may include work that is up to one bucket older than the
+window, and it is never too low.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
     def __init__(self, window_us: int) -> None:
         self._window_us = window_us
         self._bucket_us = max(1, window_us // BUCKETS_PER_WINDOW)
-        self._buckets: deque[tuple[int, int]] = deque()  # (end of the bucket, work in it)
+        self._buckets: deque[tuple[int, int]] = deque()  # (end time, work)
         self._sum_us = 0
 
     def is_empty(self) -> bool:
-        """Return whether no work is left: none was added, or `sum_us` has removed all of it as expired."""
+        """Return whether the window holds no work. Expired work counts until `sum_us` has removed it."""
         return not self._buckets
 
     def add(self, work_us: int, now_us: int) -> None:
@@ -38,7 +39,7 @@
         self._sum_us += work_us
 
     def sum_us(self, now_us: int) -> int:
-        """Return the work that was sent within the window before `now_us`; remove expired buckets."""
+        """Remove the expired buckets, and return the work that was sent within the window before `now_us`."""
         while self._buckets and self._buckets[0][0] <= now_us - self._window_us:
             _, expired_us = self._buckets.popleft()
             self._sum_us -= expired_us
