--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -66,7 +66,7 @@
     [other] = {make_endpoint_id(0), make_endpoint_id(1)} - {attempt.endpoint_id}
     driver.now_us += 100 * MS
     request_id, actions = driver.send_request(quota_plan=UNLIMITED)
-    assert [one.endpoint_id for one in of_type(StartAttempt, actions)] == [other]
+    assert [action.endpoint_id for action in of_type(StartAttempt, actions)] == [other]
     driver.end_attempt(request_id, other, elapsed_us=INITIAL_SERVICE_TIME_US)
     driver.advance(2 * SECOND)
     assert set(serve_and_count_by_endpoint(driver, 40)) == {attempt.endpoint_id, other}
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -224,7 +224,9 @@
                     for endpoint_id in self.endpoints
                     if endpoint_id not in self.warming_ids and self.random.random() < 0.6
                 ]
-                self._notify(process, tuple(self._entry(one, EndpointState.REMOVED) for one in missing))
+                self._notify(
+                    process, tuple(self._entry(missing_id, EndpointState.REMOVED) for missing_id in missing)
+                )
 
     def _schedule_warming_endpoints(self) -> None:
         for endpoint_id in self.warming_ids:
