--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list, and the subset of the endpoints that each gateway uses."""
+"""Tests of the endpoint list, and of the subset of the endpoints that each gateway uses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def make_endpoints(count: int = ENDPOINT_COUNT, first: int = 0) -> tuple[Endpoint, ...]:
-    """Return warm endpoints whose ids differ as much as real ones do."""
+    """Return warm endpoints whose ids are spread over the whole range, like those of real endpoints."""
     return tuple(
         make_endpoint(0, endpoint_id=b"s-%08x" % (number * ID_MULTIPLIER % 2**32))
         for number in range(first, first + count)
@@ -51,7 +51,8 @@
 def test_subsets_of_many_gateways_cover_all_endpoints_evenly() -> None:
     """If each of 40 gateways used all 60 endpoints, every second request would open a new connection.
 
-    So each gateway uses a subset, and the subsets of all gateways together cover the endpoints evenly.
+    So each gateway uses a subset. Every endpoint must be in some subset, and none in more than twice as many
+    as the mean.
     """
     gateway_counts: Counter[bytes] = Counter()
     for endpoints in make_endpoint_lists(make_endpoints()):
@@ -91,10 +92,10 @@
 
 
 def test_endpoint_removed_and_listed_again_keeps_its_record() -> None:
-    """An endpoint list may omit a warming endpoint for a moment and then contain it again.
+    """The endpoint list may omit a warming endpoint for a moment and then contain it again.
 
-    With a new record, the endpoint would get its whole budget a second time. So its record is kept for a
-    window and used again if the start time is the same.
+    With a new record, the endpoint would be sent its whole slow-start budget a second time. So its record is
+    kept for `overload_window_us`, and used again if the start time is the same.
     """
     [endpoints] = make_endpoint_lists((), gateway_count=1)
     warming = make_endpoint(0, started_at_us=500 * SECOND)
@@ -118,12 +119,12 @@
 
 
 def attempted_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
-    """Return the ids of the endpoints that the attempts in the log went to."""
+    """Return the ids of the endpoints that the attempts in the action log were sent to."""
     return {action.endpoint_id for _, action in driver.action_log if isinstance(action, StartAttempt)}
 
 
 def serve_and_collect_endpoint_ids(driver: GatewayDriver) -> set[bytes]:
-    """Send sixty requests, answer each at once, and return the ids of the endpoints that they went to."""
+    """Serve sixty requests one after another, and return the ids of the endpoints that they were sent to."""
     endpoint_ids = set()
     for _ in range(60):
         request_id, actions = driver.send_request(quota_plan=UNLIMITED)
--- a/tests/decisions/test_load_balancing.py
+++ b/tests/decisions/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to."""
+"""Tests of the load balancer: which endpoint an attempt is sent to."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,4 +1,4 @@
-"""Which attempts raise the failure rates or the latency ratio of an endpoint, and which do not."""
+"""Tests of the outlier detection: which attempts count as failures or as slow, and what follows from it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def count_attempts(driver: GatewayDriver, endpoint_id: bytes) -> int:
-    """Return the number of attempts in the log that went to this endpoint."""
+    """Return the number of attempts in the action log that were sent to this endpoint."""
     return sum(
         isinstance(action, StartAttempt) and action.endpoint_id == endpoint_id
         for _, action in driver.action_log
@@ -36,7 +36,7 @@
     """One of four endpoints accepts requests and never responds.
 
     If only timeouts counted, it would get a quarter of all requests until the first attempt there times out.
-    Overdue attempts count as failures long before that.
+    So an attempt counts as a failure as soon as it is overdue, long before it times out.
     """
     driver = GatewayDriver(endpoints=4)
     unresponsive_id = make_endpoint_id(1)
@@ -54,8 +54,8 @@
 def test_endpoint_that_fails_fast_gets_few_attempts() -> None:
     """An endpoint that refuses all connections never has any attempt in flight.
 
-    While the other endpoints are busy, it looks like the fastest one and would get most of the requests. Its
-    failure rates add a part of the latency objective to its cost, so that it gets only a few attempts.
+    While the other endpoints are busy, the expected time is lowest there, and it would get most of the
+    requests. So its failure rates add a part of the latency objective to its cost.
     """
     driver = GatewayDriver(endpoints=4)
     failing_id = make_endpoint_id(2)
@@ -105,10 +105,10 @@
 
 
 def test_attempts_in_flight_during_a_gateway_stall_are_not_counted() -> None:
-    """A gateway whose process was stopped for two seconds then finds that its attempts have timed out.
+    """If the process of a gateway is stopped for two seconds, its attempts seem to have timed out afterwards.
 
-    Responses that arrived in the meantime look just as late. If these attempts were counted, the gateway
-    would avoid healthy endpoints.
+    Responses that arrived in the meantime seem to be late as well. If these attempts were counted, the
+    gateway would avoid healthy endpoints.
     """
     driver = GatewayDriver(endpoints=3, gateway_count=100)
     started = [
@@ -130,10 +130,10 @@
 
 
 def test_rejections_count_only_for_the_rejected_plan() -> None:
-    """An endpoint that is full for one plan rejects the requests of that plan.
+    """An endpoint may reject the requests of one plan and serve those of the others.
 
-    If the rejections counted for all plans, the requests of all plans would avoid the endpoint, and the
-    remaining endpoints would be overloaded.
+    If the rejections counted for all plans, the requests of all plans would be sent to other endpoints, which
+    would be overloaded.
     """
     driver = GatewayDriver(endpoints=1)
     for _ in range(5):
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -2,11 +2,11 @@
 
 Each random run passes a valid sequence of events to a gateway and checks every action:
 
-- Each request ends, and gets at most one final answer from the gateway, which is in time. No attempt is sent
-  for the request afterwards.
-- A non-idempotent request is sent again only if no earlier attempt may have run.
+- Each request ends. The gateway gives it at most one final answer, at most `answer_grace_us` after its
+  deadline, and sends no attempt for it after its end.
+- A non-idempotent request is sent again only if it is certain that no earlier attempt has run.
 - If a request with an idempotency key may have run, it is sent again only within its idempotency window and
-  only to the zone of the first attempt that may have run. Its deduplication scope is the zone.
+  only to the zone of the first attempt that may have run, because its deduplication scope is the zone.
 - A request that may have run is rejected only if it is idempotent.
 - Attempts are sent only to endpoints that are ready.
 - No hedged request is sent if the settings do not allow hedging.
@@ -45,7 +45,7 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt that the gateway started, as far as the test has observed it."""
+    """What the test knows about an attempt that the gateway has started."""
 
     sent_at_us: int
     endpoint_id: bytes
@@ -55,7 +55,7 @@
 
 @dataclass
 class RequestHistory:
-    """A request and its attempts, as far as the test has observed them."""
+    """What the test knows about a request and its attempts."""
 
     request_class: int
     plan: int
@@ -131,7 +131,7 @@
 
 
 class RandomRun:
-    """Passes random events to a gateway, each of which is valid in the gateway's current state."""
+    """Passes random events to a gateway. Each event is valid in the gateway's current state."""
 
     def __init__(self, seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
         self.random = Random(seed)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retries, hedged requests and final answers; each request gets at most one final answer."""
+"""Tests of retries, hedged requests and final answers."""
 
 from __future__ import annotations
 
@@ -80,10 +80,10 @@
 def test_retry_of_keyed_request_must_be_sent_within_idempotency_window(
     request_class: int, outcome: Outcome, is_bounded: bool
 ) -> None:
-    """A retry is decided within the idempotency window, but its connection is established late.
+    """A retry may be decided within the idempotency window, and its connection be established after it.
 
-    If it were written after the window, the endpoint would have forgotten the key, and the request would take
-    effect twice. The attempt must therefore carry the time that is left.
+    The endpoint would then have forgotten the key, and the request would take effect twice. So the attempt
+    carries the time within which it must be written.
     """
     driver = GatewayDriver()
     window_us = driver.settings.request_classes[KEYED].idempotency_window_us
@@ -120,7 +120,7 @@
 
 
 def test_exhausted_retry_budget_prevents_retry() -> None:
-    """When all endpoints fail, retries without a budget multiply the load and prolong the overload."""
+    """If all endpoints fail, retries without a budget would multiply the load and prolong the overload."""
     driver = GatewayDriver()
     driver.gateway.retries.budget = 0.5
     request_id, endpoint_id = send_forwarded_request(driver, IDEMPOTENT)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the requests of all gateways together do not overload an endpoint that is warming up."""
+"""Tests of slow start: all gateways together do not overload an endpoint that is warming up."""
 
 from __future__ import annotations
 
@@ -57,11 +57,11 @@
     """The load on the warming endpoints, over all seeds."""
 
     max_load_ratio: float
-    """The largest work of any window, relative to the allowed work."""
+    """The most work that an endpoint was sent within one window, relative to the allowed work."""
     overloaded_share: float
-    """The share of endpoints that were sent more work than allowed in any window."""
+    """The share of endpoints that were sent more than the allowed work within some window."""
     used_budget_share: float
-    """The mean share of its budget that an endpoint was sent."""
+    """The work that an endpoint was sent during its warm-up, as a share of its budget; the mean over all."""
 
 
 def simulate(scenario: Scenario, seeds: range) -> SimulationResult:
@@ -79,9 +79,9 @@
     )
 
 
-# The other scenarios are only run by hand (see the end of this file). With two or three gateways, and where
-# the estimate for large requests is far too low, a budget is only one or two requests. A single request of
-# more than four times the mean work then exceeds it.
+# The other scenarios are only run by hand (see the end of this file). In those with two or three gateways, or
+# with an estimate for large requests that is far too low, a budget is only one or two requests. A single
+# request of more than four times the mean work then exceeds it.
 @pytest.mark.parametrize(
     "title",
     [
@@ -120,7 +120,7 @@
     ("gateway_count", "work_us"), [(1, 1 * MS), (3, 150 * MS), (20, 15 * MS), (60, 150 * MS)]
 )
 def test_admitted_requests_stay_within_the_budget(gateway_count: int, work_us: int, restart: bool) -> None:
-    """Each gateway sends whenever it is admitted.
+    """Each gateway sends as many requests as its `SlowStart` admits.
 
     If all gateways restart once, they may send `RESTART_BUDGET_SHARE` of the usable budget in addition.
     """
@@ -146,7 +146,7 @@
                 sent.append(now_us)
                 while sent[0] <= now_us - settings.overload_window_us:
                     sent.popleft()
-                # One more request may come from the time slot that is open.
+                # The time slot that is open now may add one request.
                 assert len(sent) <= budget * (1.0 + RESTART_BUDGET_SHARE * restart) + 1
 
 
@@ -167,7 +167,7 @@
 
 
 def attempt_times_of_250_gateways(settings: Settings, new: Endpoint, started_at_us: int) -> list[int]:
-    """Return the times at which 250 gateways send attempts to a new endpoint, which is one of sixty.
+    """Return the times at which 250 gateways send attempts to a new endpoint, one of sixty endpoints.
 
     Each gateway gets five requests a second for 20 s.
     """
@@ -185,10 +185,9 @@
 
 
 def test_250_gateways_use_a_warming_endpoint_without_overloading_it() -> None:
-    """If the budget is divided among 250 gateways, each share is less than one request.
+    """If the budget of an endpoint is divided among many gateways, each share is less than one request.
 
-    Without time slots, no gateway would send to the endpoint before it is warm. With them, one of the
-    gateways sends a request in each time slot.
+    Without time slots, no gateway would send to the endpoint before it is warm.
     """
     settings = make_settings(gateway_count=250)
     started_at_us = 77 * SECOND
@@ -209,7 +208,7 @@
         )
 
 
-if __name__ == "__main__":  # by hand: number of seeds, and optionally a part of a title
+if __name__ == "__main__":  # run by hand; arguments: the number of seeds and, optionally, a part of a title
     for title, scenario in SCENARIOS.items():
         if len(sys.argv) < 3 or sys.argv[2] in title:
             result = simulate(scenario, range(int(sys.argv[1])))
--- a/tests/decisions/test_work_window.py
+++ b/tests/decisions/test_work_window.py
@@ -1,4 +1,4 @@
-"""The sum of work over a sliding time window."""
+"""Tests of the sum of work over a sliding time window."""
 
 from yardlane.decisions.work_window import WorkWindow
 
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -1,8 +1,8 @@
-"""A simulation of gateways, endpoints and clients, to see what endpoints are sent while they warm up.
+"""A simulation of gateways, endpoints and clients that measures the load on endpoints that are warming up.
 
-The simulation runs real `Gateway` objects on a simulated clock. Each gateway learns of a change after its own
-delay. The endpoints have many cores and no queue, so that the load is bounded by the budgets of slow start,
-and not by the limit on attempts in flight.
+The simulation runs real `Gateway` objects on a simulated clock. Each gateway is notified of a change after a
+delay of its own. The endpoints have many cores and no queue, so that the load is limited by the budgets of
+slow start, and not by the limit on attempts in flight.
 """
 
 from __future__ import annotations
@@ -34,11 +34,12 @@
 BEGIN_US = 100 * SECOND
 JOIN_US = BEGIN_US + 3 * SECOND  # the warming endpoints start within a second after this time
 DRAIN_US = JOIN_US + SECOND * 3 // 2
-FAILURE_DURATION_US = 2 * MS  # a rejection or a failed connection
-HANG_DURATION_US = 2 * SECOND
-NOTIFICATION_DELAY_US = (20 * MS, 800 * MS)  # the range of the delay with which a gateway learns of a change
-INITIAL_SERVICE_TIME_SHARE = 1 / 6  # of the latency objective: a gateway's estimate before any response
-BURST_PERIOD_S = (7, 9)  # since the beginning; the load is doubled in this period
+FAILURE_DURATION_US = 2 * MS  # of an attempt that is rejected or fails immediately
+HANG_DURATION_US = 2 * SECOND  # of an attempt that gets no response and times out
+NOTIFICATION_DELAY_US = (20 * MS, 800 * MS)  # range of the delay until a gateway is notified
+# A gateway's estimate of the service time before any response, as a share of the latency objective.
+INITIAL_SERVICE_TIME_SHARE = 1 / 6
+BURST_PERIOD_S = (7, 9)  # seconds after BEGIN_US between which the load is doubled
 
 
 @dataclass
@@ -48,13 +49,13 @@
     gateway_count: int = 30
     warm_count: int = 8
     warming_count: int = 2
-    warm_endpoints_stay: bool = False  # else they drain, and all requests go to the warming endpoints
-    warming_endpoints_crashed: bool = False  # they were warm, crash and start again; else they are new
-    restart_share: float = 0.0  # the share of gateways that restart, in each of two rounds
-    partial_list_share: float = 0.0  # of the gateways; their lists lack about 60 % of the warm endpoints
+    warm_endpoints_stay: bool = False  # if not, they drain, and the warming ones get all requests
+    warming_endpoints_crashed: bool = False  # warm endpoints that crash and start again; if not, new ones
+    restart_share: float = 0.0  # the share of gateways that restart, at each of two times
+    partial_list_share: float = 0.0  # of gateways; their lists lack about 60 % of the warm endpoints
     lists_flap: bool = False  # lists omit the warming endpoints for a moment, several times
     work_factor: float = 1.0  # the mean work of a request, relative to the initial estimate
-    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # mean work per class, relative to all
+    class_factors: tuple[float, float, float] = (1.0, 1.0, 1.0)  # mean work of each class, relative to all
     offered_load: float = 4.0  # offered work per warming endpoint, in cores of a warm endpoint
     hang_share: float = 0.05  # the share of attempts that get no response and time out
     latency_objective_us: int = 900 * MS
@@ -70,7 +71,7 @@
 
 
 class SimulatedClock:
-    """A clock that makes scheduled calls in the order of their times, and then of their scheduling."""
+    """A simulated clock. It makes scheduled calls by time, and by the order of scheduling at equal times."""
 
     def __init__(self, now_us: int) -> None:
         self.now_us = now_us
@@ -109,9 +110,10 @@
     received: list[ReceivedAttempt] = field(default_factory=list)
 
     def warm_up_load(self, settings: Settings, mean_work_us: float, now_us: int) -> tuple[float, float]:
-        """Return two ratios: the largest work of a window to the allowed work, and all work to the budget.
+        """Return the most work of a window relative to the allowed work, and all work relative to the budget.
 
-        Both count only attempts that were sent while the endpoint was warming up.
+        Both count only attempts that were sent while the endpoint was warming up. The allowed work is the
+        budget of the window plus a margin: for a budget of n mean requests, 2 * sqrt(n) + 2 requests.
         """
         started_at_us = self.entry.started_at_us
         warming = [
@@ -129,7 +131,8 @@
             informed_work_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start_time)
             factor = warm_up_factor(settings, started_at_us, attempt.at_us)
             allowed = settings.overload_multiple * factor * settings.overload_window_us / mean_work_us
-            # Windows are ignored if a third of the work came from gateways that did not know of the start.
+            # A window is ignored if at least a third of its work came from gateways that did not know of the
+            # endpoint's start.
             if informed_work_us > total_us * 2 / 3:
                 max_ratio = max(max_ratio, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
         until_us = min(now_us, started_at_us + settings.warm_up_us)
@@ -141,7 +144,10 @@
 
 @dataclass
 class GatewayProcess:
-    """A gateway that may be restarted, and the endpoint list that it was last notified of."""
+    """A gateway that may be restarted, and the endpoint list as it was last notified of it.
+
+    `incarnation` counts the restarts. Events for an earlier incarnation are dropped.
+    """
 
     rank: int
     gateway: Gateway
@@ -151,7 +157,7 @@
 
 @dataclass
 class SimulatedAttempt:
-    """One attempt of a request."""
+    """One attempt of a request, as the simulation tracks it."""
 
     endpoint_id: bytes
     sent_at_us: int
@@ -217,7 +223,7 @@
         for process in self.processes:
             entries = tuple(endpoint.entry for endpoint in self.endpoints.values())
             self._notify(process, entries, UpdateKind.CACHED)
-            # A gateway with a partial list computes another number of gateways per endpoint.
+            # A gateway with a partial list computes another `gateways_per_endpoint`.
             if self.random.random() < self.scenario.partial_list_share:
                 missing = [
                     endpoint_id
@@ -343,7 +349,7 @@
         )
 
     def _serve(self, process: GatewayProcess, endpoint_id: bytes, work_us: float) -> tuple[float, Outcome]:
-        """Return the duration of an attempt in microseconds, and its outcome."""
+        """Simulate an attempt at an endpoint; return its duration in microseconds and its outcome."""
         endpoint = self.endpoints[endpoint_id]
         if endpoint.is_down:
             return float(FAILURE_DURATION_US), Outcome.NOT_CONNECTED
