--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -61,7 +61,7 @@
     overloaded_share: float
     """The share of endpoints that were sent more than the allowed work within some window."""
     used_budget_share: float
-    """The work that an endpoint was sent during its warm-up, as a share of its budget; the mean over all."""
+    """The work sent to an endpoint during its warm-up, as a share of its budget; the mean over all runs."""
 
 
 def simulate(scenario: Scenario, seeds: range) -> SimulationResult:
--- a/yardlane/decisions/decider.py
+++ b/yardlane/decisions/decider.py
@@ -24,8 +24,7 @@
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
         """Handle the events that arrived up to `now_us`, and the timers that are due by then.
 
-        Return the actions in the order in which they are to be carried out.
-
-        Raises SettingsError if a request names a class or a plan that the settings do not have.
+        Return the actions in the order in which they are to be carried out. Raises SettingsError if a
+        request names a class or a plan that the settings do not have.
         """
         ...
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -20,9 +20,10 @@
 request that it is expected to serve well within the latency objective. Without this preference it would get
 its first requests only when all other endpoints are busy.
 
-If the settings give sending to another zone a cost, the cost of each endpoint there is multiplied by
-`CROSS_ZONE_COST_FACTOR`, however high that setting is. Finally, each cost is raised by a random part of up to
-`JITTER_SHARE`. Without this jitter, gateways that see the same loads would all send to the same endpoint.
+If the setting `cross_zone_cost` is not 0, the cost of each endpoint in another zone is multiplied by
+`CROSS_ZONE_COST_FACTOR`, whatever the value of the setting. Finally, each cost is raised by a random share of
+up to `JITTER_SHARE`. Without this jitter, gateways that see the same loads would all send to the same
+endpoint.
 """
 
 from __future__ import annotations
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -12,7 +12,7 @@
 Attempts are counted as follows:
 
 - A successful response counts as a success, in the rate over all plans and in the rate of its plan, and as a
-  latency sample. A sample is at most `OVERDUE_MULTIPLE`.
+  latency sample: its service time, divided by the mean of its class, but at most `OVERDUE_MULTIPLE`.
 - A rejection counts as a failure, only in the rate of its plan.
 - Any other failure counts as a failure, only in the rate over all plans. Failures that the client or this
   gateway caused are not counted: a cancelled or unsent attempt, or a timeout after less than
@@ -26,7 +26,7 @@
 overdue, and then times out, adds two failures to the rate.
 
 Attempts that were in flight while the gateway's own process stalled (`timers.py`) are not counted. Their
-responses were read late, and counting them would make outliers of all endpoints at once.
+responses were read late, and counting them would worsen the statistics of all endpoints at once.
 """
 
 from __future__ import annotations
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -56,7 +56,7 @@
 class RetryPolicy:
     """Decides on retries and final answers, and keeps the retry budget.
 
-    `budget` is the number of retries that may be sent now, with a fraction.
+    `budget` is the number of retries that may be sent now. It may have a fraction.
     """
 
     __slots__ = ("_settings", "budget")
--- a/yardlane/decisions/slow_start.py
+++ b/yardlane/decisions/slow_start.py
@@ -1,11 +1,11 @@
 """Slow start: whether a request may go to an endpoint that is still warming up.
 
 The capacity of an endpoint that has just started is `initial_capacity_share` of its full capacity, and grows
-linearly to the full capacity over `warm_up_us`. While it warms up, it fails if all gateways together send it,
-within `overload_window_us`, more than `overload_multiple` times the work that it can do in that time. This
-limit is its budget. A warm endpoint is assumed to have one core, so its capacity is 1 us of service time per
-us. Work is service time in microseconds. Each request counts as the mean service time that this gateway has
-measured over all classes, but never as less than `min_request_work_us`.
+linearly to the full capacity over `warm_up_us`. An endpoint that is warming up fails if the work that all
+gateways together send to it within `overload_window_us` exceeds `overload_multiple` times the work that it
+can do in that time. This limit is its budget. Work is service time in microseconds. A warm endpoint is
+assumed to have one core, so its capacity is 1 us of service time per us. Each request counts as the mean
+service time that this gateway has measured over all classes, but never as less than `min_request_work_us`.
 
 The gateways do not tell each other what they send. So `USABLE_BUDGET_SHARE` of the budget is divided evenly
 among the gateways whose `subset_rank` for the endpoint is below `gateways_per_endpoint` (`endpoints.py`). The
@@ -48,8 +48,8 @@
 class SlowStart:
     """Decides what one gateway may send to the endpoints that are warming up.
 
-    `gateway_started_at_us` is the time of the gateway's first turn. `min_request_work_us` is the mean service
-    time that a gateway assumes before it has measured any (`service_time.py`).
+    `gateway_started_at_us` is the time of the gateway's first turn. `min_request_work_us` is the mean over
+    all classes that a gateway assumes before it has measured any service time (`service_time.py`).
     """
 
     def __init__(self, settings: Settings, endpoints: EndpointList) -> None:
