--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -146,7 +146,7 @@
 class GatewayProcess:
     """A gateway that may be restarted, and the endpoint list as it was last notified of it.
 
-    `incarnation` counts the restarts. Events for an earlier incarnation are dropped.
+    `incarnation` counts the restarts. Timers and ends of attempts of an earlier incarnation are dropped.
     """
 
     rank: int
--- a/yardlane/decisions/actions.py
+++ b/yardlane/decisions/actions.py
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Start or stop watching the endpoint list."""
+    """Start or stop watching the endpoint list. No rule stops it: `enabled` is always true."""
 
     enabled: bool = True
 
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -40,7 +40,7 @@
 
 FAILURE_SAMPLE_WEIGHT = 0.25  # large, so that failures take effect after a few attempts
 LATENCY_SAMPLE_WEIGHT = 0.1
-OVERDUE_MULTIPLE = 4.0  # of the mean service time
+OVERDUE_MULTIPLE = 4.0  # an attempt is overdue after this many mean service times of its class
 DECAY_PER_S = 0.1  # the share of their weight that the statistics of an unused endpoint lose per second
 
 
--- a/yardlane/decisions/service_time.py
+++ b/yardlane/decisions/service_time.py
@@ -18,7 +18,7 @@
 SAMPLE_WEIGHT = 0.1
 # Small, so that a few arrivals of one class in a row change the mean only slightly.
 ARRIVAL_SAMPLE_WEIGHT = SAMPLE_WEIGHT / 10
-MAX_SAMPLE_MULTIPLE = 5  # of the mean service time of the class
+MAX_SAMPLE_MULTIPLE = 5  # a sample counts as at most this many mean service times of its class
 
 
 class ServiceTimes:
