--- a/yardlane/decisions/request.py
+++ b/yardlane/decisions/request.py
@@ -14,11 +14,12 @@
 
 
 class Request:
-    """A request, kept until it has its final answer and has no attempt in flight.
+    """A request of a tenant, with its attempts.
 
-    `class_index` is an index into the settings' request classes, and `units` is the request's cost against a
-    rate. The client stops waiting at `deadline_at_us`. The final answer is due at `final_answer_by_us`, which
-    is earlier because timers may fire late.
+    It is kept until it has ended and has no attempt in flight. `class_index` is an index into the settings'
+    request classes, and `units` is the request's cost against the rates of its plan. The client stops waiting
+    at `deadline_at_us`. The final answer is due at `final_answer_by_us`, which is earlier because timers may
+    fire late.
     """
 
     __slots__ = (
@@ -47,9 +48,9 @@
         self.is_queued = False
 
     def first_attempt_that_may_have_run(self) -> AttemptRecord | None:
-        """Return the first attempt that may have taken effect, or None.
+        """Return the first attempt that may have taken effect; None if there is none.
 
-        The window of an idempotency key starts with this attempt.
+        `idempotency_window_us` of the request class starts with this attempt.
         """
         for attempt in self.attempts:
             if attempt.may_have_run:
@@ -59,12 +60,12 @@
     def attempt_in_flight(self, index: int) -> AttemptRecord | None:
         """Return the attempt with this index; None if there is none or if it has ended.
 
-        This way, a second end of an attempt does not free its slot again.
+        A second `AttemptEnded` event for an attempt therefore does not free the attempt's slot again.
         """
         if index < len(self.attempts) and self.attempts[index].is_in_flight:
             return self.attempts[index]
         return None
 
     def has_attempt_in_flight(self) -> bool:
-        """Return whether any attempt has not ended."""
+        """Return whether any attempt is still in flight."""
         return any(attempt.is_in_flight for attempt in self.attempts)
--- a/yardlane/decisions/tenant.py
+++ b/yardlane/decisions/tenant.py
@@ -1,8 +1,9 @@
 """A tenant of one plan at this gateway: its queue, its attempts in flight and its share of the quota.
 
-A tenant is kept from its first request until its state no longer matters. This is when it has nothing queued
-or in flight, its last request is older than a total may be (`MAX_TOTAL_AGE_US`), and its hard rate bucket is
-full. If it were evicted earlier, it would return with a new bucket, and the hard rate would be exceeded.
+A tenant is kept from its first request until it can be evicted without consequences. This is when it has
+nothing queued or in flight, its last request is more than `MAX_TOTAL_AGE_US` ago, and its hard rate bucket is
+full. If a tenant were evicted while its bucket is not full, its next request would create a new bucket that
+may hold more units, and the hard rate would be exceeded.
 
 The first request determines which gateways serve the tenant. This is not updated while the tenant is kept. If
 later requests name other gateways, the quota is divided by the old number of gateways until the tenant is
@@ -39,9 +40,9 @@
 class Tenant:
     """One tenant's requests and quota at this gateway.
 
-    `admission_credit` is the accumulated fraction of the next request that may be admitted (`admission.py`).
-    It starts at a random value from 0 to 1, because otherwise all gateways would reject requests at the same
-    time.
+    `admission_credit` accumulates the admission probabilities of requests (`admission.py`). It starts at a
+    random value from 0 to 1, because otherwise all gateways would reject requests at the same time.
+    `started_at_us` is the time at which the gateway's process started.
     """
 
     __slots__ = (
@@ -94,13 +95,16 @@
             self.hard_rate.refill(now_us)
 
     def has_free_slot(self) -> bool:
-        """Return whether the concurrency bound allows another attempt in flight."""
+        """Return whether the concurrency bound allows another attempt in flight.
+
+        A `concurrency_bound` of 0 means that there is none.
+        """
         return not self.concurrency_bound or self.in_flight < self.concurrency_bound
 
     def missing_units(self, units: float, now_us: int) -> float:
-        """Refill the buckets and return how many units the hard rate bucket lacks for a request of this cost.
+        """Refill the buckets and return how many units the hard rate bucket lacks for a request.
 
-        The result is 0 or less if it lacks none.
+        The request costs `units`. The result is 0 or less if the bucket lacks none.
         """
         if not self.plan.hard_rate_per_s:
             return 0.0
@@ -108,14 +112,17 @@
         return units - self.hard_rate.units
 
     def record_first_attempt(self, units: float, request_demand: float) -> None:
-        """Take a request's units from the token buckets; call it when its first attempt is sent."""
+        """Take a request's units from the token buckets.
+
+        Call this when the first attempt of the request is sent.
+        """
         if self.plan.hard_rate_per_s:
             self.hard_rate.take(units)
         if self.plan.rate_per_s:
             self.burst.take(units, request_demand)
 
     def update_concurrency_bound(self, fleet_demand: float, slot_us_per_demand: float) -> None:
-        """Set this gateway's part of the concurrency limit according to demand.
+        """Set this gateway's concurrency bound according to demand.
 
         Little's law converts demand to the mean number of requests in flight. `slot_us_per_demand` is the
         time in microseconds for which a demand of 1 occupies a slot.
@@ -129,9 +136,10 @@
         )
 
     def apply_total(self, total: float, period_index: int, capacity: float, now_us: int) -> None:
-        """Update the demand from a total of the shared counter.
+        """Update the demand from a total of the shared counter, which belongs to the period with this index.
 
-        The first total may also fill a part of the hard rate bucket.
+        The first total may also fill a part of the hard rate bucket. `capacity` is the demand that may be
+        admitted in one decay time.
         """
         is_first = not self.demand.has_total()
         start_us = self.periods.start_us(period_index)
@@ -140,7 +148,7 @@
             self.hard_rate.fill_on_first_total()
 
     def is_evictable(self, now_us: int) -> bool:
-        """Refill the buckets and return whether the tenant's state no longer matters."""
+        """Return whether the tenant can be evicted without consequences; refill its buckets if it is idle."""
         if now_us - self.demand.last_request_at_us <= MAX_TOTAL_AGE_US or self.in_flight or self.queue:
             return False
         self.refill(now_us)
@@ -150,8 +158,9 @@
 def evict_idle_tenants(tenants: dict[TenantId, Tenant], now_us: int) -> None:
     """Evict idle tenants, beginning with the one that has been idle longest.
 
-    `tenants` is ordered by the time of the last request. It must not be empty, and its last tenant must not
-    be idle, so that one tenant always remains.
+    At most `MAX_EVICTIONS_PER_ARRIVAL` tenants are evicted, and none after the first that cannot be evicted.
+    `tenants` is ordered by the time of the last request. Its last tenant must not be idle, so that one tenant
+    always remains.
     """
     for _ in range(MAX_EVICTIONS_PER_ARRIVAL):
         tenant_id, oldest = next(iter(tenants.items()))
