--- a/tests/decisions/quota_scenarios.py
+++ b/tests/decisions/quota_scenarios.py
@@ -11,7 +11,7 @@
 
 
 def exceed_rate(driver: GatewayDriver, seconds: int, requests_per_s: int = 40) -> int:
-    """Send requests of a tenant with a rate of 10 per second, by default at four times this rate.
+    """Send a tenant's requests for some seconds, by default at four times its rate of 10 per second.
 
     Return how many requests were forwarded in the last second.
     """
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -32,7 +32,7 @@
 
 
 class ConcurrencyLimitedFleet:
-    """Gateways that share a counter and a concurrency limit. All responses take the same time."""
+    """Gateways that share a counter and enforce one concurrency limit; all responses take the same time."""
 
     def __init__(self, gateway_count: int, concurrency_limit: int, service_us: int) -> None:
         plans = (make_quota_plan(concurrency_limit=concurrency_limit),)
@@ -98,9 +98,10 @@
 
 
 def test_demand_over_the_capacity_is_rejected_evenly() -> None:
-    """The fleet's demand is almost twice what the rate supplies in one decay time.
+    """With a demand of 39.9 units and an available capacity of about 27, two of four requests are admitted.
 
-    With rate 10 and burst 20, the decay time is two seconds, and the rate supplies 20 units in it.
+    With a rate of 10 and a burst of 20, the decay time is 2 s, in which the rate supplies 20 units. Of these,
+    0.9 count as capacity, and half of the remaining burst of about 19 units is added.
     """
     driver = GatewayDriver()
     tenant = tenant_after_request(driver, 5, RATE_LIMITED)
@@ -126,7 +127,7 @@
     plans = (make_quota_plan(rate_per_s=10.0, burst=40.0),)
     driver = GatewayDriver(gateway_count=1, quota_plans=plans)
     forwarded = sum(driver.serve_request(tenant=3, quota_plan=0, gateway_count=1) for _ in range(20))
-    assert forwarded >= 15  # a burst after a pause is forwarded: the rate alone has capacity for 15
+    assert forwarded >= 15  # of 20 requests at once, which fit into the burst
     for _ in range(200):
         driver.advance(20 * MS)
         driver.serve_request(tenant=3, quota_plan=0, gateway_count=1)
@@ -134,17 +135,17 @@
     for _ in range(500):
         driver.advance(20 * MS)
         forwarded += driver.serve_request(tenant=3, quota_plan=0, gateway_count=1)
-    assert 80 <= forwarded <= 120  # 500 requests at five times the rate: about the rate is forwarded
+    assert 80 <= forwarded <= 120  # of 500 requests in 10 s: the rate alone allows 100
 
 
 def test_250_gateways_keep_a_concurrency_limit_of_three() -> None:
-    """The concurrency bounds alone do not enforce a limit below the number of gateways.
+    """A concurrency limit below the number of gateways is enforced, although the bounds alone do not do it.
 
-    The smallest bound is one slot at each gateway, which adds up to more than such a limit.
+    Each gateway's bound is at least one slot, so the bounds add up to more than such a limit.
     """
     fleet = ConcurrencyLimitedFleet(gateway_count=250, concurrency_limit=3, service_us=100 * MS)
     in_flight: list[int] = []
-    for number in range(3000):  # 50 requests per second of 100 ms each: five in flight on average
+    for number in range(3000):  # 50 requests per second of 100 ms each: without a limit, five in flight
         fleet.send_request(START_US + number * 20 * MS, rank=number * 97 % 250, tenant=4)
         in_flight.append(len(fleet.in_flight))
     steady = in_flight[1000:]
@@ -152,9 +153,9 @@
 
 
 def test_small_concurrency_limit_follows_current_load() -> None:
-    """A small concurrency limit follows what is in flight now, not a mean over a longer time.
+    """Admission under a small concurrency limit follows what is in flight now.
 
-    A mean over 1.5 s let 40 gateways exceed a limit of two, or left the limit unused.
+    When it followed a mean over 1.5 s, 40 gateways exceeded a limit of two or left the limit unused.
     """
 
     def count_forwarded(interval_us: int) -> int:
@@ -163,6 +164,6 @@
             fleet.send_request(START_US + number * interval_us, rank=number * 7 % 40, tenant=3)
         return fleet.forwarded
 
-    assert count_forwarded(SECOND) >= 118  # one at a time: each ends long before the next one arrives
+    assert count_forwarded(SECOND) >= 118  # of 120 requests, each of which ends before the next one arrives
     # Without a limit, 50 requests per second that take 0.15 s each would keep seven in flight.
     assert count_forwarded(20 * MS) <= 30
--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -8,8 +8,8 @@
 def test_slow_responses_lower_the_limit_until_attempts_are_paced() -> None:
     """The limit can fall below one attempt, and attempts are then paced.
 
-    When each of 168 gateways had a limit of at least one attempt, the limits together were too high. The
-    endpoints were overloaded until responses took four seconds.
+    When the limit of each of 168 gateways was at least one attempt, all limits together were too high: the
+    endpoints were overloaded, and responses took up to four seconds.
     """
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     for _ in range(60):
--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -44,8 +44,8 @@
 def test_failing_counter_is_polled_less_often(failure: Outcome) -> None:
     """An overloaded counter gets fewer polls, so that it can recover.
 
-    174 gateways polled for each request, four times as often as the counter could serve. It stayed late, and
-    no gateway received a total again.
+    When 174 gateways polled for each request, they sent four times as many polls as the counter could serve.
+    It stayed late, and no gateway received a total again.
     """
     driver = GatewayDriver(gateway_count=250)
     driver.counter_responds = False
@@ -59,7 +59,7 @@
 def test_poll_under_backoff_is_scaled_up_for_skipped_polls() -> None:
     driver = GatewayDriver(gateway_count=250)
     driver.gateway.polling.backoff_factor = 4.0
-    for number in range(1000):
+    for number in range(1000):  # about one request in four triggers a poll, which reports four units
         driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=250)
         driver.gateway.polling.backoff_factor = 4.0
     reported = sum(driver.counter_totals.values())
@@ -73,7 +73,7 @@
 
 
 def test_demand_is_reported_again_after_a_rejected_poll_but_not_after_a_timeout() -> None:
-    """After a time-out, the counter may have added the demand; reported again, it would count twice."""
+    """After a timeout, the counter may have added the demand; if reported again, it could count twice."""
     driver = GatewayDriver()
     driver.counter_responds = False
     driver.counter_failure = Outcome.REJECTED
@@ -91,14 +91,16 @@
             driver.advance(20 * MS)
         return driver.gateway.polling.backoff_factor
 
-    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not become outdated
+    # Two in five polls are lost. With a higher factor, totals would become outdated.
+    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0
     assert backoff_factor(lambda number: False) > 10.0
 
 
 def test_late_counter_is_polled_less_often_until_it_recovers() -> None:
-    """A counter that replies late, but before the time-out, causes backoff.
+    """A counter that replies late, but before the timeout, causes backoff.
 
-    40 gateways kept a counter just above the rate that it can serve, and over half of all polls timed out.
+    Without this, 40 gateways polled a counter slightly more often than it could serve, and over half of all
+    polls timed out.
     """
     driver = GatewayDriver(gateway_count=2)
 
@@ -127,8 +129,8 @@
     driver.gateway.polling.backoff_factor = 1.0
     driver.counter_responds = True
     driver.send_request(tenant=9, quota_plan=RATE_LIMITED, gateway_count=2)
-    # The poll reports 401 units, weighted by at most e^8 at the end of a period. They must not also be
-    # multiplied by the backoff factor of each failed poll.
+    # The poll reports 401 units, which are multiplied by at most e^8 at the end of a period. They must not
+    # also be multiplied by the backoff factor for each failed poll.
     last_poll = of_type(AddToCounter, [action for _, action in driver.action_log])[-1]
     assert last_poll.amount < 401 * math.exp(8) * 1.01
     assert driver.gateway.tenants[9, RATE_LIMITED].demand.unreported_demand == 0.0
--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -32,7 +32,11 @@
 
 @dataclass
 class CounterEvent:
-    """An event of a poll: at `due_us` the counter adds the amount or, if `elapsed_us` is not 0, replies."""
+    """What happens to a poll at `due_us`.
+
+    If `elapsed_us` is 0, the counter adds the amount. Otherwise the gateway gets the result of the poll, and
+    `elapsed_us` is the time that the poll has taken.
+    """
 
     due_us: int
     elapsed_us: int
@@ -69,7 +73,8 @@
     def run_counter(self) -> None:
         """Carry out the counter events that are due.
 
-        The counter adds a poll's amount halfway through the poll; the reply arrives at its end.
+        The counter adds a poll's amount halfway through the time that the reply takes. A poll whose reply is
+        lost times out.
         """
         due = [event for event in self.counter_events if event.due_us <= self.now_us]
         for event in sorted(due, key=lambda event: (event.due_us, event.elapsed_us)):
@@ -84,9 +89,9 @@
 
 
 class HardRateSimulation:
-    """One tenant's requests to all gateways, and the hard rate's real bucket.
+    """One tenant's requests to all gateways, and the real bucket of its hard rate.
 
-    No gateway can see this bucket. It takes the units of all requests that the gateways forward.
+    No gateway can see this bucket. The units of all requests that the gateways forward are taken from it.
     """
 
     def __init__(self, seed: int, gateway_count: int) -> None:
@@ -163,8 +168,9 @@
 
 
 def simulate_bursts(simulation: HardRateSimulation, stop_every_us: int) -> float:
-    """Alternate 3 s of low load with 3 s of a burst, and return the used share of what the hard rate allows.
+    """Alternate 3 s of low load with 3 s of a burst for 20 s, and return the used share of the hard rate.
 
+    This is the number of units forwarded, as a share of the units that the hard rate allows in this time.
     During bursts, the gateways stop one after another, one every `stop_every_us` (0: none), and restart soon.
     """
     while (age_us := simulation.now_us - START_US) < 20 * SECOND:
@@ -188,19 +194,22 @@
 def test_hard_rate_holds_during_bursts_and_gateway_restarts(
     gateway_count: int, stop_every_us: int, first_seed: int, min_used_share: float
 ) -> None:
-    """The gateways' shares of the hard rate never add up to more than 1.
+    """All gateways together do not overdraw the bucket of the hard rate by more than the slack.
 
-    The gateways computed their shares of both depth and rate from totals of different times. The shares added
-    up to more than 1, and the bucket was overdrawn.
+    When the gateways computed their shares of both depth and rate from totals of different times, the shares
+    added up to more than 1, and the bucket was overdrawn.
     """
     simulations = [HardRateSimulation(seed, gateway_count) for seed in range(first_seed, first_seed + 5)]
     used = sum(simulate_bursts(simulation, stop_every_us) for simulation in simulations) / len(simulations)
     assert min(simulation.min_units_left for simulation in simulations) >= -PLAN.hard_rate_slack
-    assert used >= min_used_share  # the hard rate is not kept by rejecting everything
+    assert used >= min_used_share  # the gateways do not achieve this by rejecting most requests
 
 
 def count_forwarded_at_start(remote_demand: float, counter_responds: bool = True) -> int:
-    """Return how many of ten requests are forwarded right after a start, with a share of ten units."""
+    """Return how many of ten requests are forwarded right after a start.
+
+    Each request costs one unit, and the gateway's share of the depth is ten units.
+    """
     plan = make_quota_plan(
         rate_per_s=3.0, burst=15.0, hard_rate_per_s=6.0, hard_rate_depth=30.0, hard_rate_slack=3.0
     )
@@ -212,7 +221,7 @@
 
 
 def test_first_total_fills_part_of_the_bucket_unless_demand_is_high() -> None:
-    """A gateway with low demand does not start with an empty bucket.
+    """If demand is low, a gateway does not have to wait until its bucket has filled.
 
     When many gateways started with empty buckets, most requests of the first seconds were rejected.
     """
@@ -244,8 +253,8 @@
 def test_rate_share_follows_demand_and_returns_to_the_even_share_without_totals() -> None:
     """A gateway that gets most of the demand gets more than an even share of the hard rate.
 
-    With even shares only, a busy one of ten gateways had a tenth of the hard rate, far less than its part of
-    the quota.
+    With even shares only, a gateway that got all requests, one of ten, had a tenth of the hard rate. This was
+    far less than the part of the quota that it needed.
     """
     driver = GatewayDriver(gateway_count=10, quota_plans=(TEN_GATEWAYS_PLAN,))
     send_steadily(driver, 4, 200 * MS)
@@ -259,7 +268,7 @@
 
 
 def test_hard_rate_holds_when_demand_moves_between_gateways() -> None:
-    """Ten gateways poll one counter, and the gateway with most of the demand changes every 60 requests."""
+    """Ten gateways poll one counter; which of them gets most of the requests changes every 60 requests."""
     plan = TEN_GATEWAYS_PLAN
     drivers = [
         GatewayDriver(gateway_count=10, quota_plans=(plan,), rank=rank, seed=rank) for rank in range(10)
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -30,8 +30,8 @@
 class SharedRateSimulation:
     """One tenant's requests to all gateways, and the real token bucket of its rate.
 
-    No gateway can see this bucket. It takes a unit for each request that the gateways forward within the
-    quota.
+    No gateway can see this bucket. A unit is taken from it for each request that the gateways forward; if it
+    has none, the request is beyond the quota.
     """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
@@ -101,7 +101,7 @@
     [  # loads are multiples of the rate; the excess is a share of what is within the quota
         (22.0, 44.0, 3.0, 3.0, 0.25),  # three times the rate all the time
         (22.0, 44.0, 0.5, 5.0, 0.15),  # five times the rate for 2.5 s in every 20 s
-        (1.3, 5.2, 3.0, 3.0, 0.35),  # so few requests that a gateway has evicted the tenant by the next one
+        (1.3, 5.2, 3.0, 3.0, 0.35),  # so few requests that a gateway evicts the tenant between two of them
     ],
 )
 def test_large_fleet_forwards_little_beyond_the_rate(
@@ -109,8 +109,8 @@
 ) -> None:
     """The gateways of a large fleet do not forward the same burst again and again.
 
-    Each gateway's estimate of the burst filled up again between two of its requests. All gateways together
-    exceeded the quota by 0.44 to 0.57 of it.
+    When each gateway's estimate of the burst filled up again between two of its requests, all gateways
+    together exceeded the quota by 44 to 57 percent.
     """
     within_quota = 0
     beyond_quota = 0
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -19,7 +19,7 @@
 
 
 def bound_with_remote_demand(remote_demand: float) -> int:
-    """Return the bound after local requests, with this demand of other gateways added to each count."""
+    """Return the concurrency bound after 20 requests; each count already holds this demand of others."""
     driver = GatewayDriver()
     driver.remote_demand = remote_demand
     for _ in range(20):
@@ -94,9 +94,9 @@
 
 
 def test_quota_holds_when_the_counter_stops_replying() -> None:
-    """A quota holds for longer than a few seconds after the last total.
+    """A quota is still enforced many seconds after the last total.
 
-    The rejection probability was used for only a few seconds after the last total, so a later burst was
+    When the rejection probability was used for only a few seconds after the last total, a later burst was
     forwarded completely.
     """
     driver = GatewayDriver()
@@ -107,7 +107,8 @@
 
 def test_quota_holds_without_a_counter() -> None:
     driver = GatewayDriver(has_shared_counter=False)
-    # This is an even share of the rate: the other gateways are assumed to get as many requests.
+    # The other gateways are assumed to get about as many requests. So this gateway forwards about 1.4 even
+    # shares of the rate, which are 4.7 requests per second.
     assert exceed_rate(driver, 10) <= 6
     assert not any(isinstance(action, AddToCounter) for _, action in driver.action_log)
 
@@ -121,9 +122,10 @@
 
 
 def test_quota_holds_in_a_large_fleet_before_the_first_total() -> None:
-    """Before the first total, the fleet's demand is estimated from the local demand.
+    """Before the first total, the quota is enforced with an estimate of the fleet's demand.
 
-    While the counter was overloaded, each of 200 gateways repeatedly admitted a tenant with high demand.
+    Without this, each of 200 gateways admitted requests of a tenant with high demand again and again while
+    the counter was overloaded.
     """
     driver = GatewayDriver(endpoints=100, gateway_count=200)
     driver.counter_responds = False
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -7,9 +7,9 @@
 
 
 def test_rejection_is_immediate_and_carries_retry_after() -> None:
-    """A rejection tells the client when to retry.
+    """A rejection is sent without delay and tells the client when to retry.
 
-    Without this, clients retried immediately and were rejected again.
+    When rejections did not say this, clients retried immediately and were rejected again.
     """
     driver = GatewayDriver(quota_plans=(SMALL_PLAN,))
     for _ in range(40):
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -150,7 +150,7 @@
 
         `capacity` is the demand that may be admitted in one decay time; 0 for a plan without a quota. The
         counter is never polled for such a plan, but the random number is drawn all the same. The load
-        balancer draws from the same generator, and its choices must not depend on whether a plan has a quota.
+        balancer draws from the same generator, so skipping the draw here would change its later choices.
         """
         if demand.has_recent_total(now_us):
             age_us = now_us - demand.total_received_at_us
