--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -100,8 +100,8 @@
 def test_demand_over_the_capacity_is_rejected_evenly() -> None:
     """With a demand of 39.9 units and an available capacity of about 27, two of four requests are admitted.
 
-    With a rate of 10 and a burst of 20, the decay time is 2 s, in which the rate supplies 20 units. Of these,
-    0.9 count as capacity, and half of the remaining burst of about 19 units is added.
+    With a rate of 10 and a burst of 20, the decay time is 2 s, in which the rate supplies 20 units. Nine
+    tenths of these and half of the remaining burst, which is about 19 units, are the available capacity.
     """
     driver = GatewayDriver()
     tenant = tenant_after_request(driver, 5, RATE_LIMITED)
--- a/tests/decisions/test_concurrency.py
+++ b/tests/decisions/test_concurrency.py
@@ -9,7 +9,7 @@
     """The limit can fall below one attempt, and attempts are then paced.
 
     When the limit of each of 168 gateways was at least one attempt, all limits together were too high: the
-    endpoints were overloaded, and responses took up to four seconds.
+    endpoints were overloaded, and responses took four seconds.
     """
     driver = GatewayDriver(endpoints=2, gateway_count=100)
     for _ in range(60):
--- a/yardlane/decisions/burst.py
+++ b/yardlane/decisions/burst.py
@@ -21,10 +21,8 @@
 
 # Maximum ratio of the fleet's demand to the local demand, divided by the number of gateways.
 MAX_DEMAND_RATIO_PER_GATEWAY = 2.0
-MAX_OVERDRAFT_SHARE = (
-    0.5  # maximum overdraft of the bucket, as a share of the burst; limits the recovery time
-)
-MIN_DEMAND = 1e-9  # keeps the ratio finite when the local demand has decayed to zero
+MAX_OVERDRAFT_SHARE = 0.5  # maximum overdraft, as a share of the burst; limits the recovery time
+MIN_DEMAND = 1e-9  # avoids a division by zero when the local demand has decayed to zero
 
 
 class BurstEstimate:
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -10,8 +10,9 @@
 
 - In a fleet of n gateways, fewer than `LARGE_FLEET_GATEWAY_COUNT`, this time is multiplied by
   n / `LARGE_FLEET_GATEWAY_COUNT`.
-- If the estimated demand is between `NEAR_CAPACITY_SHARE` of the capacity and the whole capacity, this time
-  is divided by `NEAR_CAPACITY_SPEEDUP`, because with a late total too few requests would be rejected.
+- If the estimated demand is between `NEAR_CAPACITY_SHARE` of the capacity (under backoff, a smaller share)
+  and the whole capacity, this time is divided by `NEAR_CAPACITY_SPEEDUP`, because with a late total too few
+  requests would be rejected.
 
 Without a recent total, each request triggers a poll with the probability 1 / backoff factor.
 
@@ -23,9 +24,9 @@
 - late (the reply takes longer) or rejected by the counter: the factor rises,
 - lost (any other result, for example a timeout): the factor rises, but less.
 
-If the other polls are prompt, the factor stays constant when about 29 % of the polls are late or rejected, or
-when about 43 % are lost. It also decays with time, because few polls are made under backoff and so few
-replies could show that the counter has recovered.
+The factor lies between 1 and `MAX_BACKOFF_FACTOR`. If the other polls are prompt, it stays constant when
+about 29 % of the polls are late or rejected, or when about 43 % are lost. It also decays towards 1 with time,
+because few polls are made under backoff and so few replies could show that the counter has recovered.
 
 With a recent total, the time between polls is multiplied by the factor. Without one, the probability of a
 poll is divided by it. A poll then also has to stand for the polls that are skipped, so the demand that it
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -6,9 +6,9 @@
 
 No gateway can see this bucket. Instead, each gateway has a local bucket that holds its share of the depth and
 fills with its share of the rate. It forwards a request only if the local bucket has the units. As long as the
-shares of all gateways add up to at most 1, the hard rate is not exceeded, and this needs no messages between
-the gateways and no counter. A request that costs more than the gateway's share of the depth is never
-forwarded: it queues until it is rejected.
+shares of all gateways add up to at most 1, the hard rate is not exceeded, even without a counter or messages
+between the gateways. A request that costs more than the gateway's share of the depth is never forwarded: it
+queues until it is rejected.
 
 **Depth.** The depth is always split evenly. A gateway may spend its whole share of the depth as soon as the
 tenant's requests reach it. If shares of the depth moved between gateways, a gateway could spend its share
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -16,17 +16,17 @@
 **Estimate.** Between two totals, the fleet's demand is estimated: the fleet's demand as of the last total is
 scaled by the change of the local demand since then. So a gateway whose counter stops replying continues from
 the last total, and a burst that starts at this gateway counts immediately. Before the first total, all
-gateways are assumed to get about as much demand as this one; the estimate is then divided by
-`EVEN_SHARES_BEFORE_TOTAL`. Otherwise, in a fleet whose counter does not reply, a tenant could use its whole
-quota at each gateway.
+gateways are assumed to get as much demand as this one. Otherwise, in a fleet whose counter does not reply, a
+tenant could use its whole quota at each gateway. The result is divided by `EVEN_SHARES_BEFORE_TOTAL`, so that
+the gateway may admit somewhat more than an even share.
 
 **Concurrency bound.** A plan's concurrency limit applies to the tenant's attempts at all gateways together.
 The concurrency bound is this gateway's part of it: how many of the tenant's attempts the gateway may have in
 flight. (`concurrency.py` limits something else, the attempts of all tenants at one gateway.) The limit is
-split by the same rule as in the port allocator of Padala et al. (see docs/design.md). While the fleet's
-demand is below the limit, each gateway gets its own demand and an even share of the remainder. Above it, the
-limit is divided in proportion to demand. A bound is at least 1, because otherwise a tenant could starve at
-this gateway.
+split by the same rule as in the port allocator of Padala et al. (see docs/design.md), with demand converted
+to the mean number of requests in flight. While the fleet's demand is below the limit, each gateway gets its
+own demand and an even share of the remainder. Above it, the limit is divided in proportion to demand. A bound
+is at least 1, because otherwise a tenant could starve at this gateway.
 
 Times are microseconds of the gateway's own clock.
 """
@@ -118,7 +118,7 @@
 def split_concurrency_limit(limit: int, gateway_count: int, local_demand: float, fleet_demand: float) -> int:
     """Return the concurrency bound: this gateway's part of a concurrency limit, at least 1.
 
-    Here, both demands are converted to the mean number of requests in flight that they cause.
+    The caller converts both demands to the mean number of requests in flight that they cause.
     """
     if fleet_demand < limit:
         bound = local_demand + (limit - fleet_demand) / gateway_count
