--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -171,7 +171,7 @@
     """Alternate 3 s of low load with 3 s of a burst for 20 s, and return the used share of the hard rate.
 
     This is the number of units forwarded, as a share of the units that the hard rate allows in this time.
-    During bursts, the gateways stop one after another, one every `stop_every_us` (0: none), and restart soon.
+    During bursts, the gateways stop one after another, one every `stop_every_us` (0: none), and restart.
     """
     while (age_us := simulation.now_us - START_US) < 20 * SECOND:
         is_burst = age_us // (3 * SECOND) % 2 == 1
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -30,8 +30,8 @@
 class SharedRateSimulation:
     """One tenant's requests to all gateways, and the real token bucket of its rate.
 
-    No gateway can see this bucket. A unit is taken from it for each request that the gateways forward; if it
-    has none, the request is beyond the quota.
+    No gateway can see this bucket. A unit is taken from it for each request that the gateways forward. If
+    less than one unit is left, nothing is taken, and the request counts as beyond the quota.
     """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
