--- a/tests/proxy/test_client_state.py
+++ b/tests/proxy/test_client_state.py
@@ -64,7 +64,8 @@
                     assert connection._change_state(event) is (new_state is not old_state)
                     assert connection.state is new_state
                     expected_line = (
-                        f"unexpected event {event.name} in state {old_state.name} of a client connection"
+                        f"ignoring unexpected event {event.name} in state {old_state.name}"
+                        " of a client connection"
                     )
                     assert lines == ([expected_line] if cell == NOT_ALLOWED else [])
                     lines.clear()
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -22,18 +22,20 @@
 
 log = logging.getLogger("yardlane.proxy.client_connection")
 
-# A connection is not read while it has this number of pending requests.
+# Reading pauses while at least this number of requests is pending, except after a fatal error.
 MAX_PENDING_REQUESTS = 4
-# A single read may bring more requests than that. Up to this number of excess requests are rejected one by
-# one; with more, the connection is closed.
+# A single read may bring more requests than MAX_PENDING_REQUESTS. Up to this number of excess requests are
+# each answered with 503. One more is a fatal error, after which the connection closes.
 MAX_EXCESS_REQUESTS = 64
-# The time to receive a whole request, and to receive the first byte on a new connection.
+# The time to receive a whole request, and to receive the first byte on a new connection. After a fatal error,
+# also the time that the error response waits for the responses to earlier requests.
 REQUEST_TIMEOUT_S = 1.5
-# The time that a client has to read the last response and close its side of the connection.
+# The time that a client has to read the last response and close its side of the connection. After that, the
+# connection is aborted.
 LINGERING_CLOSE_TIMEOUT_S = 1.0
 HEALTH_PATH = b"/_health"
 
-# Reading a module global is faster than reading an enum member, and each request checks these states.
+# Copies of enum members in module globals, which are faster to read: each request checks these states.
 OPEN = ClientState.OPEN
 LAST_REQUEST = ClientState.LAST_REQUEST
 ERROR_PENDING = ClientState.ERROR_PENDING
@@ -53,10 +55,10 @@
         """Return the time of the event loop's clock in seconds."""
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether so many connections are open that each must close after its next response."""
+        """Return whether so many connections are open that each must close after its newest request."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """Called when the connection has been closed and no longer counts towards the limit."""
+        """Called when the connection has been closed; from then on it does not count towards the limit."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -67,11 +69,14 @@
         self.parser = RequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.probe: SocketProbe | None = None  # created by the first call of `is_client_disconnected`
-        self.pending: deque[ClientRequest] = deque()  # in the order of the requests, and so of the responses
+        # The requests whose responses have not been written yet, in the order of arrival. Some of them may
+        # have been answered already, and wait for the responses to earlier requests.
+        self.pending: deque[ClientRequest] = deque()
         self.state = ClientState.ACCEPTED
         self.is_write_buffer_full = False
         self.has_received_request = False
-        self.last_active_s = server.loop_time_s()  # when a request was last answered, or CLOSING began
+        # When the connection was accepted, a request was last answered, or CLOSING began.
+        self.last_active_s = server.loop_time_s()
         self.request_timeout_started_s = self.last_active_s
 
     # State
@@ -85,7 +90,9 @@
         old_state = self.state
         new_state = TRANSITIONS[old_state].get(event)
         if new_state is None:
-            log.error("unexpected event %s in state %s of a client connection", event.name, old_state.name)
+            log.error(
+                "ignoring unexpected event %s in state %s of a client connection", event.name, old_state.name
+            )
             return False
         if new_state is old_state:
             return False
@@ -98,7 +105,10 @@
         return True
 
     def _release_pending(self) -> None:
-        """Drop the pending requests, and notify the handler of those that can no longer be answered."""
+        """Drop the pending requests.
+
+        Free the trace ids of the unanswered ones, and notify the handler that they cannot be answered.
+        """
         released = self.pending
         self.pending = deque()
         for request in released:
@@ -107,6 +117,7 @@
                 self.server.handler.on_client_disconnected(request)
 
     def _on_closed(self) -> None:
+        """Called when the state has changed to CLOSED; notifies the server and aborts the transport."""
         self.server.on_connection_closed(self)
         self.parser.close()
         if self.transport is not None:
@@ -115,9 +126,9 @@
     def _update_reading(self) -> None:
         """Pause or resume reading from the socket.
 
-        Reading pauses while the maximum number of requests is pending or the client does not read its
-        responses. After an error and while closing, the connection is always read: closing a socket with
-        unread bytes resets the connection.
+        Reading pauses while `MAX_PENDING_REQUESTS` or more are pending or the client does not read its
+        responses. The request timeout starts anew when reading resumes. After a fatal error and while
+        closing, the connection is always read, because closing a socket with unread bytes resets it.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -129,7 +140,7 @@
         if should_read:
             self.request_timeout_started_s = (
                 self.server.loop_time_s()
-            )  # the pause does not count towards the timeout
+            )  # the client could not send during the pause
             transport.resume_reading()
         else:
             transport.pause_reading()
@@ -141,7 +152,7 @@
         return self
 
     def on_transport_creation_failed(self) -> None:
-        """Called when the client's connection was lost before its transport was created."""
+        """Called when the client has reset the connection before its transport was created."""
         self.connection_lost(None)
 
     # Called by the transport
@@ -151,22 +162,22 @@
 
         The transport is aborted if the connection has been closed in the meantime to make room for another.
         """
-        transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
+        transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
         self.transport = transport
         if not self._change_state(ClientEvent.CONNECTED):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called when the transport has been closed, as its last call."""
+        """Called when the transport has been closed; the transport calls no method after this one."""
         self.transport = None
         self._change_state(ClientEvent.TRANSPORT_LOST)
 
     def data_received(self, data: bytes) -> None:
-        """Called when bytes have been received; discards them if no further request is handled."""
+        """Called when bytes have been received; discards them if no further request is accepted."""
         if self.state is not OPEN:
             return
         try:
-            if not self.parser.feed(data):
+            if not self.parser.feed(data):  # the client asked to change to another protocol
                 self._close_after_pending()
         except FatalRequestError as error:
             self._close_with_error(error)
@@ -176,8 +187,8 @@
     def eof_received(self) -> bool:
         """Called when the client has closed its side; closes the connection and ends its pending requests.
 
-        HTTP allows a client to half-close a connection and still read the response. But the proxy cannot tell
-        this from a client that has disconnected, whose requests would take capacity from other clients.
+        HTTP allows a client to half-close a connection and still read the response. But the proxy cannot
+        distinguish this from a client that has disconnected, whose requests would take capacity from others.
         """
         self._on_client_disconnected()
         return False
@@ -199,17 +210,20 @@
         self.request_timeout_started_s = self.server.loop_time_s()
 
     def on_expect_continue(self) -> None:
-        """Called when the client waits for 100 Continue before it sends the body; sends it.
+        """Called when the client waits for 100 Continue before it sends the body; sends 100 Continue.
 
-        It is not sent while other requests are pending, because it would precede their responses.
+        Nothing is sent while other requests are pending, because it would precede their responses.
         """
         if self.transport is not None and not self.pending:
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_request(self) -> None:
-        """Called when a complete request has been read; answers it or passes it to the handler."""
+        """Called when a complete request has been read; answers it or passes it to the handler.
+
+        Raises `FatalRequestError` if too many requests are pending.
+        """
         if self.state is not OPEN:
-            return  # pipelined after the last request that this connection handles
+            return  # pipelined after the last request that this connection accepts
         self.has_received_request = True
         if len(self.pending) >= MAX_PENDING_REQUESTS + MAX_EXCESS_REQUESTS:
             raise FatalRequestError(Status.SERVICE_UNAVAILABLE, "too many requests at once")
@@ -225,15 +239,17 @@
             self._dispatch_request(request)
 
     def _answer_health_check(self, request: ClientRequest) -> None:
+        """Answer with 200, or with 503 if the handler is not ready or the process is draining."""
         if self.server.handler.is_ready() and not self.server.is_draining:
             request.reply(Status.OK, b"ready\n")
         else:
             request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
 
     def _dispatch_request(self, request: ClientRequest) -> None:
-        """Pass the request to the handler, or reply with an error if it is invalid.
+        """Pass the request to the handler.
 
-        The connection stays usable in both cases.
+        Answer with an error if the request is invalid, or with 500 after an unexpected exception. The
+        connection stays usable in all cases.
         """
         try:
             parsed = parse_request(self.parser, self.server.rules, self.server.open_trace_ids)
@@ -243,7 +259,9 @@
         except InvalidRequest as error:
             request.reply(error.status, error.text.encode() + b"\n", error.header_lines)
         except Exception:  # a bug that affects one request must not end the other requests of the connection
-            log.exception("unexpected error while handling a client request; replying with 500 if unanswered")
+            log.exception(
+                "unexpected error while handling a client request; answering with status 500 if unanswered"
+            )
             if not request.response:
                 request.reply(Status.INTERNAL_SERVER_ERROR, b"failed\n")
 
@@ -253,30 +271,32 @@
         """Answer `request`: write the response now, or once all earlier requests have been answered.
 
         A second response to the same request is discarded, and so is a response after the client has
-        disconnected. The request's trace id becomes free for reuse. If necessary, the connection is then
-        closed or read again.
+        disconnected. The request's trace id becomes free for reuse. While draining or near the connection
+        limit, the connection closes after the response to its newest request. Otherwise, paused reading
+        resumes if it may.
         """
         transport = self.transport
         if request.response or transport is None or transport.is_closing():
             return
         server = self.server
         if (server.is_draining or server.is_near_connection_limit()) and request is self.pending[-1]:
-            self._close_after(request)  # closing after an earlier request would lose later responses
+            self._close_after(request)  # closing after an earlier request would lose the later responses
         self._free_trace_id(request)
         request.response = encode_response(status, body, header_lines, request.closes_connection)
         if self._write_ready_responses(transport):
             self._begin_lingering_close()
             return
         self.last_active_s = server.loop_time_s()
-        if server.is_draining and self.is_idle():  # the response was encoded before draining began
+        if server.is_draining and self.is_idle():
+            # The newest response was encoded before draining began, so it does not announce the close.
             self.close_idle()
             return
         self._update_reading()
 
     def _write_ready_responses(self, transport: asyncio.Transport) -> bool:
-        """Write the responses up to the first that is missing; return whether the last one has been written.
+        """Write the responses to all requests before the oldest unanswered one.
 
-        The last one is the response after which the connection closes.
+        Return whether the response after which the connection closes has been written.
         """
         pending = self.pending
         while pending and pending[0].response:
@@ -287,6 +307,7 @@
         return False
 
     def _free_trace_id(self, request: ClientRequest) -> None:
+        """Allow new requests to use the trace id of `request`."""
         if request.parsed is not None:
             self.server.open_trace_ids.discard(request.parsed.trace_id)
 
@@ -297,9 +318,9 @@
             self._change_state(ClientEvent.LAST_REQUEST_READ)
 
     def _close_after_pending(self) -> None:
-        """Close the connection after all pending responses.
+        """Close the connection after the responses to all pending requests, or at once if there are none.
 
-        Called when the client asked to change to another protocol, so that further bytes may not be HTTP.
+        Called when the client asked to change to another protocol; the bytes that follow may not be HTTP.
         """
         if self.pending:
             self._close_after(self.pending[-1])
@@ -317,7 +338,10 @@
             self._update_reading()
 
     def _close_with_error(self, error: FatalRequestError) -> None:
-        """Queue an error response after the pending responses, and close the connection after it."""
+        """Queue an error response behind the pending requests, and close the connection after it.
+
+        Do nothing if the state ignores `FATAL_REQUEST_ERROR`.
+        """
         if not self._change_state(ClientEvent.FATAL_REQUEST_ERROR):
             return
         self.parser.abandon_message()
@@ -333,7 +357,10 @@
         return not (self.pending or self.parser.is_in_message)
 
     def has_pending_work(self) -> bool:
-        """Return whether a request is pending or being read, or the last response is not yet sent."""
+        """Return whether a request is pending or being read.
+
+        In CLOSING, return whether the transport still has unsent bytes.
+        """
         if self.state is CLOSING:
             return self.transport is not None and self.transport.get_write_buffer_size() > 0
         return not self.is_idle()
@@ -341,7 +368,8 @@
     def close_idle(self) -> None:
         """Close the connection while it is idle.
 
-        A request that has arrived in the meantime is not read, so the client can safely send it again.
+        A request that the client has sent but that has not been read yet is lost. It was not processed, so
+        the client can safely send it again.
         """
         if self._change_state(ClientEvent.IDLE_CLOSED) and self.transport is not None:
             self.transport.close()
@@ -353,7 +381,8 @@
     def is_client_disconnected(self) -> bool:
         """Return whether the client has closed its side or reset the connection.
 
-        This asks the kernel, so it also detects a disconnect that the event loop has not reported yet.
+        This asks the kernel, so it also detects a disconnect that the event loop has not reported yet. Also
+        return true if there is no transport or the proxy is closing it.
         """
         if self.transport is None or self.transport.is_closing():
             return True
@@ -375,15 +404,16 @@
         return is_disconnected
 
     def _on_client_disconnected(self) -> None:
+        """Close the connection, which releases its pending requests, unless it is closing already."""
         if self._change_state(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
             self.transport.close()
 
     # Timeouts
 
     def check_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
-        """Close the connection if a timeout has expired.
+        """Act on an expired timeout: close an idle connection, abort a closing one, or end a slow request.
 
-        While reading is paused, the event loop does not report a disconnect, so this checks for it too.
+        While reading is paused, the event loop does not report a disconnect, so this method checks for it.
         """
         if self.state is CLOSING:
             self._check_lingering_close(now_s)
@@ -397,18 +427,19 @@
             self._check_idle_timeout(now_s, idle_timeout_s)
 
     def _check_lingering_close(self, now_s: float) -> None:
-        """Abort the connection if the client does not close it in time after the last response.
+        """Abort the connection if the client has not closed it in time after the last response.
 
-        Otherwise such a client would keep a file descriptor in use.
+        Otherwise, such a client would keep a file descriptor in use.
         """
         if now_s - self.last_active_s > LINGERING_CLOSE_TIMEOUT_S:
             self.abort()
 
     def _check_request_timeout(self, now_s: float) -> None:
-        """If the request timeout has expired, reply to the incomplete request and end the pending ones.
+        """Answer an incomplete request with 408 if the request timeout has expired.
 
-        The timeout applies to the whole request, so a client cannot extend it by sending single bytes. In
-        ERROR_PENDING, it limits how long the error response waits for the responses before it.
+        Also have the handler answer the unanswered requests before it at once, and close the connection. The
+        timeout applies to the whole request, so a client cannot extend it by sending single bytes. In
+        ERROR_PENDING, it limits how long the error response waits for the responses to earlier requests.
         """
         if now_s - self.request_timeout_started_s <= REQUEST_TIMEOUT_S:
             return
@@ -417,6 +448,7 @@
             self.server.handler.abandon_request(request)
 
     def _check_idle_timeout(self, now_s: float, idle_timeout_s: float) -> None:
+        """Close the connection if it has been idle too long; a new one has `REQUEST_TIMEOUT_S`."""
         timeout_s = idle_timeout_s if self.has_received_request else REQUEST_TIMEOUT_S
         if now_s - self.last_active_s > timeout_s:
             self.close_idle()
--- a/yardlane/proxy/client_request.py
+++ b/yardlane/proxy/client_request.py
@@ -1,4 +1,4 @@
-"""A request of a client, and the interfaces between the connection it arrived on and its handler."""
+"""Defines a client's request and the interfaces between its connection and its handler."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
     def __init__(self, connection: RequestConnection) -> None:
         self.connection = connection
-        self.parsed: ParsedRequest | None = None  # None if the request is invalid
-        self.request_id = -1  # assigned by the handler
+        self.parsed: ParsedRequest | None = None  # None for an invalid request or a health check
+        self.request_id = -1  # the handler assigns the id of a valid request
         self.response = b""  # empty until the request is answered
         self.closes_connection = False  # whether the connection closes after the response
 
@@ -47,10 +47,10 @@
         """Serve a valid request by calling `request.reply`, now or later."""
 
     def on_client_disconnected(self, request: ClientRequest) -> None:
-        """Called when `request` can no longer be answered, as its client has disconnected."""
+        """Called when `request` can no longer be answered because its client has disconnected."""
 
     def abandon_request(self, request: ClientRequest) -> None:
-        """Answer `request` at once, because its connection is about to be closed after an error."""
+        """Answer `request` at once, because a request timeout is about to close its connection."""
 
     def is_ready(self) -> bool:
         """Return whether the health check passes."""
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -14,9 +14,10 @@
 
 # How long a connection may be idle between requests.
 IDLE_TIMEOUT_S = 15.0
-# Above this share of `max_connections`, connections close after a response, and the shorter timeout for idle
-# connections applies.
+# Above this share of `max_connections`, a connection closes after the response to its newest request, and idle
+# connections close after NEAR_LIMIT_IDLE_TIMEOUT_S.
 NEAR_LIMIT_SHARE = 0.85
+# Also how long a connection must have been idle before it may be closed to make room for a new one.
 NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
 TIMEOUT_CHECK_INTERVAL_S = 0.2
 
@@ -40,12 +41,12 @@
         self.rules = RequestRules.from_config(config)
         self.connections: dict[ClientConnection, None] = {}  # in the order of acceptance
         self.open_trace_ids: set[bytes] = set()
-        self.is_draining = False
+        self.is_draining = False  # set when the graceful shutdown begins
         self.timeout_check_due_s = 0.0
         self.listener = Listener(self.make_connection, loop)
 
     def listen(self) -> None:
-        """Start accepting connections. Raises OSError if the configured address is not available."""
+        """Start accepting connections. Raises OSError if the process cannot listen on the address."""
         self.listener.listen(self.config.listen)
         self.timeout_check_due_s = self.loop_time_s() + TIMEOUT_CHECK_INTERVAL_S
         self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._on_timeout_check_due)
@@ -57,9 +58,10 @@
     # Connections
 
     def make_connection(self) -> ClientConnection | None:
-        """Create and register a connection for a new client; return None if the server is full.
+        """Create and register a connection for a new client.
 
-        If the limit is reached, a connection that serves no request is closed to make room.
+        If there are `max_connections` already, abort one that serves no request to make room. Return None if
+        no such connection can be found.
         """
         if len(self.connections) >= self.max_connections and not self._evict_connection():
             return None
@@ -72,15 +74,16 @@
         self.connections.pop(connection, None)
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether so many connections are open that each must close after its next response."""
+        """Return whether so many connections are open that each must close after its newest request."""
         return len(self.connections) > NEAR_LIMIT_SHARE * self.max_connections
 
     def _evict_connection(self) -> bool:
         """Abort one connection that serves no request; return whether there was one.
 
-        The first choice is a connection that is closing or has never sent a request, the second the one that
-        has been idle for longest. Connections that became idle a short time ago are kept, because their next
-        request may be on its way.
+        The first choice is the oldest connection that is closing or on which no request has begun; what is
+        unsent of the last response on a closing connection is lost. The second choice is the connection that
+        has been idle for longest. Connections that became idle less than `NEAR_LIMIT_IDLE_TIMEOUT_S` ago are
+        kept, because their next request may be on its way.
         """
         connection = self._find_closing_or_unused() or self._find_longest_idle()
         if connection is None:
@@ -108,10 +111,11 @@
     # Timeouts
 
     def _on_timeout_check_due(self) -> None:
-        """Check all timeouts, unless this call comes late because the process was stalled.
+        """Called every `TIMEOUT_CHECK_INTERVAL_S`; checks the timeouts of all connections.
 
-        After a stall, bytes that arrived in the meantime have not been read yet, so clients would time out
-        although they were not slow.
+        If the call is late by a whole interval because the process was stalled, the check is left to the next
+        call. After a stall, bytes that arrived in the meantime have not been read yet, so clients would time
+        out although they were not slow.
         """
         self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._on_timeout_check_due)
         now_s = self.loop_time_s()
@@ -130,11 +134,11 @@
     # Draining
 
     def stop_listening(self) -> None:
-        """Accept the connections that are waiting, then stop accepting."""
+        """Accept the connections that wait in the kernel's backlog, then close the listening socket."""
         self.listener.close()
 
     def close_used_idle_connections(self) -> None:
-        """Close the idle connections that have sent a request.
+        """Close the idle connections on which at least one request has been received.
 
         New connections stay open, because their first request may be on its way.
         """
@@ -149,12 +153,12 @@
                 connection.close_idle()
 
     def awaits_first_request(self) -> bool:
-        """Return whether any open connection has not sent a request yet."""
+        """Return whether any connection that is not closing has yet to receive its first complete request."""
         return any(
             not (connection.has_received_request or connection.state is ClientState.CLOSING)
             for connection in self.connections
         )
 
     def has_pending_work(self) -> bool:
-        """Return whether any request is pending or being read, or any last response is not yet sent."""
+        """Return whether any request is pending or being read, or any last response has unsent bytes."""
         return any(connection.has_pending_work() for connection in self.connections)
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -1,8 +1,8 @@
-"""Accepts client connections, up to the number that the server has room for.
+"""Accepts client connections, and closes those that the server has no room for.
 
 The event loop's own server is not used, because it accepts all waiting connections before it reports the
-first. A burst of connections could take all file descriptors, including those that the connections to
-upstreams, the counter and discovery need.
+first. A burst of connections could then take all file descriptors, including those for the connections to
+upstreams, the counter and discovery.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
         """Return the protocol that the transport is created for."""
 
     def on_transport_creation_failed(self) -> None:
-        """Called when the client's connection was lost before its transport was created."""
+        """Called when the client has reset the connection before its transport was created."""
 
 
 class Listener:
@@ -54,7 +54,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listening_socket = socket.socket(family, socket.SOCK_STREAM)
         try:
-            # After a restart, the address can be bound again at once.
+            # Allows a restarted process to bind to the address at once.
             listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening_socket.bind((host.strip("[]"), port))
             listening_socket.listen(BACKLOG)
@@ -71,9 +71,9 @@
         return int(self.socket.getsockname()[1])
 
     def close(self) -> None:
-        """Accept the connections that are waiting, then stop accepting and close the socket.
+        """Accept the connections that wait in the kernel's backlog, then close the listening socket.
 
-        Otherwise the kernel would reset the waiting connections, and the requests on them would be lost.
+        Otherwise, the kernel would reset the waiting connections, and the requests on them would be lost.
         """
         if self.socket is not None:
             self.loop.remove_reader(self.socket)
@@ -83,6 +83,7 @@
             self.socket = None
 
     def _accept(self, max_accepts: int = MAX_ACCEPTS_PER_ITERATION) -> None:
+        """Accept up to `max_accepts` waiting connections; called when the listening socket is readable."""
         for _ in range(max_accepts):
             if self.socket is None:
                 return
@@ -98,6 +99,7 @@
             self._handle_accepted_socket(accepted_socket)
 
     def _handle_accepted_socket(self, accepted_socket: socket.socket) -> None:
+        """Start to create a transport for the socket, or close it if the server has no room."""
         connection = self.make_connection()
         if connection is None:
             accepted_socket.close()
@@ -107,9 +109,10 @@
         task.add_done_callback(self.tasks.discard)
 
     def _pause_accepting(self, listening_socket: socket.socket, error: OSError) -> None:
-        """Stop accepting for a short time.
+        """Stop accepting for `ACCEPT_BACKOFF_S`.
 
-        The socket stays readable, so without a pause the event loop would call `accept` again and again.
+        The listening socket stays readable, so without a pause the event loop would call `_accept` in every
+        iteration.
         """
         log.warning("cannot accept client connections: %s; retrying after a pause", error)
         self.loop.remove_reader(listening_socket)
@@ -120,7 +123,7 @@
             self.loop.add_reader(listening_socket, self._accept)
 
     async def _connect(self, accepted_socket: socket.socket, connection: AcceptedConnection) -> None:
-        """Create the transport. This fails if the client has reset the connection in the meantime."""
+        """Create the transport, or close the socket if the client has already reset the connection."""
         try:
             accepted_socket.setblocking(False)
             accepted_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
