--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -14,8 +14,8 @@
 
 # How long a connection may be idle between requests.
 IDLE_TIMEOUT_S = 15.0
-# Above this share of `max_connections`, a connection closes after the response to its newest request, and idle
-# connections close after NEAR_LIMIT_IDLE_TIMEOUT_S.
+# Above this share of `max_connections`, a connection closes after the response to its newest request, and an
+# idle connection closes after NEAR_LIMIT_IDLE_TIMEOUT_S.
 NEAR_LIMIT_SHARE = 0.85
 # Also how long a connection must have been idle before it may be closed to make room for a new one.
 NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
--- a/yardlane/proxy/clock.py
+++ b/yardlane/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the proxy and the decider use, and timers in its unit."""
+"""Provides the clock that the proxy and the decider use, and timers with delays in microseconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Clock:
-    """A monotonic clock in whole microseconds, set to Unix time when it is created."""
+    """A monotonic clock in whole microseconds that starts at the Unix time of its creation."""
 
     def __init__(self) -> None:
         self.offset_ns = time.time_ns() - time.monotonic_ns()
@@ -20,7 +20,7 @@
     def now_us(self) -> int:
         """Return the Unix time in microseconds.
 
-        Adjustments of the system clock since the creation of this object are not included.
+        Adjustments of the system clock after the creation of this object have no effect.
         """
         return (time.monotonic_ns() + self.offset_ns) // NS_PER_US
 
@@ -28,7 +28,7 @@
 def call_after(
     loop: asyncio.AbstractEventLoop, delay_us: int, callback: Callable[..., None], *args: object
 ) -> asyncio.TimerHandle:
-    """Call `callback(*args)` after a delay; return the handle that cancels the call.
+    """Schedule a call of `callback(*args)` after a delay; return the handle that cancels the call.
 
     The delay is rounded up to whole milliseconds, because the timers of the event loop have that resolution.
     """
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -1,22 +1,26 @@
-"""Runs the decider in turns: each turn passes all events posted since the last one to it in one call.
+"""Runs the decider in turns. A turn passes it, in one call, all events posted since the previous turn.
 
-An exception raised by `Decider.handle` must not stop the other requests. It is handled as follows:
+An exception raised by `Decider.handle` must not affect the other requests. It is handled as follows:
 
 - The request of the event that was being handled fails.
 - The actions that were decided before the exception are carried out.
 - The events after that event are passed to the decider again in the next turn.
 
-So a request whose events always raise an exception only affects itself. An event that names no request
-(`EndpointListUpdate`, `CounterResult`) is lost; a request that waits for its result waits until its deadline.
+A request whose events always raise an exception therefore affects no other request. If the event names no
+request (`EndpointListUpdate`, `CounterResult`, `TimerFired`), no request fails, and the event is lost. After
+a lost `CounterResult`, the requests that wait for it wait until their deadlines. A lost `TimerFired` is
+replaced by an extra turn, which follows each exception after `RECOVERY_DELAY_US`.
 
 In two cases the exception does not belong to an event:
 
-- A timer of the decider raises it after all events have been handled. This cannot be told apart from an
-  exception in the handling of the last event, so the request of that event fails although it was handled.
+- A callback that is due in the decider raises it after all events have been handled. The loop cannot
+  distinguish this from an exception in the handling of the last event, so the request of that event fails
+  although the event was handled.
 - It is raised before the first event. No request fails, and all events are passed to the decider again in
   the next turn, without a delay. If the exception recurred each time, this would be a busy loop.
   `Decider.actions` may still hold the actions of the previous call, which would then be carried out again.
-  `Gateway` reads no event at that point; it only updates its own state, such as its clock and timers.
+  This is accepted, because all that `Gateway` does before the first event is to update its own state, such
+  as its clock and timers.
 """
 
 from __future__ import annotations
@@ -33,15 +37,16 @@
 
 log = logging.getLogger("yardlane.proxy.decision_loop")
 
-# The delay between an exception in the decider and the extra turn for what is due. It prevents a busy loop if
-# a timer raises an exception each time.
+# The delay from an exception in the decider to an extra turn, which runs the callbacks that were due but may
+# not have run. It prevents a busy loop if such a callback raises an exception each time.
 RECOVERY_DELAY_US = 10_000
-# The token of a `TimerFired` without a `SetTimer`. The decider handles all that is due, whatever the token.
+# The token of a `TimerFired` without a `SetTimer`. The decider runs all callbacks that are due, whatever the
+# token.
 ANY_TOKEN = 0
 
 
 class EventBatch(list[Event]):
-    """The events of one turn; `handled_count` of them have been handled or are being handled."""
+    """The events of one turn. `handled_count` counts those whose handling has begun."""
 
     handled_count = 0
 
@@ -51,7 +56,7 @@
             yield self[index]
 
     def last_handled(self) -> Event | None:
-        """Return the event whose handling began last, or None if none has begun."""
+        """Return the last event whose handling has begun, or None if there is none."""
         if not self.handled_count:
             return None
         return self[self.handled_count - 1]
@@ -64,14 +69,14 @@
         """Carry out one action."""
 
     def fail_request(self, request_id: int) -> None:
-        """Fail the request, because the decider raised an exception while handling one of its events."""
+        """Fail the request because the decider raised an exception while handling one of its events."""
 
     def forget_request(self, request_id: int) -> None:
-        """Forget the request: the decider has been notified of its end and will not refer to it any more."""
+        """Forget the request; the decider has been notified of its end and no longer refers to it."""
 
 
 class DecisionLoop:
-    """Passes events to one `Decider`, and the actions that it returns to one `ActionHandler`."""
+    """Passes events to a `Decider`, and the actions that it returns to an `ActionHandler`."""
 
     def __init__(
         self, decider: Decider, handler: ActionHandler, clock: Clock, loop: asyncio.AbstractEventLoop
@@ -92,18 +97,20 @@
             self.loop.call_soon(self._run_turn)
 
     def schedule_turn(self) -> None:
-        """Schedule a turn although nothing has happened, so that the decider handles what is due."""
+        """Schedule a turn although nothing has happened, so that the decider runs callbacks that are due."""
         self.post(TimerFired(ANY_TOKEN))
 
     def forget_after_turn(self, request_id: int) -> None:
-        """Forget a request after the next turn; the caller posts the event of its end right after this call.
+        """Forget a request after the next turn.
 
-        The request cannot be forgotten earlier. The decider may start an attempt in the same turn, before it
-        handles the end of the request, and an `AttemptEnded` must follow for that attempt too.
+        The caller posts `RequestEnded` or the last `AttemptEnded` of the request right after this call. The
+        request cannot be forgotten earlier: in the same turn, before it handles that event, the decider may
+        start another attempt, which must also be followed by an `AttemptEnded`.
         """
         self.ended_request_ids.append(request_id)
 
     def _run_turn(self) -> None:
+        """Pass the queued events to the decider, carry out its actions, and forget the ended requests."""
         events = self.events
         ended_request_ids = self.ended_request_ids
         self.events = EventBatch()
@@ -114,11 +121,11 @@
         except Exception:
             event = events.last_handled()
             log.exception(
-                "the decider raised an exception; the last event that it began to handle: %s",
+                "the decider raised an exception; last event handled: %s; failing its request, if it has one",
                 "no event" if event is None else type(event).__name__,
             )
             actions = self._recover(events)
-            # The decider may not have handled the ends of these requests yet; it does so in the next turn.
+            # The decider may not have handled the ends of these requests yet. It does so in the next turn.
             self.ended_request_ids = ended_request_ids + self.ended_request_ids
             ended_request_ids = []
         for action in actions:
@@ -130,15 +137,15 @@
             self.handler.forget_request(request_id)
 
     def _recover(self, events: EventBatch) -> list[Action]:
-        """Fail the request of the event started last, and post the later events again.
+        """Fail the request of the event that raised the exception, and post the later events again.
 
-        Return the actions that were decided before the exception.
+        Also schedule an extra turn. Return the actions that were decided before the exception.
         """
         request_id = getattr(events.last_handled(), "request_id", None)
         if request_id is not None:
             self.handler.fail_request(request_id)
         for event in events[events.handled_count :]:
             self.post(event)
-        # Work that was due in this turn may not have been done, and no timer is left that would trigger it.
+        # Callbacks that were due in this turn may not have run, and the decider has set no timer for them.
         call_after(self.loop, RECOVERY_DELAY_US, self.schedule_turn)
         return list(self.decider.actions)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -1,9 +1,14 @@
 """Serves the requests of clients: passes events to the decider and carries out the actions that it returns.
 
-Every request ends in `Proxy._end_request`: with the response of an upstream, with a `Reject` or a `Fail` of
-the decider, when its client connection ends, at the end of the graceful shutdown, or, if the decider does not
-answer it, by its watchdog timer or after an exception in the decider. The proxy forgets a request once all
-its attempts have ended and the decider has been notified of that.
+Every request ends in `Proxy._end_request`, for one of these reasons:
+
+- An upstream has sent an OK response.
+- The decider has returned a `Reject` or a `Fail`.
+- The client has disconnected, or a request timeout closes its connection.
+- The graceful shutdown has reached its deadline.
+- The decider has raised an exception, or has not answered before the watchdog timer fired.
+
+The proxy forgets a request once it has ended, all its attempts have ended, and the decider knows both.
 """
 
 from __future__ import annotations
@@ -55,7 +60,7 @@
 FAILED_BODY = b"failed\n"
 REJECTED_BODY = b"refused: try again\n"
 SHUTDOWN_BODY = b"shutting down\n"
-MIN_TIME_LEFT_US = 1
+MIN_TIME_LEFT_US = 1  # the time left of a request that arrives after the deadline of the graceful shutdown
 
 
 class Proxy:
@@ -76,7 +81,7 @@
         self.requests: dict[int, RequestInFlight] = {}
         self.last_request_id = 0
         self.endpoint_addresses: Addresses = {}
-        self.has_usable_endpoint_list = False
+        self.has_usable_endpoint_list = False  # a cached list becomes usable when a poll has failed
         self.drain_deadline_us = 0  # when all requests must be answered; 0 before the graceful shutdown
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
@@ -91,7 +96,11 @@
     # Called by the client connections
 
     def handle_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
-        """Start to serve a valid request: register it and notify the decider of its arrival."""
+        """Start to serve a valid request: register it and notify the decider of its arrival.
+
+        During the graceful shutdown, its time left ends at the drain deadline. A watchdog timer fails the
+        request if the decider does not answer it in time.
+        """
         now_us = self.clock.now_us()
         time_left_us = parsed.time_left_us
         if self.drain_deadline_us:
@@ -128,14 +137,14 @@
         self._end_without_decision(client_request.request_id)
 
     def abandon_request(self, client_request: ClientRequest) -> None:
-        """Fail a request with status 502 at once, because its connection is about to be closed.
+        """Fail a request with status 502, because a request timeout is about to close its connection.
 
         Attempts that the upstream may have begun to process continue and still count as in flight.
         """
         self._end_without_decision(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
     def is_ready(self) -> bool:
-        """Return whether there is an endpoint list to use.
+        """Return whether there is a usable endpoint list.
 
         A cached list counts only once a poll of discovery has failed.
         """
@@ -149,8 +158,8 @@
             self.has_usable_endpoint_list = True
         old_addresses = self.endpoint_addresses
         self.endpoint_addresses = addresses_after(old_addresses, update, addresses)
-        # The update is posted before the attempts that it ends. Otherwise the decider could send a retry to
-        # another endpoint that the same update marks as draining.
+        # The update is posted before the `AttemptEnded` events of the attempts that it ends. Otherwise, the
+        # decider could send a retry to another endpoint that the same update marks as draining.
         self.post(update)
         for endpoint_id, address in old_addresses.items():
             if self.endpoint_addresses.get(endpoint_id) != address:
@@ -160,21 +169,24 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def on_poll_failed(self) -> None:
-        """Called when a poll of discovery has failed; accepts the cached endpoint list, if there is one.
+        """Called when a poll of discovery has failed; makes the cached endpoint list usable, if there is one.
 
-        The cached list may name endpoints that no longer exist.
+        It is not used earlier, because it may name endpoints that no longer exist.
         """
         self.has_usable_endpoint_list = self.has_usable_endpoint_list or bool(self.endpoint_addresses)
 
     def change_counter_address(self, address: Address | None) -> None:
-        """Use the shared counter at another address from now on; None changes nothing."""
+        """Use the shared counter at another address from now on.
+
+        Do nothing if the address is None or the proxy was started without a shared counter.
+        """
         if self.counter is not None and address is not None:
             self.counter.change_address(address)
 
     def drain(self, deadline_us: int) -> None:
         """Answer all requests by `deadline_us`, including those that have yet to arrive.
 
-        Requests that are still unanswered then are failed with status 500.
+        Requests that are unanswered at that time fail with status 500.
         """
         self.drain_deadline_us = deadline_us
         call_after(self.loop, deadline_us - self.clock.now_us(), self._end_all_requests)
@@ -186,9 +198,10 @@
     # Ending requests
 
     def _end_request(self, request: RequestInFlight) -> None:
-        """End a request. This is the only function that does so.
+        """Mark the request as ended, after its answer if it gets one. No other function does this.
 
-        Attempts that the upstream may have begun to process continue; the others are not sent.
+        Attempts that the upstream may have begun to process continue. The others end as NOT_SENT, even if a
+        part of the request has been sent.
         """
         request.has_ended = True
         if request.watchdog_timer is not None:
@@ -198,9 +211,9 @@
                 attempt.finish(Outcome.NOT_SENT)
 
     def _end_without_decision(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
-        """End a request for which there is no decision, and notify the decider.
+        """End a request without a decision, and notify the decider.
 
-        With a `status` of 0 the client gets no answer. A request that has already ended is left as it is.
+        The client gets no answer if `status` is 0. Do nothing if the request has already ended.
         """
         request = self.requests.get(request_id)
         if request is None or request.has_ended:
@@ -213,7 +226,7 @@
         self.post(RequestEnded(request_id))
 
     def _end_by_decision(self, request_id: int, request: RequestInFlight) -> None:
-        """End a request by a decision. The decider made that decision, so it needs no notification."""
+        """End a request by a decision of the decider, which therefore needs no notification."""
         self._end_request(request)
         if not request.attempts_in_flight:
             self.forget_request(request_id)
@@ -221,20 +234,21 @@
     def _on_watchdog_expired(self, request_id: int) -> None:
         """Called when the deadline of a request and the grace period after it have passed.
 
-        The decider gets a turn first, and the request fails only if it is unanswered after that. If the
-        process was stalled, the decider's own timer is only due now as well. A rejection by the decider tells
-        the client more than a failure does.
+        The decider gets a turn first, and the request fails only if it is unanswered after that. After a
+        stall of the process, the decider's own timer may be due but not have fired yet. If the decider
+        rejects the request, the client learns that it may safely retry, which a failure does not tell it.
         """
         self.decision_loop.schedule_turn()
         self.loop.call_soon(self._fail_if_unanswered, request_id)
 
     def _fail_if_unanswered(self, request_id: int) -> None:
-        """Fail the request if the decider has not answered it in time: its client must get an answer."""
+        """Fail the request if the decider has not answered it, because its client must get an answer."""
         request = self.requests.get(request_id)
         if request is not None and not request.has_ended:
             trace_id = request.parsed.trace_id.decode("latin-1")
             log.error(
-                "the decider did not answer request %s (request id %d) in time; answering with status 500",
+                "the decider did not answer the request with trace id %s (request id %d) in time;"
+                " answering with status 500",
                 trace_id,
                 request_id,
             )
@@ -245,17 +259,17 @@
     def apply(self, action: Action) -> None:
         """Carry out one action."""
         handler = self.action_handlers.get(type(action))
-        if handler is None:  # an action that `Gateway` never returns
+        if handler is None:  # `Gateway`, the decider in use, never returns such an action
             log.warning("ignoring action %s: the proxy has no handler for it", type(action).__name__)
         else:
             handler(action)
 
     def fail_request(self, request_id: int) -> None:
-        """Fail the request with status 500 because the decider gives it no answer."""
+        """Fail the request with status 500, because the decider has not answered it or has failed."""
         self._end_without_decision(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
 
     def forget_request(self, request_id: int) -> None:
-        """Forget the request: the decider will not refer to it any more."""
+        """Forget the request, to which the decider no longer refers."""
         self.requests.pop(request_id, None)
 
     # Attempts
@@ -263,8 +277,8 @@
     def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt. For a known request, exactly one `AttemptEnded` follows, even if nothing is sent.
 
-        All steps are in one function, because it runs for each attempt and every call costs time: register
-        the attempt, check whether it may be sent, fill in its details, pass it to the pool.
+        The steps are to register the attempt, check whether it may be sent, fill in its details, and pass it
+        to the pool. They are in one function, because it runs for each attempt and every call costs time.
         """
         request = self.requests.get(action.request_id)
         if request is None:
@@ -278,13 +292,13 @@
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if not request.has_ended:
-            request.client_request.connection.close_if_client_disconnected()  # if so, this ends the request
+            request.client_request.connection.close_if_client_disconnected()  # this may end the request
         address = self.endpoint_addresses.get(action.endpoint_id)
         time_left_us = request.deadline_us - now_us
-        if action.timeout_us > 0:
+        if action.timeout_us > 0:  # 0: no timeout of its own
             time_left_us = min(time_left_us, action.timeout_us)
-        # The decider respects `max_attempts` itself. A faulty decider that retried without end would flood
-        # the upstreams until the deadline, so attempts beyond the limit end as NOT_SENT here.
+        # The decider respects `max_attempts` itself. But a faulty decider that retried without end would
+        # flood the upstreams until the deadline, so attempts beyond the limit end as NOT_SENT here.
         is_allowed = time_left_us > 0 and attempt_index < self.settings.max_attempts
         if request.has_ended or address is None or not is_allowed:
             attempt.finish(Outcome.NOT_SENT)
@@ -292,14 +306,14 @@
         attempt.address = address
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
-        # A connection may be established long after the attempt's start; the client must still be connected.
+        # The connection may be established long after this check, so the client is then checked again.
         attempt.on_connected = request.client_request.connection.close_if_client_disconnected
-        if action.send_within_us:
+        if action.send_within_us:  # 0: no limit
             self._set_send_deadline(attempt, action.send_within_us)
         self.pool.send(attempt)
 
     def _set_send_deadline(self, attempt: Attempt, send_within_us: int) -> None:
-        """Limit when the last byte of the attempt's request may be sent.
+        """Let the attempt end if its request has not been sent completely `send_within_us` after its start.
 
         An upstream forgets an idempotency key after some time, so the request must not be sent later.
         """
@@ -310,8 +324,8 @@
     def _on_connected(self, attempt: Attempt, send_by_us: int, next_callback: Callable[[], object]) -> None:
         """Called when the connection of an attempt with a send deadline has been established.
 
-        The clock is checked in addition to the timer: after a stall of the process, the timer may be due but
-        not have fired yet.
+        Ends the attempt if its send deadline has passed. The clock is checked in addition to the timer,
+        because the timer may be due but not have fired yet after a stall of the process.
         """
         if self.clock.now_us() > send_by_us:
             attempt.on_send_deadline()
@@ -352,11 +366,12 @@
     # Final answers without an upstream response
 
     def _reject(self, action: Reject) -> None:
+        """Answer the request with 503 if any attempt was started, else with 429."""
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
-        # The decider respects these limits itself. A faulty decider could return a longer delay, or a delay
-        # although the settings forbid the header, and clients would stay away for that time.
+        # The decider respects these limits itself. But a faulty decider could return a longer delay, or a
+        # delay although the settings forbid the header, and clients would send nothing for that time.
         retry_after_us = 0
         if self.settings.may_send_retry_after:
             retry_after_us = min(action.retry_after_us, self.settings.max_retry_after_us)
@@ -366,6 +381,7 @@
         self._end_by_decision(action.request_id, request)
 
     def _fail(self, action: Fail) -> None:
+        """Answer the request with 502."""
         request = self.requests.get(action.request_id)
         if request is None or request.has_ended:
             return
@@ -386,7 +402,8 @@
     def _post_when_due(self, due_us: int, event: TimerFired) -> None:
         """Post the event at `due_us` or later, never earlier.
 
-        The event loop's timers may fire up to a millisecond early; the decider would find nothing due then.
+        The event loop's timers may fire up to a millisecond early. The decider would then find no callback
+        due and set no further timer.
         """
         left_us = due_us - self.clock.now_us()
         if left_us > 0:
--- a/yardlane/proxy/request_in_flight.py
+++ b/yardlane/proxy/request_in_flight.py
@@ -1,4 +1,4 @@
-"""A request of a client, from its arrival until it is forgotten."""
+"""Defines the record that the proxy keeps of a client's request, from its arrival until it is forgotten."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from yardlane.proxy.request_validation import ParsedRequest
 from yardlane.units import US_PER_MS
 
-MIN_EXPIRES_IN_MS = 1
+MIN_EXPIRES_IN_MS = 1  # also sent if less than a millisecond is left
 
 
 class RequestInFlight:
     """A request that the proxy keeps until the decider knows that it and all its attempts have ended.
 
-    `has_ended` is true once the request has its final answer or its client has disconnected; its attempts may
-    still be in flight then.
+    `has_ended` is true once the request has its final answer or its client has disconnected; some of its
+    attempts may still be in flight then. `deadline_us` is a time of the proxy's clock.
     """
 
     __slots__ = (
@@ -39,7 +39,7 @@
         self.watchdog_timer: asyncio.TimerHandle | None = None
 
     def encode(self, time_left_us: int) -> bytes:
-        """Return the bytes of the request to an upstream; `time_left_us` becomes the X-Expires-In header."""
+        """Return the request as it is sent to an upstream, with `time_left_us` as its X-Expires-In header."""
         parsed = self.parsed
         content_length = b"Content-Length: %d\r\n" % len(parsed.body) if parsed.is_write else b""
         expires_in_ms = max(MIN_EXPIRES_IN_MS, time_left_us // US_PER_MS)
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -1,10 +1,9 @@
 """Parses the bytes of a client into complete HTTP requests, and enforces framing rules and size limits.
 
-This module does no I/O and reads no clock.
-
 httptools parses the bytes and calls a method of `RequestParser` for each part of a message. `RequestParser`
 collects the parts of one message. It raises `FatalRequestError` if the rest of the connection can no longer
-be parsed reliably. `request_validation` interprets the collected request.
+be parsed reliably. `request_validation` interprets the collected request. This module does no I/O and reads
+no clock.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 log = logging.getLogger("yardlane.proxy.request_parser")
 
-MAX_HEAD_BYTES = 16_384
+MAX_HEAD_BYTES = 16_384  # of the request target, the header lines and the trailer lines
 MAX_BODY_BYTES = 65_536
 HEADER_LINE_EXTRA_BYTES = 4  # the colon, the space and the CRLF
 
@@ -51,7 +50,7 @@
         HOST_HEADER,
     )
 )
-# Headers that apply to a single connection only, or that the proxy writes itself.
+# Headers that apply only to the client's connection, or that the proxy writes itself.
 NON_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
@@ -78,7 +77,10 @@
         """Called when a client waits for 100 Continue before it sends the body."""
 
     def on_request(self) -> None:
-        """Called when a complete request has been parsed; its parts stay in the parser until the next one."""
+        """Called when a complete request has been parsed.
+
+        The parser keeps the parts of the request until the next request begins.
+        """
 
 
 class RequestParser:
@@ -104,7 +106,7 @@
         self._receiver: RequestReceiver | None = receiver
         self._http: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.is_in_message = False
-        self.method = b""  # as received; valid from `on_request` on, like the next attribute
+        self.method = b""  # set when the request is complete, like `should_keep_alive`
         self.should_keep_alive = True
         self.url = b""
         self.headers: dict[bytes, bytes] = {}  # the headers that the proxy reads, by lower-case name
@@ -121,11 +123,11 @@
         self._receiver = None
 
     def abandon_message(self) -> None:
-        """Regard the current message as ended; the rest of it is not read."""
+        """Mark the current message as ended, because the rest of it will not be parsed."""
         self.is_in_message = False
 
     def feed(self, data: bytes) -> bool:
-        """Parse `data`; return False if the client asked for another protocol.
+        """Parse `data`; return False if the client asked to change to another protocol.
 
         The bytes that follow may then be of that protocol.
 
@@ -142,7 +144,7 @@
         return True
 
     def http_version(self) -> str:
-        """Return the HTTP version as a number only, such as `1.1`."""
+        """Return the HTTP version without the name of the protocol, such as `1.1`."""
         assert self._http is not None
         return self._http.get_http_version()
 
@@ -170,7 +172,7 @@
             raise _head_too_long()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called with each complete header, including those in the trailer of a chunked body."""
+        """Called with each complete header; ignores those in the trailer of a chunked body."""
         self.head_bytes += len(name) + len(value) + HEADER_LINE_EXTRA_BYTES
         if self.head_bytes > MAX_HEAD_BYTES:
             raise _head_too_long()
@@ -191,8 +193,8 @@
     def _check_framing(self, key: bytes, value: bytes) -> None:
         """Raise `FatalRequestError` if the framing headers are ambiguous or the body is too long.
 
-        A request may have at most one framing header, and its transfer coding may only be chunked. If the
-        length of a body could be understood in two ways, an upstream might take part of the body for another
+        A request may have at most one framing header, and the only allowed transfer coding is chunked. If the
+        length of a body could be interpreted in two ways, an upstream might treat part of the body as another
         request (request smuggling).
         """
         is_unsupported_coding = key == TRANSFER_ENCODING and value.strip().lower() != b"chunked"
@@ -203,7 +205,7 @@
             raise _body_too_long()
 
     def on_headers_complete(self) -> None:
-        """Called at the end of the head."""
+        """Called at the end of the head; notifies the receiver if the client waits for 100 Continue."""
         self._is_in_trailer = True
         if EXPECT not in self.headers or self._receiver is None:
             return
@@ -218,7 +220,7 @@
         self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """Called at the last byte of a message."""
+        """Called at the last byte of a message; passes the request to the receiver."""
         self.is_in_message = False
         if self._http is None or self._receiver is None:
             return
@@ -228,7 +230,7 @@
 
 
 def _to_client_error(error: httptools.HttpParserError) -> ClientProtocolError:
-    """Return the error that answers the client after an error of httptools.
+    """Return the error with which the client is answered after an error of httptools.
 
     If a callback raised an exception, httptools raises its own error with that exception as the context.
     """
@@ -236,14 +238,12 @@
     if isinstance(cause, ClientProtocolError):
         return cause
     if cause is not None:
-        log.error(
-            "unexpected exception while parsing a request, which is answered with status 400: %r", cause
-        )
+        log.error("unexpected exception %r while parsing a client request; answering with status 400", cause)
     return FatalRequestError(Status.BAD_REQUEST, "malformed request")
 
 
 def _head_too_long() -> FatalRequestError:
-    """Return the error for a head over the limit; a head of unlimited size would fill the memory."""
+    """Return the error for a head over the limit, without which a head could fill the memory."""
     return FatalRequestError(Status.REQUEST_HEADER_FIELDS_TOO_LARGE, f"head over {MAX_HEAD_BYTES} bytes")
 
 
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -1,11 +1,14 @@
 """Validates a complete HTTP request and converts it to a `ParsedRequest`.
 
-Only this module maps the names on the wire to the terms that the rest of the program uses:
+The headers of a client's request, and the terms that the rest of the program uses for their values:
 
-    X-Trace-Id        trace_id          X-Qos             request_class
-    Plan              quota_plan        Account           tenant
-    X-Expires-In      time_left_us      X-Second-Try      is_retry
-    Quota-Info        units, gateway_count (spread), first_gateway (first)
+    X-Trace-Id      trace_id
+    X-Qos           request_class
+    Plan            quota_plan
+    Account         tenant
+    X-Expires-In    time_left_us
+    X-Second-Try    is_retry
+    Quota-Info      units=, spread=, first=: units, gateway_count, first_gateway
 
 The unit in X-Expires-In is `m` for milliseconds or `u` for microseconds: `250m` is a quarter of a second.
 """
@@ -36,16 +39,16 @@
 )
 from yardlane.units import US_PER_MS
 
-MAX_EXPIRES_IN_US = 3_600_000_000
-# Deducted from the client's time for the transit of request and response, and for the proxy's own processing.
+MAX_EXPIRES_IN_US = 3_600_000_000  # one hour; a request with a longer time is invalid
+# Deducted from the time left, for the transit of request and response and for the proxy's own processing.
 TRANSIT_MARGIN_US = 10_000
-# A plan without a rate has no bucket that limits the units of a request. This limit keeps huge numbers out of
-# the sums of units.
+# The maximum cost of a request under a plan without a rate, which has no token bucket to limit it. This limit
+# keeps huge numbers out of the sums of units.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
 MAX_QUOTA_INFO_BYTES = 100
-QUOTA_INFO_CACHE_SIZE = 512  # few values recur; the other values must not fill the memory
+QUOTA_INFO_CACHE_SIZE = 512  # only a few values recur; the limit keeps the others from filling the memory
 TENANT_BASE = 16
-TENANT_LIMIT = 2**33  # set by the protocol; 16 hexadecimal digits could hold more
+TENANT_LIMIT = 2**33  # tenants are below this limit of the protocol, although 16 hexadecimal digits hold more
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
@@ -55,13 +58,15 @@
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-@dataclass(slots=True)  # if frozen, construction makes one extra call per field
+@dataclass(slots=True)  # not frozen, because construction would then make one extra call per field
 class ParsedRequest:
     """A valid request. `request_class` and `quota_plan` are indices into the settings.
 
-    `units` is the cost of the request, which counts against the rates of its plan. The tenant's requests go
-    to `gateway_count` gateways with consecutive ranks, beginning with rank `first_gateway`. `head` is the
-    forwarded head without the headers that the proxy writes itself.
+    `time_left_us` is counted from the arrival of the request. `units` is the cost of the request, which
+    counts against the rates of its plan. The tenant's requests go to `gateway_count` gateways with
+    consecutive ranks, beginning with rank `first_gateway` and continuing at rank 0 after the last gateway of
+    the fleet. `head` is the request line and the forwarded headers, without those that the proxy writes
+    itself.
     """
 
     trace_id: bytes
@@ -81,8 +86,8 @@
 class QuotaInfo(NamedTuple):
     """The content of a Quota-Info header.
 
-    `units` is the cost of the request. The other fields say which gateways serve the tenant, according to
-    the client's gateway list; see `ParsedRequest`.
+    `units` is the cost of the request. The other fields say which gateways serve the tenant according to the
+    client's list of gateways; see `ParsedRequest`.
     """
 
     units: float
@@ -91,7 +96,10 @@
 
 
 class ClassRule(NamedTuple):
-    """The requirements for requests of one class, which has the index `settings_index` in the settings."""
+    """The requirements for requests of one class, which has the index `settings_index` in the settings.
+
+    `deadline_us` is counted from the arrival of a request.
+    """
 
     settings_index: int
     method: bytes
@@ -100,14 +108,18 @@
 
 
 class PlanRule(NamedTuple):
-    """The limit for requests under one plan, which has the index `settings_index` in the settings."""
+    """The maximum cost of a request under one plan, which has the index `settings_index` in the settings."""
 
     settings_index: int
     max_units: float
 
 
 class RequestRules(NamedTuple):
-    """The rules that requests are checked against; classes and plans are keyed by their names on the wire."""
+    """The rules that requests are checked against.
+
+    Classes and plans are keyed by their names on the wire. `fleet_size` is the number of gateways in the
+    fleet.
+    """
 
     classes: Mapping[bytes, ClassRule]
     plans: Mapping[bytes, PlanRule]
@@ -115,7 +127,7 @@
 
     @classmethod
     def from_config(cls, config: Config) -> RequestRules:
-        """Return the rules that follow from the configuration; they stay the same until the process ends."""
+        """Return the rules that follow from the configuration; a reload does not change them."""
         settings = config.settings
         return cls(
             classes={
@@ -131,6 +143,7 @@
 
 
 def _class_rule(index: int, request_class: RequestClass) -> ClassRule:
+    """Return the rule for a class: its method is GET if its requests are idempotent, else POST."""
     is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     return ClassRule(
         settings_index=index,
@@ -158,7 +171,8 @@
 ) -> ParsedRequest:
     """Return the request that `parser` has collected. Raises `InvalidRequest` if it is not valid.
 
-    `open_trace_ids` holds the trace ids of the pending requests, which a new request must not use.
+    `open_trace_ids` holds the trace ids of the unanswered requests of this process; a new request must not
+    use one of them.
     """
     headers = parser.headers
     class_rule = _read_class(headers, rules)
@@ -219,10 +233,10 @@
 
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
-    """Return the trace id. Raises `InvalidRequest` if it is malformed or belongs to a pending request.
+    """Return the trace id.
 
-    Upstreams identify a request by its trace id, so they could not tell two pending requests with the same
-    trace id apart.
+    Raises `InvalidRequest` if it is malformed or belongs to an unanswered request of this process. Upstreams
+    identify a request by its trace id, so they could not distinguish the two requests.
     """
     trace_id = headers.get(TRACE_ID_HEADER, b"")
     if not TOKEN_PATTERN.fullmatch(trace_id):
@@ -248,9 +262,10 @@
 
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
-    """Return the shorter of the client's remaining time (X-Expires-In) and the deadline of the class.
+    """Return the shorter of X-Expires-In and the deadline of the class, less `TRANSIT_MARGIN_US`.
 
-    `TRANSIT_MARGIN_US` is deducted, so that the response reaches the client in time.
+    The deduction lets the response reach the client in time. The result is at least 1. Raises
+    `InvalidRequest` if X-Expires-In is malformed, 0, or more than `MAX_EXPIRES_IN_US`.
     """
     duration = DURATION_PATTERN.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
@@ -275,7 +290,7 @@
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
 def decode_quota_info(text: bytes, fleet_size: int) -> QuotaInfo | None:
-    """Return the content of a Quota-Info header, or None if the header is malformed.
+    """Return the content of a Quota-Info header, or None if a field is missing, malformed or out of range.
 
     `fleet_size` is the number of gateways in the fleet.
     """
