--- a/tests/client_side.py
+++ b/tests/client_side.py
@@ -23,7 +23,7 @@
 
 
 class ManualClock:
-    """Replaces the clock of a `ClientServer` by one that the test advances."""
+    """Replaces the clock of a `ClientServer` with one that the test advances."""
 
     def __init__(self, server: ClientServer, time_s: float = 1000.0) -> None:
         self.server = server
@@ -51,13 +51,13 @@
 
 
 def only_connection(server: RunningServer) -> ClientConnection:
-    """Return the only open client connection. Raises ValueError if there is not exactly one."""
+    """Return the only client connection. Raises ValueError if there is not exactly one."""
     [connection] = server.clients.connections
     return connection
 
 
 def limit_send_buffer(connection: ClientConnection) -> None:
-    """Shrink the kernel's send buffer, so that most of a large response stays in the transport."""
+    """Shrink the kernel's send buffer, so that most of a large response stays in the transport's buffer."""
     assert connection.transport is not None
     client_socket = connection.transport.get_extra_info("socket")
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
@@ -66,7 +66,7 @@
 async def wait_until_released(server: RunningServer) -> None:
     """Wait until no request and no upstream connection is left.
 
-    Also assert that each request has ended once, and that its trace id is free.
+    Then assert that each request has ended exactly once and that no trace id is in use.
     """
     while server.proxy.requests or server.pool.connections:
         await asyncio.sleep(0)
--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Tests that each request on a connection gets one response, in order, and that closing loses none."""
+"""Tests that each request on a connection gets one response, in order, and that closing loses no response."""
 
 import asyncio
 import gc
@@ -36,7 +36,7 @@
 
 @uvloop_test
 async def test_pipelined_requests_are_answered_once_and_in_order() -> None:
-    """The gateway answers three pipelined requests in reverse order. Each response must wait until all
+    """The decider answers three pipelined requests in reverse order. Each response must wait until all
     earlier requests have been answered."""
     arrived: list[int] = []
 
@@ -56,8 +56,8 @@
 
 @uvloop_test
 async def test_requests_of_one_read_beyond_the_pipelining_limit_are_rejected() -> None:
-    """One read brings more requests than a connection may have pending. Pausing the socket is too late for
-    the excess requests, so they must be rejected with 503."""
+    """One read brings more requests than `MAX_PENDING_REQUESTS`. Pausing the reading comes too late for the
+    excess requests, so each of them must be answered with 503."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         reader, writer = await server.connect_client()
@@ -75,8 +75,8 @@
 
 @uvloop_test
 async def test_too_many_pipelined_requests_close_the_connection() -> None:
-    """A client sends hundreds of requests without reading any response. The responses must not fill the
-    memory, so the connection is closed."""
+    """A client sends hundreds of requests at once. The requests and their responses must not fill the memory,
+    so the connection must close after a limited number of responses."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         reader, writer = await server.connect_client()
         writer.write(pipelined_requests(600))
@@ -115,8 +115,9 @@
 
 @uvloop_test
 async def test_partial_request_after_the_last_one_does_not_time_out_pending_requests() -> None:
-    """While draining, the connection is to close after the second request. Part of a third request follows
-    and is never completed. Its timeout must not end the first request, which is still pending."""
+    """While draining, the second request is answered, so the connection will close after its response. Part
+    of a third request has arrived and is never completed. Its timeout must not end the first request, which
+    is still pending."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         clients = server.clients
--- a/tests/proxy/test_client_disconnect.py
+++ b/tests/proxy/test_client_disconnect.py
@@ -1,8 +1,8 @@
 """Tests that no attempt starts for a client that has disconnected, and that its requests are released.
 
-A client that gives up closes its connection. Attempts that start after that take capacity from the requests
-of other clients. The event loop reports a disconnect only in its next iteration, and does not report it at
-all while reading is paused. Therefore the proxy checks the socket itself.
+A client that no longer waits for a response closes its connection. Attempts that start after that would take
+capacity from the requests of other clients. The event loop reports a disconnect only in its next iteration,
+and does not report it at all while reading is paused. Therefore the proxy checks the socket itself.
 """
 
 import asyncio
@@ -81,7 +81,7 @@
     return pytest.mark.parametrize("disconnect", [close, reset, half_close])(run)
 
 
-# Disconnects that the event loop reports or the reaper finds.
+# Disconnects that the event loop reports, or that the periodic timeout check finds.
 
 
 @parametrize_disconnect
@@ -131,7 +131,7 @@
 @parametrize_disconnect
 async def test_disconnect_while_queued_frees_the_place_in_the_queue(disconnect: Disconnect) -> None:
     """The client of a queued request disconnects. The next request must take its place in the queue, and the
-    gateway must keep no record of the request."""
+    gateway must not keep any state of the request whose client has disconnected."""
     async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
         gateway = cast(Gateway, server.proxy.decision_loop.decider)
         first, to_first = await server.connect_client()
@@ -164,8 +164,8 @@
 
 @parametrize_disconnect
 async def test_disconnect_before_a_retry_prevents_the_retry(disconnect: Disconnect) -> None:
-    """The client disconnects during the first attempt. The endpoint has not run the request, so the request
-    could be retried at the other endpoint, but it must not be."""
+    """The client disconnects during the first attempt. The endpoint reports that it has not run the request,
+    which would allow a retry at the other endpoint. The retry must not be sent."""
     async with (
         FakeServer() as one,
         FakeServer() as two,
@@ -196,8 +196,8 @@
 
 @parametrize_disconnect
 async def test_timeout_check_finds_a_disconnect_on_a_paused_connection(disconnect: Disconnect) -> None:
-    """A connection with the maximum number of pending requests is not read, so the event loop does not report
-    the disconnect. The reaper must find it."""
+    """Reading is paused on a connection with `MAX_PENDING_REQUESTS`, so the event loop does not report the
+    disconnect. The periodic timeout check must find it."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script, settings=settings_dict(profiles=LONG_DEADLINE_CLASSES)) as server:
         _, to_proxy = await server.connect_client()
@@ -208,12 +208,12 @@
         await wait_until_released(server)
 
 
-# Disconnects that neither the event loop reports nor the reaper finds, because reading is paused and the
-# reaper is stopped.
+# Disconnects that only the check before an attempt can find: the event loop does not report them, because
+# reading is paused or it has not handled the close yet, and the periodic timeout checks are stopped.
 
 
 def stop_timeout_checks_and_record_attempts(server: RunningServer) -> list[Attempt]:
-    """Stop the reaper; return a list that collects the attempts that start from now on."""
+    """Stop the periodic timeout checks; return a list that collects the attempts that start from now on."""
     server.clients.check_all_timeouts = lambda: None  # type: ignore[method-assign]
     started_attempts: list[Attempt] = []
     send = server.pool.send
@@ -227,7 +227,7 @@
 
 
 async def fill_pipeline(server: RunningServer) -> asyncio.StreamWriter:
-    """Connect a client and make so many of its requests pending that its connection is not read."""
+    """Connect a client that sends `MAX_PENDING_REQUESTS`, so that reading from its connection is paused."""
     _, to_proxy = await server.connect_client()
     to_proxy.write(pipelined_requests(MAX_PENDING_REQUESTS))
     while len(server.proxy.requests) < MAX_PENDING_REQUESTS:
@@ -252,8 +252,8 @@
 
 @parametrize_disconnect
 async def test_first_attempt_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
-    """The gateway decides to start the first attempt of a request after the client has disconnected. The
-    proxy must not start it, and must end all requests of the connection."""
+    """The decider starts the first attempt of a request after the client has disconnected. The proxy must not
+    send it, and must end all requests of the connection."""
     script = ScriptedDecider(leave_pending)
     async with running_server_with_backend(script) as (server, _):
         started_attempts = stop_timeout_checks_and_record_attempts(server)
@@ -267,7 +267,7 @@
 
 @parametrize_disconnect
 async def test_queued_request_is_not_sent_after_disconnect(disconnect: Disconnect) -> None:
-    """One request is in flight, and the others of the same connection are queued by the concurrency limit.
+    """One request is in flight, and the concurrency limit keeps the others of the same connection queued.
     When the first one ends after the disconnect, none of the queued requests may be sent."""
     async with running_server_with_backend(settings=CONCURRENCY_1_SETTINGS) as (server, backend):
         started_attempts = stop_timeout_checks_and_record_attempts(server)
@@ -287,8 +287,8 @@
 
 @parametrize_disconnect
 async def test_retry_does_not_start_after_disconnect(disconnect: Disconnect) -> None:
-    """After the disconnect, the backend reports that it has not run any of the four requests, and the gateway
-    asks for a retry of each. None of the retries may start."""
+    """After the disconnect, the backend reports that it has not run any of the four requests, and the decider
+    starts a retry of each. None of the retries may be sent."""
 
     def retry(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and not event.request_ended:
@@ -316,8 +316,8 @@
 async def test_nothing_is_sent_on_an_upstream_connection_established_after_disconnect(
     disconnect: Disconnect,
 ) -> None:
-    """The attempts have started, and their upstream connections are established after the disconnect. Nothing
-    may be sent on them."""
+    """The upstream connections of the attempts are established only after the disconnect. Nothing may be sent
+    on them."""
     script = ScriptedDecider(forward_all)
     async with running_server_with_backend(script) as (server, backend):
         stop_timeout_checks_and_record_attempts(server)
@@ -340,7 +340,7 @@
 async def connect_slow_reader(
     server: RunningServer, requests: int
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter, ClientConnection]:
-    """Connect a client that sends requests and reads no responses until the test resumes reading.
+    """Connect a client that sends `requests` requests and reads no response until the test resumes reading.
 
     The kernel's buffers on both sides hold far less than one response with `LARGE_BODY`.
     """
@@ -420,8 +420,8 @@
 def test_attempt_does_not_start_for_a_request_that_arrives_together_with_the_close(
     disconnect: Callable[[socket.socket], None],
 ) -> None:
-    """A request and the close arrive in the same event loop iteration, and the event loop reads the request
-    first. The proxy must notice the close before it starts an attempt."""
+    """A request and the close of its connection arrive in the same event loop iteration, and the event loop
+    reads the request first. The proxy must notice the close before it sends an attempt."""
 
     @uvloop_test
     async def run() -> None:
--- a/tests/proxy/test_client_server.py
+++ b/tests/proxy/test_client_server.py
@@ -1,4 +1,4 @@
-"""Tests which connections the server closes at the connection limit, and accepting without descriptors."""
+"""Tests which connections close at the connection limit, and what happens if no descriptor is free."""
 
 import asyncio
 
@@ -19,8 +19,9 @@
 
 @uvloop_test
 async def test_full_server_closes_silent_connections_but_not_busy_ones() -> None:
-    """Clients that send nothing hold all connections and could lock out the others. Each new client must
-    replace one of them, until all connections have a pending request; then a new client is refused."""
+    """Clients that send nothing hold all connections, so others could not connect. The connection of each new
+    client must replace one of theirs, until all connections have a pending request. Then a new client must be
+    refused."""
     script = ScriptedDecider(leave_pending)
     async with running_server(script) as server:
         clients = server.clients
@@ -41,8 +42,8 @@
 
 @uvloop_test
 async def test_full_server_closes_the_longest_idle_connection_only_after_two_seconds() -> None:
-    """A client whose last response was sent a moment ago may be sending its next request. Closing its
-    connection would lose that request."""
+    """A client that received a response a moment ago may be sending its next request. Closing its connection
+    would lose that request."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
         clock = ManualClock(clients)
@@ -67,7 +68,7 @@
 @uvloop_test
 async def test_listener_accepts_again_after_running_out_of_descriptors() -> None:
     """The first call of `accept` fails because no file descriptor is free. The waiting connection must be
-    accepted after the pause."""
+    accepted after a pause."""
     loop = asyncio.get_running_loop()
     async with running_server(ScriptedDecider(leave_pending)) as server:
         listener: Listener = server.clients.listener
--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -1,4 +1,4 @@
-"""Tests that slow clients time out, and that time lost by the proxy itself does not count against clients."""
+"""Tests that slow clients time out, and that no client times out because the proxy was stalled."""
 
 import asyncio
 
@@ -34,8 +34,8 @@
 
 @uvloop_test
 async def test_request_sent_byte_by_byte_times_out() -> None:
-    """A client must not keep its connection open by sending a byte now and then. The timeout applies to the
-    whole request."""
+    """A client must not keep its connection open by sending single bytes. The timeout applies to the whole
+    request."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(reader, writer)] = await connect_clients(server, 1)
@@ -52,9 +52,9 @@
 
 @pytest.mark.parametrize("rest", [make_request(trace="a2")[:20], b"noise\r\n\r\n"])
 def test_fatal_request_error_behind_a_pending_request_ends_both_in_time(rest: bytes) -> None:
-    """The error response has to wait for the response to the pending request, but no longer than the request
-    timeout. The pending request is then answered with 502 rather than rejected, because it may have been
-    run."""
+    """The error response must wait for the response to the pending request, but no longer than the request
+    timeout. Then the pending request must be answered with 502, because it may have been run. A rejection
+    would wrongly tell the client that it may safely retry."""
 
     @uvloop_test
     async def run() -> None:
@@ -77,8 +77,8 @@
 
 @uvloop_test
 async def test_client_that_stays_connected_after_the_last_response_is_aborted() -> None:
-    """After the last response, the client does not close its side. It must not keep a file descriptor in
-    use."""
+    """The client does not close its side of the connection after the last response. The proxy must abort the
+    connection, which would otherwise keep a file descriptor in use."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         clock = ManualClock(server.clients)
         [(_, writer)] = await connect_clients(server, 1)
@@ -93,9 +93,9 @@
 
 @uvloop_test
 async def test_clients_do_not_time_out_while_the_proxy_is_stalled() -> None:
-    """The process stalls for longer than the request timeout. The rest of a request may have arrived in the
-    meantime without being read, so the request must not time out. A request must time out only if the client
-    is late while the proxy is running."""
+    """The process is stalled for longer than the request timeout. The rest of a request may have arrived in
+    the meantime without being read, so the request must not time out. A request must still time out if its
+    client is slow while the proxy is running."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         clients = server.clients
         reader, writer = await server.connect_client()
--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -15,7 +15,7 @@
 
 
 class RecordingHandler:
-    """Carries out nothing, and records what it is asked to do."""
+    """Records the calls of a decision loop without carrying them out."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
@@ -54,9 +54,9 @@
 
 @uvloop_test
 async def test_all_events_of_a_turn_are_handled_in_one_call() -> None:
-    """Several events arrive before the next turn. If each had its own call of the decider, the fixed cost of
-    a call would be spent on each. A retry could also go to an endpoint that a later event of the same turn
-    reports as draining."""
+    """Several events arrive before the next turn. A call of the decider for each event would cost more time
+    than one call for all. A retry could also go to an endpoint that a later event of the same turn reports as
+    draining."""
     batches: list[list[Event]] = []
     script = ScriptedDecider(leave_pending)
     handle = script.handle
@@ -78,8 +78,8 @@
 @uvloop_test
 async def test_exception_in_decider_keeps_earlier_actions_and_reposts_later_events() -> None:
     """The decider raises an exception on the second of three events. The action of the first event must be
-    carried out, the request of the second must fail, the third event must be handled in the next turn, and an
-    extra turn must follow for timers that were due."""
+    carried out, the request of the second must fail, and the third event must be handled in the next turn. An
+    extra turn must follow for callbacks that were due."""
     script = ScriptedDecider(reject_or_raise_on(2))
     decision_loop, handler = make_decision_loop(script)
     for request_id in (1, 2, 3):
@@ -98,8 +98,8 @@
 
 @uvloop_test
 async def test_failing_action_does_not_stop_later_actions() -> None:
-    """Carrying out an action raises an exception. The later actions belong to other requests, which would get
-    no answer if those actions were dropped."""
+    """Carrying out an action raises an exception. The later actions may belong to other requests, which would
+    get no answer if those actions were dropped."""
 
     def reject_after_unusable_action(event: Event) -> list[Action]:
         return [UNUSABLE_ACTION, Reject(1)]
@@ -130,9 +130,9 @@
 
 @uvloop_test
 async def test_exception_after_the_last_event_fails_the_request_of_that_event() -> None:
-    """A timer of the decider raises an exception after both events have been handled. The loop cannot tell
-    this from an exception of the last event, so the request of that event fails. The actions must still be
-    carried out, and no event may be handled twice."""
+    """A callback that is due in the decider raises an exception after both events have been handled. The loop
+    cannot distinguish this from an exception on the last event, so the request of that event fails. The
+    actions must still be carried out, and no event may be handled twice."""
     script = DeciderRaisingOutsideEvents(is_after_events=True)
     decision_loop, handler = make_decision_loop(script)
     decision_loop.post(RequestEnded(1))
@@ -145,8 +145,8 @@
 
 @uvloop_test
 async def test_exception_before_the_first_event_fails_no_request() -> None:
-    """The decider raises an exception before it reads an event. The exception belongs to no known request, so
-    no request may fail, and all events must be handled in the next turn."""
+    """The decider raises an exception before the first event. The exception belongs to no request, so no
+    request may fail, and all events must be handled in the next turn."""
     script = DeciderRaisingOutsideEvents(is_after_events=False)
     decision_loop, handler = make_decision_loop(script)
     decision_loop.post(RequestEnded(1))
--- a/tests/proxy/test_descriptor_limits.py
+++ b/tests/proxy/test_descriptor_limits.py
@@ -139,7 +139,7 @@
 
 def test_connection_limits_stay_within_the_available_descriptors() -> None:
     """All connections that the limits allow may be open at once. The limits must leave the descriptors that
-    the process itself needs, and must give at least a third of all to clients and to upstreams each."""
+    the process itself needs. Clients and upstreams must each get at least a third of all descriptors."""
     for descriptors in (256, 384, 512, 1024):
         limits = connection_limits(descriptors)
         assert limits.clients + limits.upstreams + RESERVED_DESCRIPTORS <= descriptors
@@ -152,10 +152,10 @@
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(
     is_silent: bool, configured: int, tmp_path: Path
 ) -> None:
-    """Discovery is down, and more idle clients connect than the process has descriptors: when it starts, and
-    again before discovery moves to another address. If the clients could take all descriptors, the process
-    could not connect to discovery once it is back, to the counter or to a backend, and could not serve any
-    request. This must also hold if the configuration allows more descriptors than the process's own limit."""
+    """Discovery is down when the process starts, and more idle clients connect than the process may hold
+    descriptors. More clients connect before discovery moves to another address. If clients could take all
+    descriptors, the process could not connect to discovery, the counter or a backend, and could not serve any
+    request. The same must hold if the configuration allows more descriptors than the process's own limit."""
 
     @uvloop_test
     async def run() -> None:
@@ -203,7 +203,7 @@
                     )
                 )
                 await watched.wait()
-                await idle_clients.connect(DESCRIPTORS)  # up to the limit again
+                await idle_clients.connect(DESCRIPTORS)  # takes all client connections again
                 await send_requests(port, *backends)
             process.send_signal(signal.SIGTERM)
             _, errors = await process.communicate()
--- a/tests/proxy/test_forwarding.py
+++ b/tests/proxy/test_forwarding.py
@@ -18,9 +18,8 @@
 
 @uvloop_test
 async def test_request_is_forwarded_unchanged_and_its_response_returned() -> None:
-    """A request is forwarded and its response returned. A changed header or body would break the client's
-    call or its idempotency key. If the deadline were passed on without a deduction, the backend could work on
-    a request whose client no longer waits."""
+    """A changed header or body would break the client's call or its idempotency key. If the time left were
+    forwarded without a deduction, the backend could work on a request whose client no longer waits."""
     async with running_server_with_backend() as (server, backend):
         client, to_proxy = await server.connect_client()
         to_proxy.write(make_request("file", Content_Length="5") + b"claim")
@@ -64,8 +63,8 @@
 
 @uvloop_test
 async def test_upstream_connection_is_reused() -> None:
-    """httptools reports only during its callback whether the upstream keeps the connection open, so the value
-    must be read there."""
+    """Whether the upstream keeps the connection open can be read from httptools only during a callback. If it
+    were read later, connections would not be reused."""
     async with running_server_with_backend() as (server, backend):
         server.pool.reuse_policy.reuse_delay_s = 0.0
         client, to_proxy = await server.connect_client()
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Tests that every request that arrives in time is answered during the graceful shutdown."""
+"""Tests that all requests that arrive in time are answered during the graceful shutdown."""
 
 import asyncio
 import socket
@@ -40,8 +40,9 @@
 
 
 def test_shutdown_timeout_ends_before_sigkill() -> None:
-    """SIGKILL follows SIGTERM after the longest deadline, of which at most 3 s count, plus 0.7 s. A request
-    that is open at that time gets no response. Therefore every request must be answered 0.3 s earlier."""
+    """SIGKILL follows SIGTERM after the longest deadline of a class (counted as 3 s at most) plus 0.7 s. A
+    request that is unanswered at that time gets no response. Therefore the shutdown timeout must end 0.3 s
+    earlier."""
 
     def timeout_us(*deadlines_us: int) -> int:
         [look, file] = settings_dict()["profiles"]
@@ -56,8 +57,8 @@
 
 @uvloop_test
 async def test_request_completed_after_the_shutdown_timeout_is_answered_with_500() -> None:
-    """The shutdown timeout has expired and all open requests have been answered with 500. Then the rest of an
-    incomplete request arrives, and its backend does not answer. The request must be answered with 500 too."""
+    """The shutdown timeout has expired, and all unanswered requests have been answered with 500. Then the
+    rest of an incomplete request arrives, and its backend does not answer. It must get status 500 too."""
     short = [{**c, "deadline_us": 200_000} for c in settings_dict()["profiles"]]
     script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
@@ -85,8 +86,8 @@
 
 @uvloop_test
 async def test_shutdown_waits_for_a_request_that_is_still_being_read() -> None:
-    """When the listener closes, part of a request has been read, and no request is in flight. The process
-    must not stop before the rest has arrived and the request has been answered."""
+    """When the listener closes, only part of a request has been read, and no other request is in flight. The
+    process must not stop before the rest has arrived and the request has been answered."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
@@ -131,7 +132,7 @@
 @uvloop_test
 async def test_listener_accepts_waiting_connections_before_it_closes() -> None:
     """Many connections wait in the kernel's backlog. Closing the listening socket would reset them, and their
-    requests would be lost. So the listener must accept all of them first."""
+    requests would be lost. Therefore the listener must accept all of them first."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
@@ -157,9 +158,9 @@
 
 @uvloop_test
 async def test_responses_are_not_lost_when_further_bytes_stay_unread() -> None:
-    """A connection is closed after its last response while further bytes of the client are unread. If the
-    socket were closed completely, the kernel would send a reset, and the client would lose the responses
-    that it has not read yet."""
+    """A connection closes after its last response while further bytes of the client are unread. If the proxy
+    closed both directions of the socket, the kernel would send a reset, and the client would lose the
+    responses that it has not read yet."""
     script = ScriptedDecider(forward_all)
     async with (
         FakeServer() as backend,
@@ -266,8 +267,8 @@
 
 @uvloop_test
 async def test_unanswered_request_is_answered_with_500_before_the_shutdown_ends() -> None:
-    """A backend hangs when the shutdown begins. Its request must be answered with 500 before the process is
-    stopped."""
+    """A backend has not answered a request when the shutdown begins, and never does. The request must be
+    answered with 500 before the process stops."""
     script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -32,15 +32,15 @@
 from yardlane.decisions.gateway import Gateway
 
 UNKNOWN_REQUEST_ID = 10**9
-EARLY_BY_S = 0.002
+EARLY_BY_S = 0.002  # how early the timers of an `EarlyTimerLoop` fire
 FAILING_TENANT = "0000000000000001"
 OTHER_TENANT = "0000000000000002"
 
 
 @uvloop_test
 async def test_exception_in_decider_fails_only_the_request_at_fault() -> None:
-    """The decider raises an exception on one of three requests that arrive in one read. That request is
-    answered with 500; the others and later requests must be decided as usual."""
+    """The decider raises an exception on one of three requests that arrive in one read. That request must be
+    answered with 500, and the others and later requests must be answered as the decider decides."""
 
     def raise_on_one_tenant(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived) and event.tenant == int(FAILING_TENANT, 16):
@@ -80,8 +80,8 @@
 
 @uvloop_test
 async def test_cancelling_a_nonexistent_attempt_has_no_effect() -> None:
-    """The decider cancels attempts that do not exist. If the index -1 were used as a Python index, it would
-    end the last attempt, and a request that a backend is processing would get no response."""
+    """The decider cancels attempts that do not exist. If -1 were used as a list index, it would end the last
+    attempt, and a request that a backend is processing would get no response."""
 
     def cancel_nonexistent_attempts(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
@@ -119,8 +119,8 @@
 
 @uvloop_test
 async def test_watchdog_fails_a_request_that_the_decider_never_answers() -> None:
-    """The decider never answers a request. Without the watchdog timer, the client would never get its final
-    answer, and the proxy would never forget the request."""
+    """The decider never answers a request. Without the watchdog timer, the client would never get an answer,
+    and the proxy would never forget the request."""
     async with running_server(ScriptedDecider(leave_pending)) as server:
         line, _, _ = await server.fetch(make_request(X_Expires_In="50m"))
         assert line.split()[1] == "500"
--- a/tests/proxy/test_reload.py
+++ b/tests/proxy/test_reload.py
@@ -40,8 +40,8 @@
 @uvloop_test
 async def test_full_list_is_fetched_when_the_discovery_address_changes() -> None:
     """The address of discovery changes while a watch is open. Each discovery server numbers its versions
-    itself, so the version of the old list means nothing to the new server. The complete list must be fetched
-    there, and the old list must be kept until it arrives."""
+    itself, so the version of the old list is meaningless to the new server. The complete list must be fetched
+    from the new server, and the old list must be kept until it arrives."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
@@ -73,9 +73,9 @@
 
 @uvloop_test
 async def test_written_counter_call_ends_at_the_old_address() -> None:
-    """The address of the counter changes while a call has been written but not answered. If the call were
-    written again at the new address, it could be added twice. Its reply is therefore awaited at the old
-    address, and only later calls go to the new one."""
+    """The address of the counter changes after a call has been written and before its reply arrives. If the
+    call were written again to the new address, its amount could be counted twice. Therefore its reply must be
+    awaited from the old address, and only later calls must go to the new one."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
@@ -98,7 +98,7 @@
 @uvloop_test
 async def test_unwritten_counter_call_goes_to_the_new_address() -> None:
     """The address of the counter changes before the connection to it is established. The call that waits for
-    the connection has not been written anywhere, so it may go to the new address."""
+    the connection has not been written yet, so it must go to the new address."""
     script = ScriptedDecider(leave_pending)
     async with (
         FakeServer() as old,
--- a/tests/proxy/test_request_parser.py
+++ b/tests/proxy/test_request_parser.py
@@ -100,8 +100,8 @@
     ],
 )
 def test_invalid_request_never_reaches_the_decider(request_bytes: bytes, status: int) -> None:
-    """A client sends a request that the protocol does not allow, or one whose length two parsers could
-    understand differently."""
+    """A client sends a request that the protocol does not allow, or whose length two parsers could interpret
+    differently. The proxy must answer it with an error, and must not pass it to the decider."""
 
     @uvloop_test
     async def run() -> None:
@@ -116,8 +116,8 @@
 
 @uvloop_test
 async def test_complete_chunked_body_is_accepted() -> None:
-    """A client sends a chunked body without a Content-Length, which HTTP allows. It must not be treated as
-    malformed: the request must reach the decider, which rejects it here."""
+    """A client sends a chunked body without a Content-Length, which HTTP allows. The request must not be
+    treated as malformed. It must reach the decider, which rejects it in this test."""
     async with running_server(ScriptedDecider(reject_all)) as server:
         request = make_request("file", Content_Length=None, Transfer_Encoding="chunked")
         line, _, _ = await server.fetch(request + b"3\r\nabc\r\n0\r\n\r\n")
@@ -152,8 +152,8 @@
 
 @uvloop_test
 async def test_trace_id_of_a_pending_request_is_rejected() -> None:
-    """Two clients use the same trace id. If both requests were pending, their responses could not be told
-    apart."""
+    """Two clients use the same trace id. If both requests were unanswered at the same time, upstreams could
+    not distinguish them, so the second one must be rejected."""
     script = ScriptedDecider(attempt_at_each(b"s-1"))
     async with running_server_with_backend(script) as (server, backend):
         client, to_proxy = await server.connect_client()
@@ -171,8 +171,8 @@
 
 @uvloop_test
 async def test_connection_survives_a_well_framed_invalid_request() -> None:
-    """A client names an unknown plan, but it is certain where its next request begins. That request must be
-    served."""
+    """A client names an unknown plan in a correctly framed request, so the proxy knows where the next request
+    begins. That request must be served."""
 
     def reject_with_retry_after(event: Event) -> list[Action]:
         return [Reject(event.request_id, 250_000)] if isinstance(event, RequestArrived) else []
