--- a/tests/proxy/test_client_timeouts.py
+++ b/tests/proxy/test_client_timeouts.py
@@ -102,15 +102,15 @@
         writer.write(make_request()[:-4])
         while not clients.has_pending_work():
             await asyncio.sleep(0)
-        stalled_until = clients.loop_time_s() + 100.0
-        clients.loop_time_s = lambda: stalled_until
+        stalled_until_s = clients.loop_time_s() + 100.0
+        clients.loop_time_s = lambda: stalled_until_s
         clients._on_timeout_check_due()
         writer.write(make_request()[-4:])
         assert await read_status(reader) == "429"
         writer.write(make_request()[:-4])
         while not clients.has_pending_work():
             await asyncio.sleep(0)
-        clients.timeout_check_due_s = stalled_until + REQUEST_TIMEOUT_S
-        clients.loop_time_s = lambda: stalled_until + REQUEST_TIMEOUT_S + 0.1
+        clients.timeout_check_due_s = stalled_until_s + REQUEST_TIMEOUT_S
+        clients.loop_time_s = lambda: stalled_until_s + REQUEST_TIMEOUT_S + 0.1
         clients._on_timeout_check_due()
         assert await read_status(reader) == "408"
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -35,7 +35,7 @@
 LINGERING_CLOSE_TIMEOUT_S = 1.0
 HEALTH_PATH = b"/_health"
 
-# Copies of enum members in module globals, which are faster to read: each request checks these states.
+# Each request checks these states, and reading a module global is faster than reading an enum member.
 OPEN = ClientState.OPEN
 LAST_REQUEST = ClientState.LAST_REQUEST
 ERROR_PENDING = ClientState.ERROR_PENDING
@@ -55,7 +55,10 @@
         """Return the time of the event loop's clock in seconds."""
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether so many connections are open that each must close after its newest request."""
+        """Return whether the number of open connections is near the limit.
+
+        If it is, each connection must close after the response to its newest request.
+        """
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
         """Called when the connection has been closed; from then on it does not count towards the limit."""
@@ -126,9 +129,9 @@
     def _update_reading(self) -> None:
         """Pause or resume reading from the socket.
 
-        Reading pauses while `MAX_PENDING_REQUESTS` or more are pending or the client does not read its
-        responses. The request timeout starts anew when reading resumes. After a fatal error and while
-        closing, the connection is always read, because closing a socket with unread bytes resets it.
+        Reading pauses while `MAX_PENDING_REQUESTS` or more requests are pending, or while the client does not
+        read its responses. After a fatal error and while closing, the connection is always read, because
+        closing a socket with unread bytes resets the connection.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -138,9 +141,8 @@
         if should_read is transport.is_reading():
             return
         if should_read:
-            self.request_timeout_started_s = (
-                self.server.loop_time_s()
-            )  # the client could not send during the pause
+            # The timeout starts anew, because the client could not send during the pause.
+            self.request_timeout_started_s = self.server.loop_time_s()
             transport.resume_reading()
         else:
             transport.pause_reading()
@@ -162,7 +164,8 @@
 
         The transport is aborted if the connection has been closed in the meantime to make room for another.
         """
-        transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        # The cast is needed because uvloop's transport is not a subclass of asyncio.Transport.
+        transport = cast(asyncio.Transport, transport)
         self.transport = transport
         if not self._change_state(ClientEvent.CONNECTED):
             transport.abort()
@@ -272,8 +275,8 @@
 
         A second response to the same request is discarded, and so is a response after the client has
         disconnected. The request's trace id becomes free for reuse. While draining or near the connection
-        limit, the connection closes after the response to its newest request. Otherwise, paused reading
-        resumes if it may.
+        limit, the connection closes after the response to its newest request. Otherwise, reading resumes if
+        it was paused and there is room for another request.
         """
         transport = self.transport
         if request.response or transport is None or transport.is_closing():
@@ -404,7 +407,7 @@
         return is_disconnected
 
     def _on_client_disconnected(self) -> None:
-        """Close the connection, which releases its pending requests, unless it is closing already."""
+        """Close the connection and release its pending requests, unless it is already closing."""
         if self._change_state(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
             self.transport.close()
 
@@ -435,11 +438,11 @@
             self.abort()
 
     def _check_request_timeout(self, now_s: float) -> None:
-        """Answer an incomplete request with 408 if the request timeout has expired.
+        """If the request timeout has expired, answer an incomplete request with 408 and close the connection.
 
-        Also have the handler answer the unanswered requests before it at once, and close the connection. The
-        timeout applies to the whole request, so a client cannot extend it by sending single bytes. In
-        ERROR_PENDING, it limits how long the error response waits for the responses to earlier requests.
+        The handler answers the unanswered requests before it at once. The timeout applies to the whole
+        request, so a client cannot extend it by sending single bytes. In ERROR_PENDING, it limits how long
+        the error response waits for the responses to earlier requests.
         """
         if now_s - self.request_timeout_started_s <= REQUEST_TIMEOUT_S:
             return
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -74,7 +74,10 @@
         self.connections.pop(connection, None)
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether so many connections are open that each must close after its newest request."""
+        """Return whether the number of open connections is near the limit.
+
+        If it is, each connection must close after the response to its newest request.
+        """
         return len(self.connections) > NEAR_LIMIT_SHARE * self.max_connections
 
     def _evict_connection(self) -> bool:
--- a/yardlane/proxy/client_state.py
+++ b/yardlane/proxy/client_state.py
@@ -35,10 +35,10 @@
 # and a test compares the two.
 #
 # - LAST_REQUEST and CLOSING ignore FATAL_REQUEST_ERROR. All bytes after the last request are discarded, so an
-#   error in them must not end the pending requests.
+#   error in them has no effect. In LAST_REQUEST, it must not end the pending requests.
 # - CLOSING ignores IDLE_CLOSED and CLIENT_DISCONNECTED, as the connection must not be closed a second time.
 #   Closing a socket with unread bytes resets the connection, and the client could lose the last response
-#   while it is still reading. Only ABORTED and TRANSPORT_LOST end this state.
+#   that it is still reading. Only ABORTED and TRANSPORT_LOST end this state.
 # - CLOSED allows CONNECTED, because an accepted connection may be aborted to make room for another one before
 #   its transport has been created. It allows TRANSPORT_LOST, because an aborted transport reports its loss.
 TRANSITIONS: dict[ClientState, dict[ClientEvent, ClientState]] = {
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -46,7 +46,7 @@
 
 
 class EventBatch(list[Event]):
-    """The events of one turn. `handled_count` counts those whose handling has begun."""
+    """The events of one turn. `handled_count` of them have been handled, including the one in progress."""
 
     handled_count = 0
 
@@ -56,7 +56,7 @@
             yield self[index]
 
     def last_handled(self) -> Event | None:
-        """Return the last event whose handling has begun, or None if there is none."""
+        """Return the event that is being handled or was handled last, or None if there is none."""
         if not self.handled_count:
             return None
         return self[self.handled_count - 1]
@@ -137,7 +137,7 @@
             self.handler.forget_request(request_id)
 
     def _recover(self, events: EventBatch) -> list[Action]:
-        """Fail the request of the event that raised the exception, and post the later events again.
+        """Fail the request of the event that was handled last, and post the later events again.
 
         Also schedule an extra turn. Return the actions that were decided before the exception.
         """
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -81,7 +81,7 @@
         self.requests: dict[int, RequestInFlight] = {}
         self.last_request_id = 0
         self.endpoint_addresses: Addresses = {}
-        self.has_usable_endpoint_list = False  # a cached list becomes usable when a poll has failed
+        self.has_usable_endpoint_list = False  # see `is_ready`
         self.drain_deadline_us = 0  # when all requests must be answered; 0 before the graceful shutdown
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
@@ -146,7 +146,7 @@
     def is_ready(self) -> bool:
         """Return whether there is a usable endpoint list.
 
-        A cached list counts only once a poll of discovery has failed.
+        A cached list becomes usable only when a poll of discovery has failed.
         """
         return self.has_usable_endpoint_list
 
@@ -265,7 +265,7 @@
             handler(action)
 
     def fail_request(self, request_id: int) -> None:
-        """Fail the request with status 500, because the decider has not answered it or has failed."""
+        """Fail the request with status 500: the decider has not answered it, or has raised an exception."""
         self._end_without_decision(request_id, Status.INTERNAL_SERVER_ERROR, FAILED_BODY)
 
     def forget_request(self, request_id: int) -> None:
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -1,6 +1,6 @@
 """Validates a complete HTTP request and converts it to a `ParsedRequest`.
 
-The headers of a client's request, and the terms that the rest of the program uses for their values:
+The headers of a client's request become these fields of `ParsedRequest`:
 
     X-Trace-Id      trace_id
     X-Qos           request_class
@@ -8,7 +8,7 @@
     Account         tenant
     X-Expires-In    time_left_us
     X-Second-Try    is_retry
-    Quota-Info      units=, spread=, first=: units, gateway_count, first_gateway
+    Quota-Info      units, gateway_count (`spread` on the wire), first_gateway (`first` on the wire)
 
 The unit in X-Expires-In is `m` for milliseconds or `u` for microseconds: `250m` is a quarter of a second.
 """
@@ -42,13 +42,13 @@
 MAX_EXPIRES_IN_US = 3_600_000_000  # one hour; a request with a longer time is invalid
 # Deducted from the time left, for the transit of request and response and for the proxy's own processing.
 TRANSIT_MARGIN_US = 10_000
-# The maximum cost of a request under a plan without a rate, which has no token bucket to limit it. This limit
-# keeps huge numbers out of the sums of units.
+# The maximum cost of a request under a plan without a rate or a hard rate, which has no token bucket to limit
+# it. This limit keeps huge numbers out of the sums of units.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
-MAX_QUOTA_INFO_BYTES = 100
+MAX_QUOTA_INFO_BYTES = 100  # a longer header is invalid; this also limits the size of the cached values
 QUOTA_INFO_CACHE_SIZE = 512  # only a few values recur; the limit keeps the others from filling the memory
 TENANT_BASE = 16
-TENANT_LIMIT = 2**33  # tenants are below this limit of the protocol, although 16 hexadecimal digits hold more
+TENANT_LIMIT = 2**33  # set by the protocol, although 16 hexadecimal digits could hold larger numbers
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
