--- a/tests/proxy/test_client_connection.py
+++ b/tests/proxy/test_client_connection.py
@@ -55,7 +55,7 @@
 
 
 @uvloop_test
-async def test_requests_of_one_read_beyond_the_pipelining_limit_are_rejected() -> None:
+async def test_excess_requests_of_one_read_are_rejected() -> None:
     """One read brings more requests than `MAX_PENDING_REQUESTS`. Pausing the reading comes too late for the
     excess requests, so each of them must be answered with 503."""
     script = ScriptedDecider(leave_pending)
