--- a/tests/decisions/test_counter_polling.py
+++ b/tests/decisions/test_counter_polling.py
@@ -18,7 +18,7 @@
 
 
 def test_periods_are_consecutive_and_have_different_keys() -> None:
-    periods = CountingPeriods(tenant=9, tenant_key=37, decay_us=2.0 * SECOND)
+    periods = CountingPeriods(tenant=9, tenant_key=37, decay_time_us=2.0 * SECOND)
     assert periods.period_us == 16 * SECOND
     index = periods.index_at(77 * SECOND)
     assert periods.start_us(index) <= 77 * SECOND < periods.start_us(index + 1)
@@ -32,7 +32,7 @@
     assert len(starts) == 100
 
 
-def test_tenant_with_a_valid_total_is_polled_rarely() -> None:
+def test_tenant_with_a_recent_total_is_polled_rarely() -> None:
     driver = GatewayDriver()
     exceed_rate(driver, 10)
     log_start = len(driver.action_log)
@@ -44,8 +44,8 @@
 def test_failing_counter_is_polled_less_often(failure: Outcome) -> None:
     """An overloaded counter gets fewer polls, so that it can recover.
 
-    174 gateways polled for each request, four times as often as the counter could serve. It stayed late, and
-    no gateway received a total again.
+    When 174 gateways polled for each request, they sent four times as many polls as the counter could serve.
+    It stayed late, and no gateway received a total again.
     """
     driver = GatewayDriver(gateway_count=250)
     driver.counter_responds = False
@@ -59,19 +59,21 @@
 def test_poll_under_backoff_is_scaled_up_for_skipped_polls() -> None:
     driver = GatewayDriver(gateway_count=250)
     driver.gateway.polling.backoff_factor = 4.0
-    for number in range(1000):
+    for number in range(1000):  # about one request in four triggers a poll, which reports four units
         driver.serve_request(tenant=number, quota_plan=RATE_LIMITED, gateway_count=250)
         driver.gateway.polling.backoff_factor = 4.0
     reported = sum(driver.counter_totals.values())
     tenants = driver.gateway.tenants.values()
     starts = [t.periods.start_us(t.periods.index_at(driver.now_us)) for t in tenants]
-    ages = [(driver.now_us - start) / t.demand.decay_us for start, t in zip(starts, tenants, strict=True)]
+    ages = [
+        (driver.now_us - start) / t.demand.decay_time_us for start, t in zip(starts, tenants, strict=True)
+    ]
     mean_weight = sum(math.exp(age) for age in ages) / len(ages)
     assert 0.7 * 1000 < reported / mean_weight < 1.4 * 1000
 
 
 def test_demand_is_reported_again_after_a_rejected_poll_but_not_after_a_timeout() -> None:
-    """After a time-out, the counter may have added the demand; reported again, it would count twice."""
+    """After a timeout, the counter may have added the demand; if reported again, it could count twice."""
     driver = GatewayDriver()
     driver.counter_responds = False
     driver.counter_failure = Outcome.REJECTED
@@ -89,14 +91,16 @@
             driver.advance(20 * MS)
         return driver.gateway.polling.backoff_factor
 
-    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0  # totals must not become outdated
+    # Two in five polls are lost. With a higher factor, totals would become outdated.
+    assert backoff_factor(lambda number: number % 5 not in (1, 3)) < 2.0
     assert backoff_factor(lambda number: False) > 10.0
 
 
 def test_late_counter_is_polled_less_often_until_it_recovers() -> None:
-    """A counter that replies late, but before the time-out, causes backoff.
+    """A counter that replies late, but before the timeout, causes backoff.
 
-    40 gateways kept a counter just above the rate that it can serve, and over half of all polls timed out.
+    Without this, 40 gateways polled a counter slightly more often than it could serve, and over half of all
+    polls timed out.
     """
     driver = GatewayDriver(gateway_count=2)
 
@@ -125,8 +129,8 @@
     driver.gateway.polling.backoff_factor = 1.0
     driver.counter_responds = True
     driver.send_request(tenant=9, quota_plan=RATE_LIMITED, gateway_count=2)
-    # The poll reports 401 units, weighted by at most e^8 at the end of a period. They must not also be
-    # multiplied by the backoff factor of each failed poll.
+    # The poll reports 401 units, which are multiplied by at most e^8 at the end of a period. They must not
+    # also be multiplied by the backoff factor for each failed poll.
     last_poll = of_type(AddToCounter, [action for _, action in driver.action_log])[-1]
     assert last_poll.amount < 401 * math.exp(8) * 1.01
     assert driver.gateway.tenants[9, RATE_LIMITED].demand.unreported_demand == 0.0
--- a/tests/decisions/test_properties.py
+++ b/tests/decisions/test_properties.py
@@ -2,11 +2,11 @@
 
 Each random run passes a valid sequence of events to a gateway and checks every action:
 
-- Each request ends, and gets at most one final answer from the gateway, which is in time. No attempt is sent
-  for the request afterwards.
-- A non-idempotent request is sent again only if no earlier attempt may have run.
+- Each request ends. The gateway gives it at most one final answer, at most `answer_grace_us` after its
+  deadline, and sends no attempt for it after its end.
+- A non-idempotent request is sent again only if it is certain that no earlier attempt has run.
 - If a request with an idempotency key may have run, it is sent again only within its idempotency window and
-  only to the zone of the first attempt that may have run. Its deduplication scope is the zone.
+  only to the zone of the first attempt that may have run, because its deduplication scope is the zone.
 - A request that may have run is rejected only if it is idempotent.
 - Attempts are sent only to endpoints that are ready.
 - No hedged request is sent if the settings do not allow hedging.
@@ -38,14 +38,14 @@
 FAILURES = (*NEVER_RAN_OUTCOMES, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
 ZONE_COUNT = 3
 ENDPOINT_COUNT = 6
-STEPS = 150
+STEPS_PER_RUN = 150
 # READY is repeated so that it is drawn more often.
-STATES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
+STATE_CHOICES = (EndpointState.READY,) * 4 + (EndpointState.DRAINING, EndpointState.REMOVED)
 
 
 @dataclass
 class SentAttempt:
-    """An attempt that the gateway started, as far as the test has observed it."""
+    """What the test knows about an attempt that the gateway has started."""
 
     sent_at_us: int
     endpoint_id: bytes
@@ -55,11 +55,11 @@
 
 @dataclass
 class RequestHistory:
-    """A request and its attempts, as far as the test has observed them."""
+    """What the test knows about a request and its attempts."""
 
     request_class: int
     plan: int
-    gives_up_at_us: int
+    deadline_at_us: int
     attempts: list[SentAttempt] = field(default_factory=list)
     has_ended: bool = False
 
@@ -93,7 +93,7 @@
     def _check_final_answer(self, at_us: int, answer: Reject | Fail) -> None:
         request = self.requests[answer.request_id]
         assert not request.has_ended
-        assert at_us <= request.gives_up_at_us + self.driver.settings.answer_grace_us
+        assert at_us <= request.deadline_at_us + self.driver.settings.answer_grace_us
         idempotency = CLASSES[request.request_class].idempotency
         if isinstance(answer, Reject) and idempotency is not Idempotency.IDEMPOTENT:
             assert request.first_attempt_that_may_have_run() is None
@@ -131,7 +131,7 @@
 
 
 class RandomRun:
-    """Passes random events to a gateway, each of which is valid in the gateway's current state."""
+    """Passes random events to a gateway. Each event is valid in the gateway's current state."""
 
     def __init__(self, seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
         self.random = Random(seed)
@@ -198,7 +198,7 @@
         entries = [
             make_endpoint(
                 number,
-                self.random.choice(STATES),
+                self.random.choice(STATE_CHOICES),
                 zone=number % ZONE_COUNT,
                 started_at_us=self.random.choice((0, self.driver.now_us - 2 * SECOND)),
             )
@@ -223,7 +223,7 @@
 @given(strategies.integers(0, 2**32), strategies.booleans(), strategies.booleans())
 def test_random_event_sequences_keep_invariants(seed: int, may_hedge: bool, has_shared_counter: bool) -> None:
     run = RandomRun(seed, may_hedge, has_shared_counter)
-    for _ in range(STEPS):
+    for _ in range(STEPS_PER_RUN):
         run.step()
     run.driver.advance(5 * SECOND)
     run.checker.check_new_actions()
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the requests of all gateways together do not overload an endpoint that is warming up."""
+"""Tests of slow start: all gateways together do not overload an endpoint that is warming up."""
 
 from __future__ import annotations
 
@@ -57,11 +57,11 @@
     """The load on the warming endpoints, over all seeds."""
 
     max_load_ratio: float
-    """The largest work of any window, relative to the allowed work."""
+    """The most work that an endpoint was sent within one window, relative to the allowed work."""
     overloaded_share: float
-    """The share of endpoints that were sent more work than allowed in any window."""
+    """The share of endpoints that were sent more than the allowed work within some window."""
     used_budget_share: float
-    """The mean share of its budget that an endpoint was sent."""
+    """The work sent to an endpoint during its warm-up, as a share of its budget; the mean over all runs."""
 
 
 def simulate(scenario: Scenario, seeds: range) -> SimulationResult:
@@ -79,9 +79,9 @@
     )
 
 
-# The other scenarios are only run by hand (see the end of this file). With two or three gateways, and where
-# the estimate for large requests is far too low, a budget is only one or two requests. A single request of
-# more than four times the mean work then exceeds it.
+# The other scenarios are only run by hand (see the end of this file). In those with two or three gateways, or
+# with an estimate for large requests that is far too low, a budget is only one or two requests. A single
+# request of more than four times the mean work then exceeds it.
 @pytest.mark.parametrize(
     "title",
     [
@@ -105,14 +105,14 @@
 
 def make_slow_starts(settings: Settings, warming: EndpointListUpdate, started_at_us: int) -> list[SlowStart]:
     """Return the `SlowStart` of each gateway; all gateways start at `started_at_us`."""
-    started = []
+    slow_starts = []
     for rank in range(settings.gateway_count):
         endpoints = EndpointList(replace(settings, rank=rank))
         endpoints.apply_update(warming)
         slow_start = SlowStart(endpoints.settings, endpoints)
         slow_start.gateway_started_at_us = started_at_us
-        started.append(slow_start)
-    return started
+        slow_starts.append(slow_start)
+    return slow_starts
 
 
 @pytest.mark.parametrize("restart", (False, True))
@@ -120,7 +120,7 @@
     ("gateway_count", "work_us"), [(1, 1 * MS), (3, 150 * MS), (20, 15 * MS), (60, 150 * MS)]
 )
 def test_admitted_requests_stay_within_the_budget(gateway_count: int, work_us: int, restart: bool) -> None:
-    """Each gateway sends whenever it is admitted.
+    """Each gateway sends as many requests as its `SlowStart` admits.
 
     If all gateways restart once, they may send `RESTART_BUDGET_SHARE` of the usable budget in addition.
     """
@@ -129,24 +129,24 @@
     settings = replace(base, request_classes=classes)
     entry = make_endpoint(1, started_at_us=BEGIN_US)
     warming = EndpointListUpdate(UpdateKind.SNAPSHOT, 1, (entry,))
-    gateways = make_slow_starts(settings, warming, 0)
+    slow_starts = make_slow_starts(settings, warming, 0)
     sent = deque[int]()
-    for now in range(BEGIN_US, BEGIN_US + settings.warm_up_us, 20 * MS):
-        if restart and now == BEGIN_US + SECOND:
-            gateways = make_slow_starts(settings, warming, now)
-        factor = warm_up_factor(settings, BEGIN_US, now)
+    for now_us in range(BEGIN_US, BEGIN_US + settings.warm_up_us, 20 * MS):
+        if restart and now_us == BEGIN_US + SECOND:
+            slow_starts = make_slow_starts(settings, warming, now_us)
+        factor = warm_up_factor(settings, BEGIN_US, now_us)
         budget = (
             USABLE_BUDGET_SHARE * settings.overload_multiple * factor * settings.overload_window_us / work_us
         )
-        for slow_start in gateways:
+        for slow_start in slow_starts:
             endpoint = slow_start.endpoints.by_id[entry.endpoint_id]
-            while slow_start.admits(endpoint, factor, work_us, now):
-                slow_start.record_sent(endpoint, work_us, now)
-                endpoint.last_sent_at_us = now
-                sent.append(now)
-                while sent[0] <= now - settings.overload_window_us:
+            while slow_start.admits(endpoint, factor, work_us, now_us):
+                slow_start.record_sent(endpoint, work_us, now_us)
+                endpoint.last_sent_at_us = now_us
+                sent.append(now_us)
+                while sent[0] <= now_us - settings.overload_window_us:
                     sent.popleft()
-                # One more request may come from the time slot that is open.
+                # The time slot that is open now may add one request.
                 assert len(sent) <= budget * (1.0 + RESTART_BUDGET_SHARE * restart) + 1
 
 
@@ -167,45 +167,48 @@
 
 
 def attempt_times_of_250_gateways(settings: Settings, new: Endpoint, started_at_us: int) -> list[int]:
-    """Return the times at which 250 gateways send attempts to a new endpoint, which is one of sixty.
+    """Return the times at which 250 gateways send attempts to a new endpoint, one of sixty endpoints.
 
     Each gateway gets five requests a second for 20 s.
     """
     entries = (new, *(make_endpoint(number) for number in range(1, 60)))
-    times: list[int] = []
+    times_us: list[int] = []
     for rank in range(250):
         driver = GatewayDriver(endpoints=0, gateway_count=250, rank=rank, seed=rank, start_us=started_at_us)
         driver.deliver(EndpointListUpdate(UpdateKind.SNAPSHOT, 2, entries))
         for _ in range(100):
             for attempt in of_type(StartAttempt, driver.advance(200 * MS) + driver.send_request()[1]):
                 if attempt.endpoint_id == new.endpoint_id:
-                    times.append(driver.now_us)
+                    times_us.append(driver.now_us)
                 driver.end_attempt(attempt.request_id, attempt.endpoint_id)
-    return sorted(times)
+    return sorted(times_us)
 
 
 def test_250_gateways_use_a_warming_endpoint_without_overloading_it() -> None:
-    """If the budget is divided among 250 gateways, each share is less than one request.
+    """If the budget of an endpoint is divided among many gateways, each share is less than one request.
 
-    Without time slots, no gateway would send to the endpoint before it is warm. With them, one of the
-    gateways sends a request in each time slot.
+    Without time slots, no gateway would send to the endpoint before it is warm.
     """
     settings = make_settings(gateway_count=250)
     started_at_us = 77 * SECOND
     new = make_endpoint(0, started_at_us=started_at_us)
-    ages = [at - started_at_us for at in attempt_times_of_250_gateways(settings, new, started_at_us)]
-    warming = [age for age in ages if age < settings.warm_up_us]
+    ages_us = [at_us - started_at_us for at_us in attempt_times_of_250_gateways(settings, new, started_at_us)]
+    warming = [age_us for age_us in ages_us if age_us < settings.warm_up_us]
     assert len(warming) >= 15
     initial_work_us = max(c.latency_objective_us for c in settings.request_classes) / 6
-    for first in range(0, settings.warm_up_us, 100 * MS):
-        window = [age for age in warming if first <= age < first + settings.overload_window_us]
-        factor = warm_up_factor(settings, started_at_us, started_at_us + first)
+    for window_start_us in range(0, settings.warm_up_us, 100 * MS):
+        window = [
+            age_us
+            for age_us in warming
+            if window_start_us <= age_us < window_start_us + settings.overload_window_us
+        ]
+        factor = warm_up_factor(settings, started_at_us, started_at_us + window_start_us)
         assert (
             len(window) * initial_work_us <= settings.overload_multiple * factor * settings.overload_window_us
         )
 
 
-if __name__ == "__main__":  # by hand: number of seeds, and optionally a part of a title
+if __name__ == "__main__":  # run by hand; arguments: the number of seeds and, optionally, a part of a title
     for title, scenario in SCENARIOS.items():
         if len(sys.argv) < 3 or sys.argv[2] in title:
             result = simulate(scenario, range(int(sys.argv[1])))
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -1,7 +1,7 @@
 """A connection of a client. It reads pipelined requests and writes one response to each, in order.
 
-`client_state` defines the states of the connection. Only `ClientConnection._apply` changes the state, and
-only `ClientConnection._update_reading` pauses and resumes reading from the socket.
+`client_state` defines the states of the connection. Only `ClientConnection._change_state` changes the
+state, and only `ClientConnection._update_reading` pauses and resumes reading from the socket.
 """
 
 from __future__ import annotations
@@ -22,18 +22,20 @@
 
 log = logging.getLogger("yardlane.proxy.client_connection")
 
-# A connection is not read while it has this number of pending requests.
-MAX_PIPELINED = 4
-# A single read may bring more requests than that. Up to this number of excess requests are rejected one by
-# one; with more, the connection is closed.
-MAX_REJECTED_PIPELINED = 64
-# The time to receive a whole request, and to receive the first byte on a new connection.
+# Reading pauses while at least this number of requests is pending, except after a fatal error.
+MAX_PENDING_REQUESTS = 4
+# A single read may bring more requests than MAX_PENDING_REQUESTS. Up to this number of excess requests are
+# each answered with 503. One more is a fatal error, after which the connection closes.
+MAX_EXCESS_REQUESTS = 64
+# The time to receive a whole request, and to receive the first byte on a new connection. After a fatal error,
+# also the time that the error response waits for the responses to earlier requests.
 REQUEST_TIMEOUT_S = 1.5
-# The time that a client has to read the last response and close its side of the connection.
+# The time that a client has to read the last response and close its side of the connection. After that, the
+# connection is aborted.
 LINGERING_CLOSE_TIMEOUT_S = 1.0
 HEALTH_PATH = b"/_health"
 
-# Reading a module global is faster than reading an enum member, and each request checks these states.
+# Each request checks these states, and reading a module global is faster than reading an enum member.
 OPEN = ClientState.OPEN
 LAST_REQUEST = ClientState.LAST_REQUEST
 ERROR_PENDING = ClientState.ERROR_PENDING
@@ -49,14 +51,17 @@
     open_trace_ids: set[bytes]
     is_draining: bool
 
-    def now(self) -> float:
+    def loop_time_s(self) -> float:
         """Return the time of the event loop's clock in seconds."""
 
     def is_near_connection_limit(self) -> bool:
-        """Return whether so many connections are open that each must close after its next response."""
+        """Return whether the number of open connections is near the limit.
+
+        If it is, each connection must close after the response to its newest request.
+        """
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
-        """Called when the connection has been closed and no longer counts towards the limit."""
+        """Called when the connection has been closed; from then on it does not count towards the limit."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -67,16 +72,19 @@
         self.parser = RequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.probe: SocketProbe | None = None  # created by the first call of `is_client_disconnected`
-        self.pending: deque[ClientRequest] = deque()  # in the order of the requests, and so of the responses
+        # The requests whose responses have not been written yet, in the order of arrival. Some of them may
+        # have been answered already, and wait for the responses to earlier requests.
+        self.pending: deque[ClientRequest] = deque()
         self.state = ClientState.ACCEPTED
         self.is_write_buffer_full = False
-        self.has_sent_request = False
-        self.last_active_s = server.now()  # when a request was last answered, or CLOSING began
-        self.request_started_s = self.last_active_s
+        self.has_received_request = False
+        # When the connection was accepted, a request was last answered, or CLOSING began.
+        self.last_active_s = server.loop_time_s()
+        self.request_timeout_started_s = self.last_active_s
 
     # State
 
-    def _apply(self, event: ClientEvent) -> bool:
+    def _change_state(self, event: ClientEvent) -> bool:
         """Change the state as `TRANSITIONS` defines it; return whether the state has changed.
 
         An event that the table does not allow in this state is a bug in this program: it is logged and
@@ -85,20 +93,25 @@
         old_state = self.state
         new_state = TRANSITIONS[old_state].get(event)
         if new_state is None:
-            log.error("unexpected event %s in state %s of a client connection", event.name, old_state.name)
+            log.error(
+                "ignoring unexpected event %s in state %s of a client connection", event.name, old_state.name
+            )
             return False
         if new_state is old_state:
             return False
         self.state = new_state
         if new_state is CLOSING or new_state is CLOSED:
-            self.last_active_s = self.server.now()
+            self.last_active_s = self.server.loop_time_s()
             self._release_pending()
         if new_state is CLOSED:
             self._on_closed()
         return True
 
     def _release_pending(self) -> None:
-        """Drop the pending requests, and notify the handler of those that can no longer be answered."""
+        """Drop the pending requests.
+
+        Free the trace ids of the unanswered ones, and notify the handler that they cannot be answered.
+        """
         released = self.pending
         self.pending = deque()
         for request in released:
@@ -107,6 +120,7 @@
                 self.server.handler.on_client_disconnected(request)
 
     def _on_closed(self) -> None:
+        """Called when the state has changed to CLOSED; notifies the server and aborts the transport."""
         self.server.on_connection_closed(self)
         self.parser.close()
         if self.transport is not None:
@@ -115,19 +129,20 @@
     def _update_reading(self) -> None:
         """Pause or resume reading from the socket.
 
-        Reading pauses while the maximum number of requests is pending or the client does not read its
-        responses. After an error and while closing, the connection is always read: closing a socket with
-        unread bytes resets the connection.
+        Reading pauses while `MAX_PENDING_REQUESTS` or more requests are pending, or while the client does not
+        read its responses. After a fatal error and while closing, the connection is always read, because
+        closing a socket with unread bytes resets the connection.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        is_full = self.is_write_buffer_full or len(self.pending) >= MAX_PIPELINED
+        is_full = self.is_write_buffer_full or len(self.pending) >= MAX_PENDING_REQUESTS
         should_read = not (is_full and (self.state is OPEN or self.state is LAST_REQUEST))
         if should_read is transport.is_reading():
             return
         if should_read:
-            self.request_started_s = self.server.now()  # the pause does not count towards the timeout
+            # The timeout starts anew, because the client could not send during the pause.
+            self.request_timeout_started_s = self.server.loop_time_s()
             transport.resume_reading()
         else:
             transport.pause_reading()
@@ -138,8 +153,8 @@
         """Return the protocol that the transport is created for: the connection itself."""
         return self
 
-    def on_connect_failed(self) -> None:
-        """Called when the client's connection was lost before its transport was created."""
+    def on_transport_creation_failed(self) -> None:
+        """Called when the client has reset the connection before its transport was created."""
         self.connection_lost(None)
 
     # Called by the transport
@@ -149,33 +164,34 @@
 
         The transport is aborted if the connection has been closed in the meantime to make room for another.
         """
-        transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
+        # The cast is needed because uvloop's transport is not a subclass of asyncio.Transport.
+        transport = cast(asyncio.Transport, transport)
         self.transport = transport
-        if not self._apply(ClientEvent.CONNECTED):
+        if not self._change_state(ClientEvent.CONNECTED):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called when the transport has been closed, as its last call."""
+        """Called when the transport has been closed; the transport calls no method after this one."""
         self.transport = None
-        self._apply(ClientEvent.TRANSPORT_LOST)
+        self._change_state(ClientEvent.TRANSPORT_LOST)
 
     def data_received(self, data: bytes) -> None:
-        """Called when bytes have been received; discards them if no further request is handled."""
+        """Called when bytes have been received; discards them if no further request is accepted."""
         if self.state is not OPEN:
             return
         try:
-            if not self.parser.feed(data):
+            if not self.parser.feed(data):  # the client asked to change to another protocol
                 self._close_after_pending()
         except FatalRequestError as error:
             self._close_with_error(error)
-        if len(self.pending) >= MAX_PIPELINED:
+        if len(self.pending) >= MAX_PENDING_REQUESTS:
             self._update_reading()
 
     def eof_received(self) -> bool:
         """Called when the client has closed its side; closes the connection and ends its pending requests.
 
-        HTTP allows a client to half-close a connection and still read the response. But the proxy cannot tell
-        this from a client that has disconnected, whose requests would take capacity from other clients.
+        HTTP allows a client to half-close a connection and still read the response. But the proxy cannot
+        distinguish this from a client that has disconnected, whose requests would take capacity from others.
         """
         self._on_client_disconnected()
         return False
@@ -194,28 +210,31 @@
 
     def on_request_begin(self) -> None:
         """Called when the first byte of a request has been read."""
-        self.request_started_s = self.server.now()
+        self.request_timeout_started_s = self.server.loop_time_s()
 
     def on_expect_continue(self) -> None:
-        """Called when the client waits for 100 Continue before it sends the body; sends it.
+        """Called when the client waits for 100 Continue before it sends the body; sends 100 Continue.
 
-        It is not sent while other requests are pending, because it would precede their responses.
+        Nothing is sent while other requests are pending, because it would precede their responses.
         """
         if self.transport is not None and not self.pending:
             self.transport.write(CONTINUE_RESPONSE)
 
     def on_request(self) -> None:
-        """Called when a complete request has been read; answers it or passes it to the handler."""
+        """Called when a complete request has been read; answers it or passes it to the handler.
+
+        Raises `FatalRequestError` if too many requests are pending.
+        """
         if self.state is not OPEN:
-            return  # pipelined after the last request that this connection handles
-        self.has_sent_request = True
-        if len(self.pending) >= MAX_PIPELINED + MAX_REJECTED_PIPELINED:
+            return  # pipelined after the last request that this connection accepts
+        self.has_received_request = True
+        if len(self.pending) >= MAX_PENDING_REQUESTS + MAX_EXCESS_REQUESTS:
             raise FatalRequestError(Status.SERVICE_UNAVAILABLE, "too many requests at once")
         request = ClientRequest(self)
         self.pending.append(request)
         if not self.parser.should_keep_alive:
             self._close_after(request)
-        if len(self.pending) > MAX_PIPELINED:  # one read may contain any number of requests
+        if len(self.pending) > MAX_PENDING_REQUESTS:  # one read may contain any number of requests
             request.reply(Status.SERVICE_UNAVAILABLE, b"too many requests at once\n")
         elif self.parser.url.partition(b"?")[0] == HEALTH_PATH:
             self._answer_health_check(request)
@@ -223,15 +242,17 @@
             self._dispatch_request(request)
 
     def _answer_health_check(self, request: ClientRequest) -> None:
+        """Answer with 200, or with 503 if the handler is not ready or the process is draining."""
         if self.server.handler.is_ready() and not self.server.is_draining:
             request.reply(Status.OK, b"ready\n")
         else:
             request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
 
     def _dispatch_request(self, request: ClientRequest) -> None:
-        """Pass the request to the handler, or reply with an error if it is invalid.
+        """Pass the request to the handler.
 
-        The connection stays usable in both cases.
+        Answer with an error if the request is invalid, or with 500 after an unexpected exception. The
+        connection stays usable in all cases.
         """
         try:
             parsed = parse_request(self.parser, self.server.rules, self.server.open_trace_ids)
@@ -241,7 +262,9 @@
         except InvalidRequest as error:
             request.reply(error.status, error.text.encode() + b"\n", error.header_lines)
         except Exception:  # a bug that affects one request must not end the other requests of the connection
-            log.exception("unexpected error while handling a client request; replying with 500 if unanswered")
+            log.exception(
+                "unexpected error while handling a client request; answering with status 500 if unanswered"
+            )
             if not request.response:
                 request.reply(Status.INTERNAL_SERVER_ERROR, b"failed\n")
 
@@ -251,30 +274,32 @@
         """Answer `request`: write the response now, or once all earlier requests have been answered.
 
         A second response to the same request is discarded, and so is a response after the client has
-        disconnected. The request's trace id becomes free for reuse. If necessary, the connection is then
-        closed or read again.
+        disconnected. The request's trace id becomes free for reuse. While draining or near the connection
+        limit, the connection closes after the response to its newest request. Otherwise, reading resumes if
+        it was paused and there is room for another request.
         """
         transport = self.transport
         if request.response or transport is None or transport.is_closing():
             return
         server = self.server
         if (server.is_draining or server.is_near_connection_limit()) and request is self.pending[-1]:
-            self._close_after(request)  # closing after an earlier request would lose later responses
+            self._close_after(request)  # closing after an earlier request would lose the later responses
         self._free_trace_id(request)
         request.response = encode_response(status, body, header_lines, request.closes_connection)
         if self._write_ready_responses(transport):
             self._begin_lingering_close()
             return
-        self.last_active_s = server.now()
-        if server.is_draining and self.is_idle():  # the response was encoded before draining began
+        self.last_active_s = server.loop_time_s()
+        if server.is_draining and self.is_idle():
+            # The newest response was encoded before draining began, so it does not announce the close.
             self.close_idle()
             return
         self._update_reading()
 
     def _write_ready_responses(self, transport: asyncio.Transport) -> bool:
-        """Write the responses up to the first that is missing; return whether the last one has been written.
+        """Write the responses to all requests before the oldest unanswered one.
 
-        The last one is the response after which the connection closes.
+        Return whether the response after which the connection closes has been written.
         """
         pending = self.pending
         while pending and pending[0].response:
@@ -285,6 +310,7 @@
         return False
 
     def _free_trace_id(self, request: ClientRequest) -> None:
+        """Allow new requests to use the trace id of `request`."""
         if request.parsed is not None:
             self.server.open_trace_ids.discard(request.parsed.trace_id)
 
@@ -292,12 +318,12 @@
         """Close the connection after the response to `request`, which must be the newest request."""
         if not request.closes_connection:
             request.closes_connection = True
-            self._apply(ClientEvent.LAST_REQUEST_READ)
+            self._change_state(ClientEvent.LAST_REQUEST_READ)
 
     def _close_after_pending(self) -> None:
-        """Close the connection after all pending responses.
+        """Close the connection after the responses to all pending requests, or at once if there are none.
 
-        Called when the client asked to change to another protocol, so that further bytes may not be HTTP.
+        Called when the client asked to change to another protocol; the bytes that follow may not be HTTP.
         """
         if self.pending:
             self._close_after(self.pending[-1])
@@ -310,13 +336,16 @@
         Closing the socket with unread bytes would reset the connection, and the reset may reach the client
         before it has read the response.
         """
-        if self._apply(ClientEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
+        if self._change_state(ClientEvent.LAST_RESPONSE_WRITTEN) and self.transport is not None:
             self.transport.write_eof()
             self._update_reading()
 
     def _close_with_error(self, error: FatalRequestError) -> None:
-        """Queue an error response after the pending responses, and close the connection after it."""
-        if not self._apply(ClientEvent.FATAL_REQUEST_ERROR):
+        """Queue an error response behind the pending requests, and close the connection after it.
+
+        Do nothing if the state ignores `FATAL_REQUEST_ERROR`.
+        """
+        if not self._change_state(ClientEvent.FATAL_REQUEST_ERROR):
             return
         self.parser.abandon_message()
         request = ClientRequest(self)
@@ -331,7 +360,10 @@
         return not (self.pending or self.parser.is_in_message)
 
     def has_pending_work(self) -> bool:
-        """Return whether a request is pending or being read, or the last response is not yet sent."""
+        """Return whether a request is pending or being read.
+
+        In CLOSING, return whether the transport still has unsent bytes.
+        """
         if self.state is CLOSING:
             return self.transport is not None and self.transport.get_write_buffer_size() > 0
         return not self.is_idle()
@@ -339,25 +371,27 @@
     def close_idle(self) -> None:
         """Close the connection while it is idle.
 
-        A request that has arrived in the meantime is not read, so the client can safely send it again.
+        A request that the client has sent but that has not been read yet is lost. It was not processed, so
+        the client can safely send it again.
         """
-        if self._apply(ClientEvent.IDLE_CLOSED) and self.transport is not None:
+        if self._change_state(ClientEvent.IDLE_CLOSED) and self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
         """Close the connection at once and discard unsent responses."""
-        self._apply(ClientEvent.ABORTED)
+        self._change_state(ClientEvent.ABORTED)
 
     def is_client_disconnected(self) -> bool:
         """Return whether the client has closed its side or reset the connection.
 
-        This asks the kernel, so it also detects a disconnect that the event loop has not reported yet.
+        This asks the kernel, so it also detects a disconnect that the event loop has not reported yet. Also
+        return true if there is no transport or the proxy is closing it.
         """
         if self.transport is None or self.transport.is_closing():
             return True
         if self.probe is None:
-            file_number = self.transport.get_extra_info("socket").fileno()
-            self.probe = SocketProbe(file_number, select.POLLRDHUP)
+            file_descriptor = self.transport.get_extra_info("socket").fileno()
+            self.probe = SocketProbe(file_descriptor, select.POLLRDHUP)
         return bool(self.probe.pending_events())
 
     def close_if_client_disconnected(self) -> bool:
@@ -373,15 +407,16 @@
         return is_disconnected
 
     def _on_client_disconnected(self) -> None:
-        if self._apply(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
+        """Close the connection and release its pending requests, unless it is already closing."""
+        if self._change_state(ClientEvent.CLIENT_DISCONNECTED) and self.transport is not None:
             self.transport.close()
 
     # Timeouts
 
     def check_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
-        """Close the connection if a timeout has expired.
+        """Act on an expired timeout: close an idle connection, abort a closing one, or end a slow request.
 
-        While reading is paused, the event loop does not report a disconnect, so this checks for it too.
+        While reading is paused, the event loop does not report a disconnect, so this method checks for it.
         """
         if self.state is CLOSING:
             self._check_lingering_close(now_s)
@@ -395,26 +430,28 @@
             self._check_idle_timeout(now_s, idle_timeout_s)
 
     def _check_lingering_close(self, now_s: float) -> None:
-        """Abort the connection if the client does not close it in time after the last response.
+        """Abort the connection if the client has not closed it in time after the last response.
 
-        Otherwise such a client would keep a file descriptor in use.
+        Otherwise, such a client would keep a file descriptor in use.
         """
         if now_s - self.last_active_s > LINGERING_CLOSE_TIMEOUT_S:
             self.abort()
 
     def _check_request_timeout(self, now_s: float) -> None:
-        """If the request timeout has expired, reply to the incomplete request and end the pending ones.
+        """If the request timeout has expired, answer an incomplete request with 408 and close the connection.
 
-        The timeout applies to the whole request, so a client cannot extend it by sending single bytes. In
-        ERROR_PENDING, it limits how long the error response waits for the responses before it.
+        The handler answers the unanswered requests before it at once. The timeout applies to the whole
+        request, so a client cannot extend it by sending single bytes. In ERROR_PENDING, it limits how long
+        the error response waits for the responses to earlier requests.
         """
-        if now_s - self.request_started_s <= REQUEST_TIMEOUT_S:
+        if now_s - self.request_timeout_started_s <= REQUEST_TIMEOUT_S:
             return
         self._close_with_error(FatalRequestError(Status.REQUEST_TIMEOUT, "request came too slowly"))
         for request in [request for request in self.pending if not request.response]:
             self.server.handler.abandon_request(request)
 
     def _check_idle_timeout(self, now_s: float, idle_timeout_s: float) -> None:
-        timeout_s = idle_timeout_s if self.has_sent_request else REQUEST_TIMEOUT_S
+        """Close the connection if it has been idle too long; a new one has `REQUEST_TIMEOUT_S`."""
+        timeout_s = idle_timeout_s if self.has_received_request else REQUEST_TIMEOUT_S
         if now_s - self.last_active_s > timeout_s:
             self.close_idle()
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -1,11 +1,14 @@
 """Validates a complete HTTP request and converts it to a `ParsedRequest`.
 
-Only this module maps the names on the wire to the terms that the rest of the program uses:
+The headers of a client's request become these fields of `ParsedRequest`:
 
-    X-Trace-Id        trace_id          X-Qos             request_class
-    Plan              quota_plan        Account           tenant
-    X-Expires-In      time_left_us      X-Second-Try      is_retry
-    Quota-Info        units, gateway_count (spread), first_gateway (first)
+    X-Trace-Id      trace_id
+    X-Qos           request_class
+    Plan            quota_plan
+    Account         tenant
+    X-Expires-In    time_left_us
+    X-Second-Try    is_retry
+    Quota-Info      units, gateway_count (`spread` on the wire), first_gateway (`first` on the wire)
 
 The unit in X-Expires-In is `m` for milliseconds or `u` for microseconds: `250m` is a quarter of a second.
 """
@@ -36,16 +39,16 @@
 )
 from yardlane.units import US_PER_MS
 
-MAX_TIME_LEFT_US = 3_600_000_000
-# Deducted from the client's time for the transit of request and response, and for the proxy's own processing.
+MAX_EXPIRES_IN_US = 3_600_000_000  # one hour; a request with a longer time is invalid
+# Deducted from the time left, for the transit of request and response and for the proxy's own processing.
 TRANSIT_MARGIN_US = 10_000
-# A plan without a rate has no bucket that limits the units of a request. This limit keeps huge numbers out of
-# the sums of units.
+# The maximum cost of a request under a plan without a rate or a hard rate, which has no token bucket to limit
+# it. This limit keeps huge numbers out of the sums of units.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
-MAX_QUOTA_INFO_BYTES = 100
-QUOTA_INFO_CACHE_SIZE = 512  # few values recur; the other values must not fill the memory
+MAX_QUOTA_INFO_BYTES = 100  # a longer header is invalid; this also limits the size of the cached values
+QUOTA_INFO_CACHE_SIZE = 512  # only a few values recur; the limit keeps the others from filling the memory
 TENANT_BASE = 16
-TENANT_LIMIT = 2**33  # set by the protocol; 16 hexadecimal digits could hold more
+TENANT_LIMIT = 2**33  # set by the protocol, although 16 hexadecimal digits could hold larger numbers
 US_PER_EXPIRES_IN_UNIT = {b"m": US_PER_MS, b"u": 1}
 
 TENANT_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
@@ -55,13 +58,15 @@
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-@dataclass(slots=True)  # if frozen, construction makes one extra call per field
+@dataclass(slots=True)  # not frozen, because construction would then make one extra call per field
 class ParsedRequest:
     """A valid request. `request_class` and `quota_plan` are indices into the settings.
 
-    `units` is the cost of the request, which counts against the rates of its plan. The tenant's requests go
-    to `gateway_count` gateways with consecutive ranks, beginning with rank `first_gateway`. `head` is the
-    forwarded head without the headers that the proxy writes itself.
+    `time_left_us` is counted from the arrival of the request. `units` is the cost of the request, which
+    counts against the rates of its plan. The tenant's requests go to `gateway_count` gateways with
+    consecutive ranks, beginning with rank `first_gateway` and continuing at rank 0 after the last gateway of
+    the fleet. `head` is the request line and the forwarded headers, without those that the proxy writes
+    itself.
     """
 
     trace_id: bytes
@@ -81,8 +86,8 @@
 class QuotaInfo(NamedTuple):
     """The content of a Quota-Info header.
 
-    `units` is the cost of the request. The other fields say which gateways serve the tenant, according to
-    the client's gateway list; see `ParsedRequest`.
+    `units` is the cost of the request. The other fields say which gateways serve the tenant according to the
+    client's list of gateways; see `ParsedRequest`.
     """
 
     units: float
@@ -91,7 +96,10 @@
 
 
 class ClassRule(NamedTuple):
-    """The requirements for requests of one class, which has the index `settings_index` in the settings."""
+    """The requirements for requests of one class, which has the index `settings_index` in the settings.
+
+    `deadline_us` is counted from the arrival of a request.
+    """
 
     settings_index: int
     method: bytes
@@ -100,22 +108,26 @@
 
 
 class PlanRule(NamedTuple):
-    """The limit for requests under one plan, which has the index `settings_index` in the settings."""
+    """The maximum cost of a request under one plan, which has the index `settings_index` in the settings."""
 
     settings_index: int
     max_units: float
 
 
 class RequestRules(NamedTuple):
-    """The rules that requests are checked against; classes and plans are keyed by their names on the wire."""
+    """The rules that requests are checked against.
+
+    Classes and plans are keyed by their names on the wire. `fleet_size` is the number of gateways in the
+    fleet.
+    """
 
     classes: Mapping[bytes, ClassRule]
     plans: Mapping[bytes, PlanRule]
-    gateway_count: int
+    fleet_size: int
 
     @classmethod
     def from_config(cls, config: Config) -> RequestRules:
-        """Return the rules that follow from the configuration; they stay the same until the process ends."""
+        """Return the rules that follow from the configuration; a reload does not change them."""
         settings = config.settings
         return cls(
             classes={
@@ -126,11 +138,12 @@
                 name.encode(): PlanRule(index, max_units(settings.quota_plans[index]))
                 for index, name in enumerate(config.quota_plan_names)
             },
-            gateway_count=settings.gateway_count,
+            fleet_size=settings.gateway_count,
         )
 
 
 def _class_rule(index: int, request_class: RequestClass) -> ClassRule:
+    """Return the rule for a class: its method is GET if its requests are idempotent, else POST."""
     is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
     return ClassRule(
         settings_index=index,
@@ -158,7 +171,8 @@
 ) -> ParsedRequest:
     """Return the request that `parser` has collected. Raises `InvalidRequest` if it is not valid.
 
-    `open_trace_ids` holds the trace ids of the pending requests, which a new request must not use.
+    `open_trace_ids` holds the trace ids of the unanswered requests of this process; a new request must not
+    use one of them.
     """
     headers = parser.headers
     class_rule = _read_class(headers, rules)
@@ -205,24 +219,24 @@
     return rule
 
 
-def _check_host_and_method(parser: RequestParser, rule: ClassRule) -> None:
+def _check_host_and_method(parser: RequestParser, class_rule: ClassRule) -> None:
     if HOST_HEADER not in parser.headers and parser.http_version() == "1.1":
         raise _bad_request("no Host")
-    if parser.method != rule.method:
+    if parser.method != class_rule.method:
         raise InvalidRequest(
             Status.METHOD_NOT_ALLOWED,
-            f"the class wants {rule.method.decode()}",
-            b"Allow: " + rule.method + b"\r\n",
+            f"the class wants {class_rule.method.decode()}",
+            b"Allow: " + class_rule.method + b"\r\n",
         )
-    if rule.method == b"GET" and parser.body_bytes:
+    if class_rule.method == b"GET" and parser.body_bytes:
         raise _bad_request("GET with a body")
 
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
-    """Return the trace id. Raises `InvalidRequest` if it is malformed or belongs to a pending request.
+    """Return the trace id.
 
-    Upstreams identify a request by its trace id, so they could not tell two pending requests with the same
-    trace id apart.
+    Raises `InvalidRequest` if it is malformed or belongs to an unanswered request of this process. Upstreams
+    identify a request by its trace id, so they could not distinguish the two requests.
     """
     trace_id = headers.get(TRACE_ID_HEADER, b"")
     if not TOKEN_PATTERN.fullmatch(trace_id):
@@ -248,36 +262,37 @@
 
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
-    """Return the shorter of the client's remaining time (X-Expires-In) and the deadline of the class.
+    """Return the shorter of X-Expires-In and the deadline of the class, less `TRANSIT_MARGIN_US`.
 
-    `TRANSIT_MARGIN_US` is deducted, so that the response reaches the client in time.
+    The deduction lets the response reach the client in time. The result is at least 1. Raises
+    `InvalidRequest` if X-Expires-In is malformed, 0, or more than `MAX_EXPIRES_IN_US`.
     """
     duration = DURATION_PATTERN.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
         raise _bad_request("bad X-Expires-In")
     expires_in_us = float(duration[1]) * US_PER_EXPIRES_IN_UNIT[duration[2]]
-    if not 0 < expires_in_us <= MAX_TIME_LEFT_US:
+    if not 0 < expires_in_us <= MAX_EXPIRES_IN_US:
         raise _bad_request("bad X-Expires-In")
     return max(1, int(min(expires_in_us, deadline_us)) - TRANSIT_MARGIN_US)
 
 
-def _read_quota_info(headers: Mapping[bytes, bytes], rules: RequestRules, plan: PlanRule) -> QuotaInfo:
+def _read_quota_info(headers: Mapping[bytes, bytes], rules: RequestRules, plan_rule: PlanRule) -> QuotaInfo:
     text = headers.get(QUOTA_INFO_HEADER, b"")
     if len(text) > MAX_QUOTA_INFO_BYTES:
         raise _bad_request("bad Quota-Info")
-    quota_info = decode_quota_info(text, rules.gateway_count)
+    quota_info = decode_quota_info(text, rules.fleet_size)
     if quota_info is None:
         raise _bad_request("bad Quota-Info")
-    if quota_info.units > plan.max_units:
+    if quota_info.units > plan_rule.max_units:
         raise _bad_request("more units than the plan can pass")
     return quota_info
 
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
-def decode_quota_info(text: bytes, gateway_count: int) -> QuotaInfo | None:
-    """Return the content of a Quota-Info header, or None if the header is malformed.
+def decode_quota_info(text: bytes, fleet_size: int) -> QuotaInfo | None:
+    """Return the content of a Quota-Info header, or None if a field is missing, malformed or out of range.
 
-    `gateway_count` is the number of gateways in the fleet.
+    `fleet_size` is the number of gateways in the fleet.
     """
     fields: dict[bytes, bytes] = {}
     for part in text.split(b","):
@@ -293,8 +308,8 @@
     ):
         return None
     quota_info = QuotaInfo(float(units_text), int(spread_text), int(first_text))
-    if quota_info.units <= 0 or quota_info.first_gateway >= gateway_count:
+    if quota_info.units <= 0 or quota_info.first_gateway >= fleet_size:
         return None
-    if not 1 <= quota_info.gateway_count <= gateway_count:
+    if not 1 <= quota_info.gateway_count <= fleet_size:
         return None
     return quota_info
