--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -27,13 +27,13 @@
 
 
 @asynccontextmanager
-async def running_with_counter(
-    script: ScriptedDecider, **changes: Any
+async def running_server_with_counter(
+    decider: ScriptedDecider, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
     """Run the whole program with a fake counter, which the test controls. `changes` are settings."""
     async with (
         FakeServer() as counter,
-        running_server(script, **config_with_counter(counter, **changes)) as server,
+        running_server(decider, **config_with_counter(counter, **changes)) as server,
     ):
         yield server, counter
 
@@ -45,8 +45,8 @@
     Each reply belongs to the oldest call. If it were matched to another call, a key would get the total of
     another key.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider) as (server, counter):
         for amount in (2.5, -1.0, 0.0, 7.0):
             add_to_counter(server, 0xAB, amount, 4_000_000)
         reader, writer = await counter.accept_connection()
@@ -54,7 +54,7 @@
         assert lines[:2] == [b"tally ab 2.5 4000\r\n", b"tally ab -1 4000\r\n"]
         writer.write(b"ok 2.5\r\nbusy\r\nerr")
         writer.write(b"or\r\nok 1e3\r\n")
-        results = await script.wait_for(CounterResult, 4)
+        results = await decider.wait_for(CounterResult, 4)
         assert [(r.counter_key, r.outcome, r.total) for r in results] == [
             (0xAB, Outcome.OK, 2.5),
             (0xAB, Outcome.REJECTED, 0.0),
@@ -70,23 +70,23 @@
     It is unknown whether the amount was added. If the result said that it was not, the decisions could add it
     a second time.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider) as (server, counter):
         add_to_counter(server)
         _, writer = await accept_first_call(counter)
         writer.transport.abort()
-        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        assert [r.outcome for r in await decider.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 @uvloop_test
 async def test_call_ends_as_not_connected_if_the_connection_is_refused() -> None:
     """Nothing listens at the counter's address. The result must say that the call was never written."""
-    script = ScriptedDecider(leave_pending)
+    decider = ScriptedDecider(leave_pending)
     async with FakeServer() as counter:
         configuration = config_with_counter(counter)
-    async with running_server(script, **configuration) as server:
+    async with running_server(decider, **configuration) as server:
         add_to_counter(server)
-        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
+        assert [r.outcome for r in await decider.wait_for(CounterResult)] == [Outcome.NOT_CONNECTED]
 
 
 @uvloop_test
@@ -96,15 +96,15 @@
     The first reply belongs to the call that timed out. If it were matched to the next call, each later total
     would be wrong as well.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script, count_wait_us=300_000) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider, count_wait_us=300_000) as (server, counter):
         add_to_counter(server)
         reader, writer = await accept_first_call(counter)
-        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        assert [r.outcome for r in await decider.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
         add_to_counter(server)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\nok 2\r\n")
-        results = await script.wait_for(CounterResult, 2)
+        results = await decider.wait_for(CounterResult, 2)
         assert (results[1].outcome, results[1].total) == (Outcome.OK, 2.0)
 
 
@@ -115,17 +115,17 @@
     Only 16 calls are written. The others end at once, so that the counter does not have to work off a backlog
     when it recovers.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider) as (server, counter):
         for _ in range(100):
             add_to_counter(server)
-        results = await script.wait_for(CounterResult, 100 - 16)
+        results = await decider.wait_for(CounterResult, 100 - 16)
         assert {r.outcome for r in results} == {Outcome.NOT_CONNECTED}
         reader, writer = await counter.accept_connection()
         for _ in range(16):
             await reader.readuntil(b"\r\n")
         writer.write(b"ok 1\r\n" * 16)
-        assert len(await script.wait_for(CounterResult, 100)) == 100
+        assert len(await decider.wait_for(CounterResult, 100)) == 100
 
 
 @uvloop_test
@@ -134,12 +134,12 @@
 
     After several call timeouts the client closes the connection, so that later calls use a new one.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script, count_wait_us=20_000) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider, count_wait_us=20_000) as (server, counter):
         add_to_counter(server)
         reader, _ = await counter.accept_connection()
         await reader.read()
-        assert len(await script.wait_for(CounterResult)) == 1
+        assert len(await decider.wait_for(CounterResult)) == 1
 
 
 INVALID_TOTALS = (b"", b" nan", b" 1_0", b" inf", b" 1e999", b" 1 2")
@@ -159,12 +159,12 @@
     The amount may have been added. Later replies on this connection cannot be trusted.
     """
     for reply in MALFORMED_REPLIES:
-        script = ScriptedDecider(leave_pending)
-        async with running_with_counter(script) as (server, counter):
+        decider = ScriptedDecider(leave_pending)
+        async with running_server_with_counter(decider) as (server, counter):
             add_to_counter(server)
             _, writer = await accept_first_call(counter)
             writer.write(reply)
-            assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+            assert [r.outcome for r in await decider.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
 
 
 @pytest.mark.parametrize("reply", MALFORMED_REPLIES, ids=lambda reply: repr(reply[:12]))
@@ -184,20 +184,20 @@
     A quarter of all keys use this connection. Their next call connects again at once, without the reconnect
     delay.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider) as (server, counter):
         add_to_counter(server)
         reader, writer = await accept_first_call(counter)
         writer.write(b"ok 1\r\n")
-        await script.wait_for(CounterResult)
+        await decider.wait_for(CounterResult)
         add_to_counter(server)
         await reader.readuntil(b"\r\n")
         writer.write(b"ok {}\r\n")
-        await script.wait_for(CounterResult, 2)
+        await decider.wait_for(CounterResult, 2)
         add_to_counter(server)
         _, writer = await accept_first_call(counter)
         writer.write(b"ok 3\r\n")
-        results = await script.wait_for(CounterResult, 3)
+        results = await decider.wait_for(CounterResult, 3)
         assert [r.outcome for r in results] == [Outcome.OK, Outcome.TIMED_OUT, Outcome.OK]
 
 
@@ -208,12 +208,12 @@
     The call times out. The connection is closed, because replies behind the incomplete line could not be told
     apart from it. The next call is answered on a new connection.
     """
-    script = ScriptedDecider(leave_pending)
-    async with running_with_counter(script, count_wait_us=200_000) as (server, counter):
+    decider = ScriptedDecider(leave_pending)
+    async with running_server_with_counter(decider, count_wait_us=200_000) as (server, counter):
         add_to_counter(server)
         reader, writer = await accept_first_call(counter)
         writer.write(b"ok 1")
-        assert [r.outcome for r in await script.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
+        assert [r.outcome for r in await decider.wait_for(CounterResult)] == [Outcome.TIMED_OUT]
         assert await reader.read() == b""
         client = server.proxy.counter
         assert client is not None
@@ -223,4 +223,4 @@
         add_to_counter(server)
         _, writer = await accept_first_call(counter)
         writer.write(b"ok 2\r\n")
-        assert (await script.wait_for(CounterResult, 2))[1].total == 2.0
+        assert (await decider.wait_for(CounterResult, 2))[1].total == 2.0
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -9,14 +9,14 @@
 
 from yardlane.decisions.events import CounterResult, Outcome
 from yardlane.proxy.counter_connection import (
-    DEAD_AFTER_TIMEOUTS,
+    NO_REPLY_TIMEOUT_FACTOR,
     PING_INTERVAL_S,
     RECONNECT_DELAY_S,
     CounterCall,
     CounterConnection,
 )
 
-TIMEOUT_S = 0.03
+CALL_TIMEOUT_S = 0.03
 
 
 class FakeLoop:
@@ -71,7 +71,7 @@
         self.loop = FakeLoop()
         self.results: list[CounterResult] = []
         self.connection = CounterConnection(
-            ("127.0.0.1", 9), TIMEOUT_S, self.results.append, cast(asyncio.AbstractEventLoop, self.loop)
+            ("127.0.0.1", 9), CALL_TIMEOUT_S, self.results.append, cast(asyncio.AbstractEventLoop, self.loop)
         )
 
     def call(self, key: int = 1) -> None:
@@ -128,7 +128,7 @@
     """
     driver = ConnectionDriver()
     driver.call(1)
-    driver.loop.advance(TIMEOUT_S * 1.1)
+    driver.loop.advance(CALL_TIMEOUT_S * 1.1)
     assert driver.outcomes() == [Outcome.NOT_CONNECTED]
     driver.call(2)
     transport = driver.connect()
@@ -146,7 +146,7 @@
     transport = driver.connect()
     for _ in range(4):
         driver.connection.data_received(b"1")
-        driver.loop.advance(TIMEOUT_S * 0.3)
+        driver.loop.advance(CALL_TIMEOUT_S * 0.3)
     assert driver.outcomes() == [Outcome.TIMED_OUT]
     assert transport.is_closed
 
@@ -154,16 +154,16 @@
 def test_silent_connection_is_closed_after_several_call_timeouts() -> None:
     """The counter does not reply.
 
-    At first the connection is kept, because the counter may only be slow. After `DEAD_AFTER_TIMEOUTS` it is
-    closed, so that the next call uses a new one.
+    At first the connection is kept, because the counter may only be slow. After `NO_REPLY_TIMEOUT_FACTOR`
+    call timeouts it is closed, so that the next call uses a new one.
     """
     driver = ConnectionDriver()
     driver.call()
     transport = driver.connect()
-    driver.loop.advance(TIMEOUT_S * (DEAD_AFTER_TIMEOUTS - 1))
+    driver.loop.advance(CALL_TIMEOUT_S * (NO_REPLY_TIMEOUT_FACTOR - 1))
     driver.connection.check_liveness()
     assert driver.outcomes() == [Outcome.TIMED_OUT] and not transport.is_closed
-    driver.loop.advance(TIMEOUT_S * 1.1)
+    driver.loop.advance(CALL_TIMEOUT_S * 1.1)
     driver.connection.check_liveness()
     assert transport.is_closed
     assert driver.outcomes() == [Outcome.TIMED_OUT]  # one result, not two
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -347,7 +347,7 @@
     "cached_list", [endpoint_list_dict(member_dict("s-1", 9)), endpoint_list_dict(), None]
 )
 @pytest.mark.parametrize("behaviour", ["refuses", "never comes up", "is silent", "drips", "sends too much"])
-def test_new_process_is_ready_after_first_failed_poll(
+def test_new_process_uses_cached_list_after_first_failed_poll(
     behaviour: str, cached_list: dict[str, Any] | None
 ) -> None:
     """A process starts while discovery is faulty, and must not wait for it indefinitely.
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -54,9 +54,9 @@
     return struct.pack("<HI", code, len(body)) + body
 
 
-def make_frame(*records: bytes, clock: int = 9) -> bytes:
+def make_frame(*records: bytes, clock_us: int = 9) -> bytes:
     body = b"".join(records)
-    return struct.pack("<IIQ", len(records), 16 + len(body), clock) + body
+    return struct.pack("<IIQ", len(records), 16 + len(body), clock_us) + body
 
 
 def read_events(*records: bytes) -> list[tuple[int, Any]]:
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -38,9 +38,9 @@
 # An incomplete line that is longer is malformed.
 MAX_LINE_BYTES = 256
 # A connection with unanswered calls counts as dead after this many call timeouts without a reply.
-DEAD_AFTER_TIMEOUTS = 10
+NO_REPLY_TIMEOUT_FACTOR = 10
 # The same limit while a line is incomplete. It is lower because replies behind that line cannot be read.
-STALLED_LINE_AFTER_TIMEOUTS = 0.5
+INCOMPLETE_LINE_TIMEOUT_FACTOR = 0.5
 # A connect times out after the call timeout, but not before this time.
 MIN_CONNECT_TIMEOUT_S = 0.25
 # After this time without a call, a connection is pinged, because the counter closes idle connections.
@@ -297,5 +297,5 @@
             )
 
     def _is_dead(self, now_s: float) -> bool:
-        timeouts = STALLED_LINE_AFTER_TIMEOUTS if self.buffer else DEAD_AFTER_TIMEOUTS
-        return now_s - self.last_progress_at_s > timeouts * self.timeout_s
+        factor = INCOMPLETE_LINE_TIMEOUT_FACTOR if self.buffer else NO_REPLY_TIMEOUT_FACTOR
+        return now_s - self.last_progress_at_s > factor * self.timeout_s
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -35,13 +35,13 @@
 
 log = logging.getLogger("yardlane.proxy.endpoint_decoder")
 
-STATE_OF_PHASE = {
+STATES_BY_PHASE = {
     "Ready": EndpointState.READY,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
 # Ranks of readiness. Of two entries for one endpoint, the one with the lower rank is used.
-READINESS = {
+READINESS_RANKS = {
     EndpointState.REMOVED: 0,
     EndpointState.DRAINING: 1,
     EndpointState.READY: 2,
@@ -132,7 +132,7 @@
         earlier = self.endpoints.get(endpoint_id)
         if earlier is not None and earlier != endpoint:
             self._record_ambiguity(f"two entries for {_format_value(entry['id'])}")
-            if READINESS[earlier.state] < READINESS[endpoint.state]:
+            if READINESS_RANKS[earlier.state] < READINESS_RANKS[endpoint.state]:
                 return
         self.endpoints[endpoint_id] = endpoint
         if endpoint.state is EndpointState.REMOVED:
@@ -145,7 +145,7 @@
         self.problems.append(problem)
 
     def _decode_endpoint(self, endpoint_id: bytes, entry: dict[str, Any]) -> tuple[Endpoint, Address | None]:
-        problems_before = len(self.problems)
+        problem_count_before = len(self.problems)
         state = self._decode_field(entry, "phase", _decode_state, EndpointState.DRAINING)
         is_removed = state is EndpointState.REMOVED
         address = None if is_removed else self._decode_field(entry, "host_port", _decode_address, None)
@@ -154,7 +154,7 @@
         zone = self._decode_field(entry, "locality", self._decode_zone, 0)
         cell = self._decode_field(entry, "cell", _decode_integer, 0)
         hardware_kind = self._decode_field(entry, "flavor", self._decode_hardware_kind, 0)
-        if len(self.problems) > problems_before and not is_removed:
+        if len(self.problems) > problem_count_before and not is_removed:
             state = EndpointState.DRAINING
         started_at_us = max(0, started_at_ms) * US_PER_MS
         return Endpoint(endpoint_id, state, started_at_us, weight, zone, cell, hardware_kind), address
@@ -212,9 +212,9 @@
 
 
 def _decode_state(phase: object) -> EndpointState:
-    if not (isinstance(phase, str) and phase in STATE_OF_PHASE):
+    if not (isinstance(phase, str) and phase in STATES_BY_PHASE):
         raise MalformedEndpoint("unknown phase, must be Ready, Terminating or Gone")
-    return STATE_OF_PHASE[phase]
+    return STATES_BY_PHASE[phase]
 
 
 def _decode_address(text: object) -> Address:
