--- a/yardlane/proxy/counter_client.py
+++ b/yardlane/proxy/counter_client.py
@@ -1,4 +1,4 @@
-"""The client of the shared quota counter. It distributes calls over a few connections by their key."""
+"""The client of the shared quota counter. It distributes calls by their key over several connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 from yardlane.proxy.counter_protocol import format_add
 from yardlane.units import US_PER_S
 
-# A connection that stalls or is lost delays only its share of the keys. Each needs a file descriptor.
+# With several connections, one that stalls or is lost delays only its share of the keys. Each connection uses
+# a file descriptor.
 CONNECTION_COUNT = 4
 
 
@@ -38,13 +39,13 @@
         loop.call_later(PING_INTERVAL_S / 2, self._check_connections)
 
     def add(self, action: AddToCounter) -> None:
-        """Send a call that adds to the count of a key."""
+        """Send a `tally` call, which adds an amount to the count of a key."""
         self._send(CounterCall(action.counter_key, format_add(action), self.loop.time()))
 
     def change_address(self, address: Address) -> None:
-        """Send new calls to another address, and calls that have not been written to the old one yet.
+        """Send new calls, and pending calls that have not been written yet, to another address.
 
-        A call that has been written ends on its old connection.
+        A call that has already been written stays on its old connection, which waits for the reply.
         """
         if address == self.address:
             return
--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -1,9 +1,9 @@
-"""One connection to the shared quota counter. Calls on it are pipelined.
+"""A connection to the shared quota counter, on which calls are pipelined.
 
 A call is written without waiting for the reply to the previous one. The counter replies to the calls in the
 order in which they were written, with one line each (see `counter_protocol`).
 
-Each call gets exactly one result, whatever the counter does. Its outcome says whether the amount was added:
+Each `tally` call gets exactly one result, whatever the counter does. Its outcome means:
 
     OK             The amount was added; the result has the new total.
     REJECTED       The amount was not added: the counter refused the call.
@@ -11,9 +11,8 @@
     TIMED_OUT      The amount may have been added: the call was written, but no valid reply arrived before the
                    timeout or the end of the connection.
 
-A line that is not a valid reply to the oldest call means that replies can no longer be matched to calls: each
-later total could be that of another key. The connection is then dropped, and its calls end with the outcomes
-above.
+After a line that is not a valid reply to the oldest call, replies can no longer be matched to calls: each
+later total could be that of another key. The connection is then dropped, and its calls end as listed above.
 """
 
 from __future__ import annotations
@@ -33,32 +32,33 @@
 log = logging.getLogger("yardlane.proxy.counter_connection")
 
 # The maximum number of unanswered calls on one connection. With more, a counter that recovers after being
-# unresponsive would be met by a backlog.
+# unresponsive would first have to work off a backlog.
 MAX_UNANSWERED_CALLS = 16
-# An incomplete line that is longer is malformed.
+# A longer incomplete line is treated as malformed.
 MAX_LINE_BYTES = 256
-# A connection with unanswered calls counts as dead after this many call timeouts without a reply.
+# A connection with unanswered calls is dead after this many call timeouts without progress. See
+# `last_progress_at_s` for what counts as progress.
 NO_REPLY_TIMEOUT_FACTOR = 10
 # The same limit while a line is incomplete. It is lower because replies behind that line cannot be read.
 INCOMPLETE_LINE_TIMEOUT_FACTOR = 0.5
-# A connect times out after the call timeout, but not before this time.
+# The connect timeout is the call timeout, but at least this time.
 MIN_CONNECT_TIMEOUT_S = 0.25
 # After this time without a call, a connection is pinged, because the counter closes idle connections.
 PING_INTERVAL_S = 2.0
-# The minimum delay before the next connect, after a connect failed or a connection ended without any reply.
+# The minimum time until the next connect, after a connect failed or a connection ended without any reply.
 # Otherwise each call to a counter that is down would connect, which costs processor time.
 RECONNECT_DELAY_S = 0.1
 # How long an old connection may wait for its replies after the counter's address has changed.
 DRAIN_TIMEOUT_S = 1.5
-# A timer may fire early by up to this time because of rounding. A call that is due within it counts as due.
+# Because of rounding, a timer may fire up to this time early. So a call that is due within this time is due.
 TIMER_TOLERANCE_S = 0.0005
 
 
 class CounterCall:
-    """A call to the counter that waits to be written or to be answered: a `tally` or a ping.
+    """A call to the counter, a `tally` or a ping, that waits to be written or to be answered.
 
-    `has_result` is True once the result of the call has been reported, so that it is not reported again. A
-    ping has no result to report, so its `has_result` is True from the start. The key of a ping is not used.
+    `has_result` is True once the result has been reported, so that it is not reported again. It is True from
+    the start for a ping, which has no result. The key of a ping is not used.
     """
 
     __slots__ = ("has_result", "is_ping", "is_written", "key", "line", "started_at_s")
@@ -72,14 +72,14 @@
         self.has_result = is_ping
 
     def unanswered_outcome(self) -> Outcome:
-        """Return the outcome if no valid reply arrives: a call that was written may have been added."""
+        """Return the outcome if no valid reply arrives: a written call may have taken effect."""
         return Outcome.TIMED_OUT if self.is_written else Outcome.NOT_CONNECTED
 
 
 class CounterConnection(asyncio.Protocol):
-    """Keeps at most one connection to the counter open.
+    """Sends calls to the counter on at most one connection at a time.
 
-    It connects when a call is sent. After the connection has been lost, the next call connects again.
+    The connection is established when a call is sent, also after an earlier connection has been lost.
     """
 
     def __init__(
@@ -99,8 +99,8 @@
         self.connect_task: asyncio.Task[None] | None = None
         self.call_timer: asyncio.TimerHandle | None = None
         self.reconnect_not_before_s = 0.0
-        # The time of the last event that showed progress: the connection was established, bytes arrived
-        # while no line was incomplete, a line was completed, or a call was sent while no other was pending.
+        # The time of the last progress: the connection was established, bytes arrived while no line was
+        # incomplete, a line was completed, or a call was sent while no other was pending.
         self.last_progress_at_s = 0.0
         self.last_call_at_s = 0.0
         self.has_received_reply = False  # a reply to a `tally` call arrived on the current connection
@@ -132,7 +132,7 @@
             self.call_timer = self.loop.call_later(max(0.0, left_s), self._time_out_calls)
 
     def check_liveness(self) -> None:
-        """Drop the connection if it is dead, and ping the counter if the connection is idle."""
+        """Drop the connection if it is dead, or ping the counter if the connection is idle."""
         if self.transport is None:
             return
         now_s = self.loop.time()
@@ -143,11 +143,10 @@
             self.send(CounterCall(0, PING, now_s, is_ping=True))
 
     def close_gracefully(self) -> list[CounterCall]:
-        """Close the connection once all calls that were written have been answered.
+        """Close the connection once all written calls are answered, or after `DRAIN_TIMEOUT_S`.
 
-        Return the pending calls that have not been written; they may be sent on another connection. A call
-        that was written must not be sent again, as its amount would be added twice. No more calls may be
-        sent on this connection.
+        Return the pending calls that have not been written; they may be sent on another connection. A written
+        call must not be sent again, as its amount could be added twice. No more calls may be sent here.
         """
         self.is_closing = True
         if self.connect_task is not None:
@@ -184,7 +183,7 @@
             self.connect_task = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called when the connection is established: write the pending calls that have not timed out."""
+        """Called when the connection is established; writes the pending calls that have not timed out."""
         transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
         if self.is_closing:
             transport.abort()
@@ -198,15 +197,14 @@
             self._write(call)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called when the connection has been closed by the counter, by an error or by `_drop`."""
+        """Called when the connection has ended; ends its calls, unless `_drop` has already done so."""
         if self.transport is not None:
             self._drop(f"connection lost: {exc or 'closed by the counter'}")
 
     def _drop(self, reason: str) -> None:
-        """Close the connection and end all its calls.
+        """Close the connection, or give up connecting, and end all calls.
 
-        `reason` is only used for the log. After a failure has been logged, no other is logged until a reply
-        to a `tally` call arrives.
+        `reason` is for the log. After one failure, no other is logged until a reply to a `tally` arrives.
         """
         if not (self.is_failing or self.is_closing):
             self.is_failing = True
@@ -226,7 +224,7 @@
     # Replies and timeouts
 
     def data_received(self, data: bytes) -> None:
-        """Called when bytes have arrived: match each complete line to the oldest call."""
+        """Called when bytes have arrived; matches each complete line to the oldest call."""
         if self.transport is None:  # the connection was dropped, and all its calls have ended
             return
         if not self.buffer:  # more bytes of an incomplete line are not progress
@@ -276,7 +274,7 @@
             log.info("the counter replies again")
 
     def _time_out_calls(self) -> None:
-        """Called when the next call is due: end the calls that are due, and drop a dead connection.
+        """Called when the next call times out; ends the calls that are due, and drops a dead connection.
 
         The ended calls stay in `calls` until their replies arrive or the connection is dropped, so that a
         late reply to one of them is not matched to a later call.
--- a/yardlane/proxy/counter_protocol.py
+++ b/yardlane/proxy/counter_protocol.py
@@ -1,6 +1,6 @@
-"""The text format of calls to the shared quota counter and of its replies. It is defined only here.
+"""The text format of calls to the shared quota counter, and of its replies. It is defined only here.
 
-A call is one line, and so is the reply to it:
+Each call is one line, and so is each reply. The key is a hexadecimal number:
 
     tally <key> <amount> <lifetime in ms>  ->  ok <total>     the amount was added
                                                busy           the amount was not added
@@ -20,21 +20,27 @@
 from yardlane.units import US_PER_MS
 
 PING = b"ping\r\n"
-# The format of a total. float() also accepts other forms, such as `1_0` and `nan`.
+# The format of a total. It is checked because float() also accepts other forms, such as `1_0` and `nan`.
 TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,3})?")
 # At most this many bytes of a line are written to the log.
 MAX_LOGGED_BYTES = 80
 
 
 def format_add(action: AddToCounter) -> bytes:
-    """Return the line of a `tally` call. The amount is rounded to nine significant digits."""
+    """Return the line of a `tally` call.
+
+    The amount is rounded to nine significant digits, and the lifetime up to whole milliseconds, at least 1.
+    """
     lifetime_ms = max(1, math.ceil(action.lifetime_us / US_PER_MS))
     amount = f"{action.amount:.9g}".encode()
     return b"tally %x %s %d\r\n" % (action.counter_key, amount, lifetime_ms)
 
 
 class CounterReply(NamedTuple):
-    """A parsed reply to a `tally` call. `total` is valid only if the outcome is OK."""
+    """A parsed reply to a `tally` call.
+
+    `total` is valid only if the outcome is OK. `is_error` says whether the reply was `error` and not `busy`.
+    """
 
     outcome: Outcome
     total: float = 0.0
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -1,12 +1,13 @@
 """Keeps the endpoint list up to date by polling discovery for as long as the process runs.
 
-A poll either fetches the complete list or watches for changes. A watch request contains the version of the
-current list. Discovery answers it as soon as it has a later version, or with an empty list when the watch
-times out. The next poll follows at once.
-
-If a poll fails, the next one follows after a backoff, which doubles with each failure up to a maximum. That
-poll fetches the complete list if the last response may have been misread, or if discovery may not know the
-current version.
+A poll either fetches the complete list or watches for changes (a long poll). A watch request contains the
+version of the current list. Discovery answers it as soon as it has a later version, or with an empty delta
+when the watch times out. The next poll follows at once.
+
+If a poll fails, the next one follows after a backoff, which doubles with each failure up to a maximum. After
+a network error, that poll watches for changes again, because the current list is still valid. After any other
+failure it fetches the complete list, because the last response may have contained a change that was lost, or
+discovery may have been restarted and may not know the current version.
 """
 
 from __future__ import annotations
@@ -32,16 +33,17 @@
 log = logging.getLogger("yardlane.proxy.discovery_client")
 
 LIST_PATH = b"/catalog/members"
-# Used in place of a list version if there is none; the next poll then fetches the complete list.
+# The value of `version` while no list version is known. The next poll then fetches the complete list.
 NO_VERSION = -1
 
 OnUpdate = Callable[[EndpointListUpdate, Addresses], None]
 
 
 class DiscoveryClient:
-    """Keeps the endpoint list up to date.
+    """Polls discovery and passes on each update of the endpoint list.
 
-    `on_update` is called with each update, in order. `on_poll_failed` is called after each failed poll.
+    `on_update` is called with each update and the addresses in it, in the order of their arrival.
+    `on_poll_failed` is called after each failed poll.
     """
 
     def __init__(self, config: Config, on_update: OnUpdate, on_poll_failed: Callable[[], None]) -> None:
@@ -58,10 +60,10 @@
         self.task: asyncio.Task[None] | None = None
 
     def load_cached_list(self) -> None:
-        """Pass on the cached list from the configuration, or an empty list if it is malformed.
+        """Pass on the cached list from the configuration, or an empty list if it is malformed or missing.
 
-        A configuration without a cached list (no `known`) is treated in the same way. It causes the same
-        warning, with the reason "endpoint list must be an object with a list of members".
+        Both cases cause the same warning. If the configuration has no cached list (no `known`), the reason in
+        it is "endpoint list must be an object with a list of members".
         """
         try:
             decoded = self.decoder.decode(self.cached_list, UpdateKind.CACHED)
@@ -83,9 +85,9 @@
             self.connection = None
 
     def change_address(self, address: Address) -> None:
-        """Poll another discovery from now on; the current list stays in use until it responds.
+        """Poll discovery at another address from now on; the current list stays in use until it responds.
 
-        Each discovery counts its own versions, so the first poll fetches the complete list.
+        Each discovery has its own version numbers, so the first poll fetches the complete list.
         """
         self.stop()
         self.address = address
@@ -97,7 +99,7 @@
         while True:
             try:
                 await self._poll()
-            except Exception as error:  # of any type: if this task ended, all later changes would be missed
+            except Exception as error:  # any type: if this task ended, all later changes would be missed
                 self._handle_poll_failure(error)
                 await asyncio.sleep(backoff_s)
                 backoff_s = min(self.max_backoff_s, 2 * backoff_s)
@@ -129,8 +131,8 @@
         body = await self._request(connection, base_version)
         decoded = self.decoder.decode(parse_json(body))
         may_poll_at_once = self._apply_list(decoded, base_version)
-        # If discovery answers every watch at once with nothing new, polling without a pause would use up the
-        # CPU.
+        # If discovery answers every watch at once without anything new, polling without a pause would use up
+        # the CPU.
         if not may_poll_at_once and loop.time() < started_at_s + INITIAL_BACKOFF_S:
             await asyncio.sleep(INITIAL_BACKOFF_S)
 
@@ -149,11 +151,11 @@
         return connection
 
     async def _request(self, connection: DiscoveryConnection, base_version: int) -> bytearray:
-        """Watch for changes since `base_version`, or fetch the complete list if that is NO_VERSION.
+        """Watch for changes since `base_version`, or fetch the complete list if that is `NO_VERSION`.
 
-        Return the body of the response. The timeout applies to the response as a whole, so a response that
-        trickles in cannot extend it. Raises DiscoveryUnreachable if the response times out or the connection
-        ends, and DiscoveryError if the response is invalid.
+        Return the body of the response. The timeout applies to the whole response, so a response that arrives
+        byte by byte does not extend it. Raises DiscoveryUnreachable if the response times out or the
+        connection ends, and DiscoveryError if the response is invalid.
         """
         path = LIST_PATH
         wait_ms = 0
@@ -169,8 +171,9 @@
     def _apply_list(self, decoded: DecodedList, base_version: int) -> bool:
         """Record the version of a list, pass on its update, and return whether to poll again at once.
 
-        The next poll must wait if the list contained nothing new or is an ambiguous delta. Raises
-        MalformedEndpointList if the list does not follow from `base_version`.
+        The next poll must wait if the list contains nothing new or is an ambiguous delta. An empty delta is
+        not passed on. `base_version` is the version in the request. Raises MalformedEndpointList if the list
+        is older than that version, or if it is a delta although the complete list was requested.
         """
         update = decoded.update
         is_delta = update.kind is UpdateKind.DELTA
@@ -180,8 +183,8 @@
             raise MalformedEndpointList(
                 f"endpoint list has version {update.version}, older than the current version {base_version}"
             )
-        # The complete list may resolve the ambiguity of a delta. If the complete list is ambiguous too,
-        # fetching it again would not help.
+        # After an ambiguous delta, the next poll fetches the complete list, which may resolve the ambiguity.
+        # If the complete list is ambiguous too, fetching it again would not help.
         is_ambiguous = is_delta and decoded.is_ambiguous
         self.version = NO_VERSION if is_ambiguous else update.version
         has_content = bool(update.endpoints) or not is_delta
--- a/yardlane/proxy/discovery_connection.py
+++ b/yardlane/proxy/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to discovery, which carries one request at a time."""
+"""An HTTP/1.1 connection to discovery, on which one request at a time is sent."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """A connection that is reused until either side closes it.
+    """A connection to discovery that is used for one request after another until either side closes it.
 
     A request fails with DiscoveryUnreachable if the connection ends before the response is complete. It fails
-    with DiscoveryError if the response is not HTTP, has a status other than 200, or has a body of more than
-    `MAX_BODY_BYTES`. The connection is closed after either error.
+    with DiscoveryError if the response is not valid HTTP, has a status other than 200, or has a body of more
+    than `MAX_BODY_BYTES`. Either error closes the connection.
     """
 
     def __init__(self, address: Address) -> None:
@@ -28,7 +28,8 @@
         self.transport: asyncio.Transport | None = None
         self.response: asyncio.Future[bytearray] | None = None
         self.parser = httptools.HttpResponseParser(self)
-        # One growing buffer. If a body arrives in small chunks, a list of them takes many times its size.
+        # A single buffer: if a body arrives in small chunks, a list of the chunks would take many times its
+        # size.
         self.body = bytearray()
 
     def get(self, path: bytes) -> asyncio.Future[bytearray]:
@@ -61,11 +62,12 @@
     # Called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called when the connection is established; keeps its transport."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
+        """Called when the connection is established; stores its transport."""
+        # A cast, as uvloop's transport class is not derived from asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called when either side has ended the connection; fails a pending request."""
+        """Called when the connection has ended, on either side; fails a pending request."""
         self.transport = None
         self._fail(DiscoveryUnreachable("connection ended before the response was complete"))
 
@@ -74,7 +76,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # An exception raised in a callback of the parser is the context of the parser's own error.
+            # If `on_body` raised an exception, that exception is the context of the parser's own error.
             self._fail(DiscoveryError(f"malformed response: {error.__context__ or error}"))
 
     # Called by the parser
@@ -91,7 +93,8 @@
     def on_message_complete(self) -> None:
         """Called at the end of a response; completes the request.
 
-        An informational response (1xx) is skipped, because the final response follows it.
+        An informational response (1xx) is skipped, because the final response follows it. Any other status
+        than 200 fails the request.
         """
         status = self.parser.get_status_code()
         if status < HTTP_OK:
--- a/yardlane/proxy/endpoint_addresses.py
+++ b/yardlane/proxy/endpoint_addresses.py
@@ -1,6 +1,6 @@
-"""Applies updates of the endpoint list to the addresses of the endpoints. It does no I/O.
+"""Applies updates of the endpoint list to the addresses of the endpoints. This module does no I/O.
 
-The decisions identify endpoints only by their ids; the proxy keeps the addresses.
+The decisions identify an endpoint only by its id; the proxy keeps the addresses.
 """
 
 from __future__ import annotations
@@ -10,13 +10,15 @@
 
 
 def addresses_after(old: Addresses, update: EndpointListUpdate, decoded: Addresses) -> Addresses:
-    """Return the addresses after an update; `decoded` holds the addresses that could be read from it.
+    """Return the address of each endpoint after an update.
 
-    - An endpoint that is removed, or missing from a complete list, has no address. An endpoint that is
-      missing from a delta keeps its address.
-    - An endpoint that is listed with a readable address has that address.
-    - An endpoint that is listed without a readable address is draining. It keeps its old address for the
-      attempts in flight.
+    `old` has the addresses before the update, and `decoded` those that could be read from it.
+
+    - An endpoint that is listed with a valid address gets that address.
+    - An endpoint that is listed without a valid address is draining. It keeps its old address, if it had one,
+      for its attempts in flight.
+    - An endpoint that is listed as removed, or missing from a complete list, has no address any more.
+    - An endpoint that is missing from a delta keeps its address.
     """
     addresses = {**old, **decoded} if update.kind is UpdateKind.DELTA else dict(decoded)
     for endpoint in update.endpoints:
--- a/yardlane/proxy/endpoint_decoder.py
+++ b/yardlane/proxy/endpoint_decoder.py
@@ -1,6 +1,6 @@
 """Decodes the JSON from discovery into an `EndpointListUpdate`.
 
-This is the only module that knows the keys of an entry of the endpoint list:
+No other module knows the keys of an entry of the endpoint list:
 
     id             the endpoint's id
     host_port      its address, `host:port`
@@ -12,12 +12,12 @@
     up_since_ms    when it started, in ms since 1970; 0 or missing if it started long ago
 
 The names of zones and hardware kinds are converted to their indices in the settings. A name that the settings
-do not have gets the next free index. If `locality` or `flavor` is missing or null, the name is taken to be
-"None", which gets an index like any other name. So all such entries share one zone or one hardware kind.
+do not have gets the next free index. If `locality` or `flavor` is missing or null, the name "None" is used,
+which gets an index like any other name. So all such entries share one zone or one hardware kind.
 
-A malformed value does not cause the whole list to be rejected. Its endpoint is treated as draining, unless it
-is removed, so that no new requests are sent to an endpoint whose entry may have been misread. If the whole
-list were rejected, one malformed entry would prevent all other changes from being applied.
+A malformed value does not cause the whole list to be rejected, because one malformed entry would then prevent
+all other changes from being applied. Instead, its endpoint is treated as draining, unless it is removed. This
+ensures that no new requests are sent to an endpoint whose entry may have been misread.
 """
 
 from __future__ import annotations
@@ -40,20 +40,20 @@
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
 }
-# Ranks of readiness. Of two entries for one endpoint, the one with the lower rank is used.
+# Of two entries for one endpoint, the one whose state has the lower rank is used.
 READINESS_RANKS = {
     EndpointState.REMOVED: 0,
     EndpointState.DRAINING: 1,
     EndpointState.READY: 2,
 }
-# Labels of printable ASCII characters, none of them empty or longer than 63 characters. With other host names
-# `create_connection` raises an exception.
+# Labels of 1 to 63 printable ASCII characters, separated by dots. With other host names, `create_connection`
+# raises an exception.
 HOST_PATTERN = re.compile(r"[!-\-/-~]{1,63}(\.[!-\-/-~]{1,63})*")
-# Every integer up to this one can be represented exactly as a double, so a JSON number has the value that the
-# sender meant.
+# A 64-bit float represents every integer up to this one exactly, so the number has the value that the sender
+# meant.
 MAX_EXACT_INTEGER = 2**53
-# The maximum number of zone names, and of hardware kind names. Without this limit, a discovery that sends new
-# names all the time would fill the memory within a day.
+# The maximum number of zone names that get an index of their own, and likewise of hardware kind names.
+# Without this limit, a discovery that sends new names all the time would fill the memory within a day.
 MAX_INDEXED_NAMES = 64
 MAX_LOGGED_VALUE_CHARS = 60
 
@@ -62,10 +62,10 @@
 
 
 class DecodedList(NamedTuple):
-    """An update and the addresses of its endpoints.
+    """A decoded endpoint list: an update, and the addresses that could be read from it.
 
-    `is_ambiguous` is true if the list contains an entry without an id, or two different entries with the same
-    id. Only a complete list can show which endpoint was meant, or which of the two entries is right.
+    `is_ambiguous` is true if the list contains an entry without a valid id, or two different entries with the
+    same id. Only a complete list can show which endpoint was meant, or which of the two entries is right.
     """
 
     update: EndpointListUpdate
@@ -74,7 +74,7 @@
 
 
 class EndpointDecoder:
-    """Decodes the lists from one discovery and remembers the indices that it assigned to names."""
+    """Decodes endpoint lists, and remembers the index of each zone name and hardware kind name."""
 
     def __init__(self, zones: Iterable[str], hardware_kinds: Iterable[str]) -> None:
         self.zone_indices = {name: index for index, name in enumerate(zones)}
@@ -83,7 +83,8 @@
     def decode(self, document: object, kind: UpdateKind | None = None) -> DecodedList:
         """Decode a parsed JSON document; `kind` overrides the kind that the document states.
 
-        Raises MalformedEndpointList if the document is not an endpoint list.
+        A list that is not a delta is complete, so removed endpoints are left out of its update. Raises
+        MalformedEndpointList if the document is not an endpoint list.
         """
         if not isinstance(document, dict) or not isinstance(document.get("members"), list):
             raise MalformedEndpointList("endpoint list must be an object with a list of members")
@@ -119,7 +120,11 @@
         self.problems: list[str] = []
 
     def add(self, entry: object) -> None:
-        """Decode one entry. If two different entries have the same id, the less ready one is used."""
+        """Decode one entry and add it.
+
+        Of two different entries with the same id, the one with the lower readiness rank is used, or the later
+        one if the ranks are equal.
+        """
         if not isinstance(entry, dict):
             self._record_ambiguity("no id")
             return
@@ -187,7 +192,8 @@
 def _format_value(value: object) -> str:
     """Return a value as a short text for the log.
 
-    For a list or an object, the text is only its type, because its contents may be very long.
+    The text for a list, an object or null is only its type, as the contents of a list or object may be very
+    long.
     """
     if not isinstance(value, str | int | float):
         return type(value).__name__
@@ -244,15 +250,15 @@
 
 
 def _is_number(value: object) -> TypeGuard[int | float]:
-    """Return whether a value was a number in JSON; a bool was not, although it is an int in Python."""
+    """Return whether a parsed JSON value is a number. A bool is not, although it is an int in Python."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def _index_of(indices: dict[str, int], name: object) -> int:
     """Return the index of a name; a new name gets the next free index.
 
-    Once `MAX_INDEXED_NAMES` names have an index, all further names share the next one. Raises
-    MalformedEndpoint if the name is neither a string nor a number nor None.
+    Once `MAX_INDEXED_NAMES` names have an index, all further names share the next index. A number is used as
+    a name in its text form. Raises MalformedEndpoint if the name is neither a string nor a number nor None.
     """
     if name is not None and not isinstance(name, str | int | float):
         raise MalformedEndpoint("name must be a string or a number")
--- a/yardlane/simulator/action_encoder.py
+++ b/yardlane/simulator/action_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes actions as action records in the simulator's wire format. Their fields are defined only here."""
+"""Encodes actions as action records in the simulator's wire format, whose fields are defined only here."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 )
 from yardlane.simulator.codec import RECORD_HEADER
 
-# The length of a text or message is a 16-bit field.
+# The maximum length of a text, as its length is a 16-bit field. Longer texts are truncated.
 MAX_CONTENT_BYTES = 65_535
-# The recipient of a gossip message to all gateways.
+# In the recipient field of a gossip message, this value stands for all other gateways.
 ALL_GATEWAYS = 0xFFFFFFFF
 
 
 class ActionCode(IntEnum):
     """The codes of action records. Event records use the same numbers with other meanings.
 
-    A comment gives the code's name in the documentation of the wire format, if it differs.
+    A comment gives the code's documented name if it differs.
     """
 
     FAIL = 1000  # REPORT_FAILURE
@@ -52,9 +52,10 @@
 
 
 def _make_encoder(code: ActionCode, formats: str) -> Callable[..., bytes]:
-    """Return a function that encodes a record with fixed fields.
+    """Return a function that encodes a record with the given code and fixed fields.
 
-    Its arguments are the values of the fields; the first one is the instance.
+    `formats` has the `struct` format of each field. The arguments of the function are the values of the
+    fields, beginning with the instance.
     """
     record_struct = struct.Struct("<HI" + formats)
     length = record_struct.size - RECORD_HEADER.size
@@ -62,7 +63,7 @@
 
 
 def _encode_content(code: ActionCode, fields: bytes, content: bytes) -> bytes:
-    """Return a record of already encoded fields, followed by content of variable length."""
+    """Return a record of encoded fixed fields, followed by the length of the content and the content."""
     body = fields + struct.pack("<H", len(content)) + content
     return RECORD_HEADER.pack(code, len(body)) + body
 
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -1,10 +1,12 @@
-"""The command that a simulator runs: reads batches from standard input, writes replies to standard output.
+"""The command that a simulator runs to simulate front doors.
 
-One process runs one `Gateway` for each instance, that is for each front door in the simulation.
+It reads batches of events from standard input, and writes replies with actions to standard output. One process
+runs one `Gateway` for each instance, that is, for each front door in the simulation.
 
-The exit code is 0 at the end of the input, and 2 if the input or the settings in it are malformed. In that
-case, one line on standard error names the error. An exception in the decisions does not end the process: it
-is reported to the simulator in a record, and the simulator then ends the simulation.
+The process exits with code 0 at the end of the input, and with code 2 if the input is malformed or the
+settings in it are invalid. In the latter case, it writes one line that names the error to standard error. An
+exception in the decisions does not end the process: it is reported to the simulator in a record, and the
+simulator then ends the simulation.
 """
 
 from __future__ import annotations
@@ -24,17 +26,17 @@
 
 
 class Adapter:
-    """Holds the gateways of all instances, which share no state, and replies to batches."""
+    """Replies to batches with the actions of the gateways of all instances. The gateways share no state."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.columns: dict[int, Columns] = {}
 
     def handle_batch(self, frame: bytes) -> bytes:
-        """Handle the batch in a frame and return the reply frame.
+        """Pass each instance its events in a batch, and return the reply frame with all resulting actions.
 
-        Raises CodecError if the frame is malformed or has an event for an unknown instance, and SettingsError
-        if the settings of an instance are invalid.
+        All events of a batch have the same time. Raises CodecError if the frame is malformed or has an event
+        for an unknown instance, and SettingsError if the settings of an instance are invalid.
         """
         clock_us, records = read_batch(frame, self.columns)
         events_by_instance: dict[int, list[Event]] = {}
@@ -57,7 +59,7 @@
         for instance, events in events_by_instance.items():
             try:
                 actions = self.gateways[instance].handle(clock_us, events)
-            except Exception as error:  # any bug: the simulator gets the message and ends the simulation
+            except Exception as error:  # any bug: the simulator gets its message and ends the simulation
                 records.append(encode_exception(instance, f"{type(error).__name__}: {error}"))
                 break
             records += [encode_action(instance, action) for action in actions]
@@ -65,7 +67,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reply to batches until the end of the input.
+    """Read batches from `source` until its end, and write the reply to each of them to `sink`.
 
     Raises CodecError if the input is malformed or truncated, and SettingsError if settings are invalid.
     """
@@ -82,7 +84,7 @@
 
 
 def main() -> int:
-    """Run until the end of the input, and return the exit code."""
+    """Serve standard input until its end, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except YardlaneError as error:
--- a/yardlane/simulator/codec.py
+++ b/yardlane/simulator/codec.py
@@ -1,9 +1,13 @@
 """Decodes the frames that the simulator sends, and encodes the frames that it receives.
 
-The simulator sends batches of event records, and receives replies with action records. A batch consists of a
-header (number of records, size of the frame, clock in µs) and its records. A reply consists of a header (size
-of the frame, number of records) and its records. A record consists of a code, the length of its fields, and
-the fields. All numbers are little-endian, without padding.
+The simulator sends batches of event records, and receives a reply with action records for each batch. Either
+is one frame, which consists of a header and the records:
+
+    header of a batch   number of records, size of the frame in bytes, clock in µs
+    header of a reply   size of the frame in bytes, number of records
+    record              code, length of its fields in bytes, fields
+
+All numbers are little-endian, without padding. The size of a frame includes its header.
 """
 
 from __future__ import annotations
@@ -35,9 +39,10 @@
 def read_batch(data: bytes, columns: dict[int, Columns]) -> tuple[int, Iterator[tuple[int, DecodedRecord]]]:
     """Return the clock in µs, and an iterator over pairs of an instance and its event.
 
-    Each event is decoded only when the iterator reaches it, because its decoding may need the `columns` that
-    an earlier `Init` of the same batch defines. Raises CodecError if the frame is malformed, here or during
-    the iteration.
+    `columns` has the load report columns of each instance. Each event is decoded only when the iterator
+    reaches it, because an earlier `Init` in the same batch may define the columns that are needed to decode
+    it. Raises CodecError if the frame is malformed, and SettingsError if the settings of an `Init` are
+    invalid. The iteration may raise them, too.
     """
     if len(data) < BATCH_HEADER.size:
         raise CodecError(f"frame header truncated after {len(data)} bytes")
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -1,9 +1,8 @@
 """Decodes event records in the simulator's wire format to events. Their fields are defined only here.
 
-Each layout below has the fields of one kind of record, under their names in the documentation of the wire
-format. The function that decodes the record assigns them to the fields of the event, which have other names.
-A record may omit fields at its end; these are read as 0. Records with an unknown code are skipped, so that
-the wire format can be extended.
+Each layout below lists the fields of one kind of record by their names in the documentation of the wire
+format; the event has other names for them. A record may omit fields at its end; these are read as 0. Records
+with an unknown code are skipped, so that the wire format can be extended.
 """
 
 from __future__ import annotations
@@ -38,14 +37,11 @@
 T = TypeVar("T")
 
 Columns = tuple[str, ...]
-"""The names of the values in a load report, in their order. They are part of an instance's settings."""
+"""The names of the values in a load report, in order. They are part of an instance's settings."""
 
 
 class EventCode(IntEnum):
-    """The codes of event records.
-
-    A comment gives the code's name in the documentation of the wire format, if it differs.
-    """
+    """The codes of event records; a comment gives the code's documented name if it differs."""
 
     ATTEMPT_ENDED = 1000  # COMPLETED
     TIMER_FIRED = 1010  # RING
@@ -61,7 +57,7 @@
 
 
 class Init(NamedTuple):
-    """An instance starts, without any state of an earlier instance of the same number."""
+    """An instance starts, without the state of any earlier instance of the same number."""
 
     seed: int
     settings: Settings
@@ -69,13 +65,13 @@
 
 
 class Halt(NamedTuple):
-    """An instance was killed: it gets no more events."""
+    """An instance was killed. It gets no more events, unless an `Init` starts it again."""
 
 
 DecodedRecord = Event | Init | Halt
 
 
-INSTANCE = struct.Struct("<I")  # `door_id`, the first field of each record
+INSTANCE = struct.Struct("<I")  # the number of the instance: `door_id`, the first field of each record
 
 ATTEMPT_ENDED_LAYOUT = Layout(
     "door_id:I",
@@ -113,7 +109,7 @@
 LIST_ENTRY = struct.Struct("<fQHHBH6s")
 LOAD_VALUE = struct.Struct("<f")
 
-# Bits of `attrs`.
+# Bit masks of `attrs`.
 IS_RETRY_BIT = 2
 IS_WRITE_BIT = 4
 
@@ -143,7 +139,7 @@
 def decode_event(
     code: int, frame: memoryview, start: int, end: int, columns: dict[int, Columns]
 ) -> tuple[int, DecodedRecord] | None:
-    """Return the instance and the event of the record with fields in `frame[start:end]`.
+    """Return the instance and the event of the record whose fields are `frame[start:end]`.
 
     `columns` has the load report columns of each instance. Return None if the code is unknown. Raises
     CodecError if the fields are malformed, and SettingsError if the settings of an `Init` are invalid.
@@ -165,10 +161,10 @@
 
 
 def _read_content(frame: memoryview, start: int, end: int, size: int, name: str) -> memoryview:
-    """Return the content of `size` bytes that follows the fixed fields of a record.
+    """Return the `size` bytes of content that follow the fixed fields of a record.
 
-    `start` is where the content begins, and `end` where the record ends. `name` is what the error message
-    calls the content. Raises CodecError if the content extends past the end of the record.
+    The content begins at `start`, and the record ends at `end`. Raises CodecError, with the `name` of the
+    content, if the content extends past the end of the record.
     """
     if start + size > end:
         raise CodecError(f"{name} of {size} bytes extends past the end of its record at byte {end}")
--- a/yardlane/simulator/record_layout.py
+++ b/yardlane/simulator/record_layout.py
@@ -1,4 +1,4 @@
-"""Reads the fixed fields of a record in the simulator's wire format."""
+"""Reads the fixed fields of event records in the simulator's wire format."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 class Layout:
-    """Reads the fields of one kind of record.
+    """Reads the fixed fields of one kind of record.
 
-    Each field is given as `name:format`, where the format is one of `struct`. A record may omit fields at its
-    end; these are read as 0.
+    Each field is given as `name:format`, with a format character of `struct`. The names are only for the
+    reader of the code. A record may omit fields at its end; these are read as 0.
     """
 
     def __init__(self, *fields: str) -> None:
         formats = [field.partition(":")[2] for field in fields]
         self.struct = struct.Struct("<" + "".join(formats))
         self.size = self.struct.size
+        # The lengths of a record that ends between two of these fields, or before or after all of them.
         self.field_ends = {struct.calcsize("<" + "".join(formats[:n])) for n in range(len(formats) + 1)}
 
     def read(self, frame: memoryview, start: int, end: int) -> tuple:  # type: ignore[type-arg]
-        """Return the values of the fields of the record in `frame[start:end]`.
+        """Return the values of the fixed fields of the record whose fields are `frame[start:end]`.
 
-        Raises CodecError if the record ends inside a field.
+        Raises CodecError if the record ends inside a fixed field.
         """
         length = end - start
         if length >= self.size:
