--- a/tests/proxy/test_counter_client.py
+++ b/tests/proxy/test_counter_client.py
@@ -1,4 +1,4 @@
-"""Tests of `CounterClient`: each call to the counter gets exactly one result, whatever the counter does."""
+"""Tests that each call of `CounterClient` gets exactly one result, whatever the counter does."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,7 +22,7 @@
 
 
 def config_with_counter(counter: FakeServer, **changes: Any) -> dict[str, Any]:
-    """Return configuration keys with the address of the counter and the settings for it."""
+    """Return configuration keys: the address of the counter, and the settings with `changes`."""
     return {"counter": f"127.0.0.1:{counter.port}", "settings": settings_with_counter(**changes)}
 
 
@@ -30,7 +30,10 @@
 async def running_server_with_counter(
     decider: ScriptedDecider, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
-    """Run the whole program with a fake counter, which the test controls. `changes` are settings."""
+    """Run the whole program with a fake counter, which the test controls.
+
+    `changes` are changes to the settings, as in `settings_with_counter`.
+    """
     async with (
         FakeServer() as counter,
         running_server(decider, **config_with_counter(counter, **changes)) as server,
@@ -42,8 +45,8 @@
 async def test_replies_are_matched_to_calls_in_order() -> None:
     """Four calls are written before any is answered, and the replies arrive in arbitrary fragments.
 
-    Each reply belongs to the oldest call. If it were matched to another call, a key would get the total of
-    another key.
+    Each reply belongs to the oldest unanswered call. If it were matched to another call, a key could get the
+    total of another key.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_counter(decider) as (server, counter):
@@ -112,8 +115,8 @@
 async def test_number_of_unanswered_calls_is_limited() -> None:
     """The counter accepts a connection but does not reply, while further calls are made.
 
-    Only 16 calls are written. The others end at once, so that the counter does not have to work off a backlog
-    when it recovers.
+    Only 16 calls must be written. The others must end at once, so that the counter does not have to work off
+    a backlog when it recovers.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_counter(decider) as (server, counter):
@@ -132,7 +135,7 @@
 async def test_connection_without_replies_is_closed() -> None:
     """The counter's host disappears without a reset, so calls are written but never answered.
 
-    After several call timeouts the client closes the connection, so that later calls use a new one.
+    After several call timeouts the client must close the connection, so that later calls use a new one.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_counter(decider, count_wait_us=20_000) as (server, counter):
@@ -156,7 +159,8 @@
 async def test_call_ends_as_timed_out_after_a_malformed_reply() -> None:
     """The counter sends a line that is not a valid reply.
 
-    The amount may have been added. Later replies on this connection cannot be trusted.
+    The amount may have been added, so the result must not say that it was not. Later replies on this
+    connection cannot be trusted.
     """
     for reply in MALFORMED_REPLIES:
         decider = ScriptedDecider(leave_pending)
@@ -181,8 +185,8 @@
 async def test_call_after_a_malformed_reply_reconnects_at_once() -> None:
     """A connection is dropped because of a malformed reply, after the counter had replied on it.
 
-    A quarter of all keys use this connection. Their next call connects again at once, without the reconnect
-    delay.
+    A quarter of all keys use this connection. Their next call must connect again at once, without the
+    reconnect delay.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_counter(decider) as (server, counter):
@@ -205,8 +209,8 @@
 async def test_incomplete_reply_line_times_out_only_one_call() -> None:
     """The counter sends half a line and then nothing.
 
-    The call times out. The connection is closed, because replies behind the incomplete line could not be told
-    apart from it. The next call is answered on a new connection.
+    The call times out. The connection must then be closed, because later replies could not be told apart from
+    the incomplete line. The next call must be answered on a new connection.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_counter(decider, count_wait_us=200_000) as (server, counter):
--- a/tests/proxy/test_counter_connection.py
+++ b/tests/proxy/test_counter_connection.py
@@ -20,7 +20,7 @@
 
 
 class FakeLoop:
-    """An event loop whose clock only the test advances. It counts tasks but never runs them."""
+    """Replaces the event loop. Only the test advances its clock. It counts tasks but does not run them."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -51,7 +51,7 @@
 
 
 class FakeTransport:
-    """Records the bytes that are written, and whether it was closed."""
+    """A transport that records the bytes written to it, and whether it was closed."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -94,8 +94,8 @@
 def test_no_call_reconnects_within_the_reconnect_delay() -> None:
     """The counter refuses connections.
 
-    If each call tried to connect, the attempts would use up the processor. Until the delay has passed, calls
-    end at once instead.
+    If each call tried to connect, this would use up the processor time. So until the reconnect delay has
+    passed, calls must end at once.
     """
     driver = ConnectionDriver()
     driver.call()
@@ -124,7 +124,7 @@
 def test_call_that_timed_out_before_the_connect_is_never_written() -> None:
     """The connection is established after a call has timed out.
 
-    The result of the call said that the amount was not added, so the call must not be written any more.
+    The result of the call said that its amount was not added, so the call must not be written any more.
     """
     driver = ConnectionDriver()
     driver.call(1)
@@ -138,8 +138,8 @@
 def test_incomplete_line_does_not_keep_the_connection_alive() -> None:
     """The counter sends a line that never ends, one byte at a time.
 
-    Replies behind this line cannot be read. If each byte counted as progress, all calls would time out for as
-    long as bytes arrive.
+    Replies behind this line cannot be read. If each byte counted as progress, the connection would be kept,
+    and all calls would time out for as long as bytes arrive.
     """
     driver = ConnectionDriver()
     driver.call()
@@ -189,9 +189,9 @@
 
 
 def test_total_in_reply_to_a_ping_closes_the_connection() -> None:
-    """A total arrives in reply to a ping, so replies no longer match their calls.
+    """A total arrives in reply to a ping, so replies can no longer be matched to calls.
 
-    The next total would be that of another call.
+    If the connection were kept, the next total could be that of another call.
     """
     driver = ConnectionDriver()
     driver.call()
@@ -207,7 +207,7 @@
 def test_graceful_close_ends_the_connection_after_the_last_reply() -> None:
     """The counter's address changes.
 
-    A connection with a written call is closed when the call is answered, and an idle connection at once.
+    A connection with a written call must be closed when the call is answered, and an idle connection at once.
     Otherwise each change of the address would leave connections open for a while.
     """
     driver = ConnectionDriver()
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -33,7 +33,10 @@
 async def running_server_with_discovery(
     decider: Decider | None = None, **changes: Any
 ) -> AsyncIterator[tuple[RunningServer, FakeServer]]:
-    """Run the server with a fake discovery; the test writes the responses of that discovery."""
+    """Run the whole program with a fake discovery, whose responses the test writes.
+
+    `changes` are keys of the configuration.
+    """
     async with (
         FakeServer() as discovery,
         running_server(decider, discovery=f"127.0.0.1:{discovery.port}", **changes) as server,
@@ -52,7 +55,7 @@
 async def test_cached_list_is_followed_by_updates_in_order() -> None:
     """A process starts with a cached list, and discovery then sends a newer list and a change to it.
 
-    All three updates must reach the decisions in this order, with their times and states.
+    All three updates must reach the decisions in this order, with the endpoints' start times and states.
     """
     decider = ScriptedDecider(leave_pending)
     cached = endpoint_list_dict(member_dict("s-1", 9), revision=40)
@@ -83,8 +86,8 @@
 async def test_malformed_response_is_followed_by_fetch_of_complete_list() -> None:
     """Discovery answers a watch with an error status, a delta of an older version, or malformed data.
 
-    After each such response the next poll must fetch the complete list, so that no change is lost with the
-    response.
+    The response may have contained a change. So that this change is not lost, the next poll must fetch the
+    complete list.
     """
     malformed = [
         make_response(500),
@@ -109,7 +112,7 @@
         writer.write(
             snapshot_response(3, {"id": 5}, member_dict("s-1", 9), member_dict("s-2", 9, phase="Dancing"))
         )
-        # Discovery was restarted, so its lower version is valid.
+        # The complete list may have a lower version, as after a restart of discovery.
         assert "index=3&" in (await read_message(reader))[0]
         last = (await decider.wait_for(EndpointListUpdate, len(malformed) + 2))[-1]
         assert [(endpoint.endpoint_id, endpoint.state) for endpoint in last.endpoints] == [
@@ -139,9 +142,9 @@
 
 @uvloop_test
 async def test_watch_resumes_from_same_version_after_connection_reset() -> None:
-    """The connection of a watch is reset.
+    """Discovery resets the connection of a watch.
 
-    The current list is still valid, so the next poll must request only later changes.
+    The current list is still valid, so the next poll must request only the changes since its version.
     """
     async with running_server_with_discovery() as (_, discovery):
         reader, writer = await accept_poll(discovery)
@@ -154,9 +157,10 @@
 
 @uvloop_test
 async def test_older_version_is_rejected_and_complete_list_is_fetched() -> None:
-    """Discovery answers a watch with an older list, in which an endpoint that is now draining is still ready.
+    """Discovery answers a watch with an older list, in which a draining endpoint is still ready.
 
-    That list must be rejected, and the complete list must be fetched.
+    If that list were applied, requests would be sent to the endpoint again. So the list must be rejected, and
+    the complete list must be fetched.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (_, discovery):
@@ -180,17 +184,17 @@
 async def test_unresponsive_discovery_is_polled_again_within_drain_grace() -> None:
     """Discovery accepts connections without responding, and later responds again.
 
-    An endpoint may have begun to drain meanwhile, and its drain grace starts when discovery responds again.
-    Each poll during the outage must end early enough for another poll to be answered within that grace.
+    An endpoint may have begun to drain meanwhile, and its drain grace starts when discovery works again. Each
+    poll during the outage must time out early enough for the next poll to be answered within that grace.
     """
     grace_s = 0.5
     safety = {**settings_dict()["safety"], "drain_grace_us": int(grace_s * 1e6)}
     async with running_server_with_discovery(settings=settings_dict(safety=safety)) as (server, discovery):
         client = server.discovery
         assert client.response_timeout_s + client.max_backoff_s < grace_s
-        for _ in range(4):  # the backoff between the polls grows
+        for _ in range(4):  # the backoff grows after each failed poll
             reader, _ = await accept_poll(discovery)
-            assert await reader.read() == b""  # the poll has failed
+            assert await reader.read() == b""  # the poll has timed out
         reader, writer = await accept_poll(discovery)
         writer.write(snapshot_response(41, member_dict("s-1", 9)))
         assert "index=41&" in (await read_message(reader))[0]
@@ -207,7 +211,7 @@
     async with running_server_with_discovery(known=cached) as (server, discovery):
         await accept_poll(discovery)
         assert (await server.fetch(health))[0].split()[1] == "503"
-        await discovery.accept_connection()  # the first poll has ended without a response
+        await discovery.accept_connection()  # the second poll begins, as the first one has timed out
         assert (await server.fetch(health))[0].split()[1] == "200"
 
 
@@ -215,8 +219,8 @@
 async def test_address_change_closes_connection_to_old_address() -> None:
     """Discovery changes the address of an endpoint while a connection to the old address is open.
 
-    A request on that connection would reach whatever runs at the old address now. So the connection must be
-    closed, and the next request must use a new connection.
+    A request on that connection would reach the process that runs at the old address now. So the connection
+    must be closed, and the next request must use a connection to the new address.
     """
     decider = ScriptedDecider(forward_all)
     async with (
@@ -246,7 +250,7 @@
 
 @uvloop_test
 async def test_cached_list_is_used_while_discovery_is_unreachable() -> None:
-    """No process ever listens at discovery's address. Requests must be sent according to the cached list."""
+    """Nothing listens at discovery's address. Requests must be sent to the endpoints in the cached list."""
     async with running_server_with_backend() as (server, backend):
         _, client_writer = await server.connect_client()
         client_writer.write(make_request())
@@ -257,10 +261,10 @@
 
 @uvloop_test
 async def test_ambiguous_delta_triggers_a_single_fetch_of_complete_list() -> None:
-    """A delta has an entry without an id: an endpoint is draining, but it is unknown which one.
+    """A delta says that an endpoint is draining, but not which one, because the entry has no id.
 
     The other entries must be passed on at once, and the complete list must be fetched. If the complete list
-    is ambiguous too, fetching it repeatedly would not help, so the next poll must be a watch.
+    is ambiguous too, fetching it again would not help, so the next poll must be a watch.
     """
     decider = ScriptedDecider(leave_pending)
     async with running_server_with_discovery(decider) as (server, discovery):
@@ -280,9 +284,9 @@
 
 @uvloop_test
 async def test_malformed_new_address_does_not_end_requests_in_flight() -> None:
-    """An update has no readable address for an endpoint that has requests in flight.
+    """An update has a malformed address for an endpoint that has requests in flight.
 
-    The endpoint must be treated as draining, and its requests must complete at the known address.
+    The endpoint is treated as draining. It must keep its known address, and its requests must complete there.
     """
     for make_list_response in (snapshot_response, delta_response):
         async with (
--- a/tests/proxy/test_discovery_connection.py
+++ b/tests/proxy/test_discovery_connection.py
@@ -14,8 +14,8 @@
 def test_memory_use_of_body_in_small_chunks_is_bounded_by_its_size() -> None:
     """A list arrives in chunks of two bytes.
 
-    If each chunk were kept as an object of its own, the list would take about thirty times its size, and a
-    large list would exhaust the memory.
+    If each chunk were kept as an object of its own, they would take about thirty times the size of the list,
+    and a large list would exhaust the memory.
     """
     connection = DiscoveryConnection(("127.0.0.1", 9))
     chunk_count = 100_000
@@ -30,6 +30,7 @@
 
 
 async def connect(discovery: FakeServer) -> DiscoveryConnection:
+    """Return an established connection to a fake discovery."""
     connection = DiscoveryConnection(("127.0.0.1", discovery.port))
     await asyncio.get_running_loop().create_connection(lambda: connection, "127.0.0.1", discovery.port)
     return connection
@@ -37,7 +38,7 @@
 
 @uvloop_test
 async def test_informational_response_is_skipped() -> None:
-    """Discovery sends an informational response (1xx) first. The result must be the response that follows."""
+    """Discovery sends an informational response (1xx) before the final response, which must be the result."""
     async with FakeServer() as discovery:
         connection = await connect(discovery)
         response = connection.get(b"/catalog/members")
@@ -51,9 +52,9 @@
 
 @uvloop_test
 async def test_connection_is_not_reused_after_connection_close_header() -> None:
-    """A response announces with `Connection: close` that discovery closes the connection.
+    """A response has the header `Connection: close`, so discovery closes the connection after it.
 
-    A request sent on that connection would be lost, and changes would be noticed only after its timeout.
+    Another request on that connection would be lost, and changes would be noticed only after its timeout.
     """
     async with FakeServer() as discovery:
         connection = await connect(discovery)
--- a/tests/proxy/test_discovery_timing.py
+++ b/tests/proxy/test_discovery_timing.py
@@ -1,6 +1,8 @@
-"""Tests the worst-case delay until a change is received, as computed and as simulated for each state.
+"""Tests of the worst-case delay until a change of the endpoint list is received.
 
-The simulations run on an event loop whose clock the test sets.
+For each state of the discovery client, the computed delay is compared with a simulated one. The simulations
+run on an event loop whose clock the test advances. The module also tests the start of a process while
+discovery is faulty.
 """
 
 import asyncio
@@ -52,7 +54,8 @@
 class ManualClockLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock only the test advances.
 
-    A connection is established once `may_connect` is set, or refused if `refuses_connections` is true.
+    A connection is established once `may_connect` is set, or refused if `refuses_connections` is True.
+    `connect_requested` is set when the client begins to connect.
     """
 
     def __init__(self) -> None:
@@ -75,7 +78,7 @@
 
 
 def run_on_manual_clock(test: Callable[[ManualClockLoop], Awaitable[None]]) -> None:
-    """Run a test on a `ManualClockLoop`; cancel it after `TEST_TIMEOUT_S` of real time."""
+    """Run a test on a `ManualClockLoop`; cancel it if it takes longer than `TEST_TIMEOUT_S` of real time."""
     with asyncio.Runner(loop_factory=ManualClockLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, ManualClockLoop)
@@ -94,13 +97,13 @@
 
 
 class ManualClockHarness:
-    """A discovery client on a manual clock, together with its fake discovery.
+    """A discovery client on a `ManualClockLoop`, together with its fake discovery.
 
     The methods advance the clock to a timeout, or to just before it. `changed_at_s` is the time on that clock
-    from which the delay of the change is measured.
+    from which the delay is measured until the change is received.
     """
 
-    MARGIN_S = 0.001  # how long before its timeout an event happens if it happens in time
+    MARGIN_S = 0.001  # a step that must not time out ends this long before its timeout
 
     def __init__(self, loop: ManualClockLoop, discovery: FakeServer, grace_us: int) -> None:
         self.loop = loop
@@ -125,7 +128,10 @@
         self.updated.set()
 
     async def accept_slow_poll(self, after_s: float) -> Streams:
-        """Let the poll that is due in `after_s` connect just before its timeout, and read its request."""
+        """Let the poll that is due in `after_s` connect just before its timeout, and read its request.
+
+        Return the streams of its connection.
+        """
         self.loop.connect_requested.clear()
         self.loop.may_connect.clear()
         self.loop.now_s += after_s
@@ -142,7 +148,7 @@
         self.poll_failed.clear()
 
     async def reach_max_backoff(self) -> None:
-        """Refuse connections until the backoff has its maximum; return just after a poll has failed."""
+        """Refuse connections until the backoff has reached its maximum; return just after a failed poll."""
         self.loop.refuses_connections = True
         for _ in range(9):
             self.loop.now_s += self.max_backoff_s
@@ -150,7 +156,7 @@
         self.loop.refuses_connections = False
 
     async def establish_watch(self) -> Streams:
-        """Start the client, send it the complete list, and return the streams once it watches."""
+        """Start the client, send it the complete list, and return the streams once its watch has arrived."""
         self.client.start()
         reader, writer = await self.discovery.accept_connection()
         await read_message(reader)
@@ -161,15 +167,16 @@
         return reader, writer
 
     async def send_slowly(self, writer: asyncio.StreamWriter, timeout_s: float) -> None:
-        """Write single bytes of a response while the timeout elapses; they must not extend the timeout."""
+        """Write a response byte by byte until the timeout has elapsed; the bytes must not extend it."""
         for _ in range(2):
             writer.write(b" ")
             self.loop.now_s += timeout_s / 2
             await asyncio.sleep(0)
 
 
-# Each of these functions brings the client into one of the states, in which the change then occurs. It
-# returns the backoff in seconds after which the next poll is due.
+# Each of these functions brings the client into one of the states of `worst_case_notification_delays_us`. It
+# sets `changed_at_s`, waits until the last poll that cannot receive the change has failed, and returns the
+# backoff in seconds after which the next poll is due.
 
 
 async def silent_watch(harness: ManualClockHarness) -> float:
@@ -214,7 +221,7 @@
 
 
 async def slow_snapshot(harness: ManualClockHarness) -> float:
-    """A response with the complete list trickles in."""
+    """The complete list arrives byte by byte."""
     harness.changed_at_s = await refused(harness) + harness.loop.now_s
     _, writer = await harness.accept_slow_poll(harness.max_backoff_s)
     writer.write(snapshot_response(42, member_dict("s-1", 9))[:-9])
@@ -224,6 +231,7 @@
 
 
 async def slow_recovery_watch(harness: ManualClockHarness) -> float:
+    """After an outage, the connection for a watch is established late, and the watch is not answered."""
     _, writer = await harness.establish_watch()
     writer.transport.abort()
     await harness.wait_for_poll_failure()
@@ -255,6 +263,7 @@
 
 
 async def moved(harness: ManualClockHarness) -> float:
+    """The address of discovery changes."""
     await harness.establish_watch()
     harness.client.change_address(harness.client.address)
     await harness.accept_slow_poll(0)
@@ -287,8 +296,8 @@
     """An endpoint begins to drain while discovery hangs, refuses connections, stalls or sends malformed data.
 
     When discovery works again, the change must be received within the bound. Otherwise requests would be sent
-    to the endpoint after its drain grace. The measured delay must also match the computed one. Otherwise the
-    bound would be checked only for the computation.
+    to the endpoint after its drain grace. The simulated delay must also match the computed one, so that the
+    check of the computed delays holds for the real client.
     """
 
     async def run_scenario(loop: ManualClockLoop) -> None:
@@ -323,7 +332,11 @@
 async def simulate_faulty_discovery(
     discovery: FakeServer, loop: ManualClockLoop, behaviour: str, response_timeout_s: float
 ) -> None:
-    """Make the first poll time out or fail, in the way that `behaviour` names."""
+    """Make the first poll time out or fail, in the way that `behaviour` says.
+
+    "never comes up": connecting times out. "drips": the body arrives byte by byte until the response times
+    out. "sends too much": the body is larger than `MAX_BODY_BYTES`.
+    """
     if behaviour == "refuses":
         return
     if behaviour == "never comes up":
@@ -352,7 +365,8 @@
 ) -> None:
     """A process starts while discovery is faulty, and must not wait for it indefinitely.
 
-    Once the first poll has failed, the process must serve from the cached list if that has an endpoint.
+    Once the first poll has failed, the process must use the cached list. If that list has an endpoint, the
+    process must be ready.
     """
 
     async def run_scenario(loop: ManualClockLoop) -> None:
@@ -393,7 +407,7 @@
     ids=lambda body: repr(body[:24]),
 )
 def test_malformed_list_is_logged_as_one_short_line(body: bytes, caplog: pytest.LogCaptureFixture) -> None:
-    """Discovery sends a list that cannot be parsed. The log must get one short line without a traceback."""
+    """Discovery sends a list that is not valid. The log must get a single short line without a traceback."""
 
     async def run_scenario(loop: ManualClockLoop) -> None:
         async with FakeServer() as discovery:
--- a/tests/proxy/test_endpoint_addresses.py
+++ b/tests/proxy/test_endpoint_addresses.py
@@ -1,4 +1,4 @@
-"""Tests how updates of the endpoint list change the addresses of the endpoints."""
+"""Tests of how updates of the endpoint list change the addresses of the endpoints."""
 
 from tests.gateway_driver import make_endpoint
 from yardlane.decisions.events import EndpointListUpdate, EndpointState, UpdateKind
@@ -37,7 +37,10 @@
 
 
 def test_endpoint_without_readable_address_keeps_its_old_one() -> None:
-    """Discovery sends an address that cannot be read. The endpoint is draining, and its attempts go on."""
+    """Discovery sends a malformed address, so the endpoint is draining.
+
+    It must keep its old address for its attempts in flight.
+    """
     for kind in (UpdateKind.SNAPSHOT, UpdateKind.DELTA):
         updated_addresses = addresses_after(OLD_ADDRESSES, make_update(kind, s1=EndpointState.DRAINING), {})
         assert updated_addresses[b"s-1"] == ("10.0.0.1", 1)
--- a/tests/proxy/test_endpoint_decoder.py
+++ b/tests/proxy/test_endpoint_decoder.py
@@ -1,4 +1,4 @@
-"""Tests the decoding of endpoint lists, including malformed ones."""
+"""Tests of the decoding of endpoint lists, including malformed ones."""
 
 import json
 from typing import Any
@@ -17,10 +17,10 @@
 
 
 def test_number_of_indexed_names_is_limited() -> None:
-    """Each list has a zone and a hardware kind that no list had before.
+    """Each list has a zone and a hardware kind that no earlier list had.
 
-    If each name got an index of its own, the tables would grow without limit. So names over the limit share
-    one index.
+    If each name got an index of its own, the tables would grow without limit. So all names beyond the limit
+    must share one index.
     """
     decoder = make_decoder()
     for n in range(1000):
@@ -68,10 +68,10 @@
 def test_endpoint_with_malformed_value_is_draining(
     malformed_field: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Many entries of a list have one malformed value each.
+    """Many entries of a list have a malformed value.
 
-    The list must not be rejected. Those endpoints must be draining and the others ready, and the log must get
-    one short line. An endpoint that is removed must stay removed.
+    The list must not be rejected. The endpoints of those entries must be draining, and the other endpoint
+    must be ready. The log must get a single short line. A removed endpoint must still count as removed.
     """
     decoder = make_decoder()
     members = [member_dict("s-1", 9), *(member_dict(f"s-{n}", 9, **malformed_field) for n in range(2, 50))]
@@ -110,8 +110,8 @@
 ) -> None:
     """A list has two contradictory entries for one endpoint.
 
-    Sending requests to a draining endpoint does harm, while leaving out a ready one does little. So the less
-    ready entry must be used, whichever comes first.
+    Sending requests to a draining endpoint does more harm than sending none to a ready one. So the less ready
+    entry must be used, whichever comes first.
     """
     members = [member_dict("s-1", 9, phase=phase) for phase in phases]
     decoded = make_decoder().decode({"revision": 2, "members": members})
@@ -137,10 +137,10 @@
     ids=lambda body: repr(body[:24]),
 )
 def test_invalid_list_raises_malformed_endpoint_list(body: bytes) -> None:
-    """Discovery sends something that is not an endpoint list, which must raise MalformedEndpointList.
+    """Discovery sends a response that is not an endpoint list.
 
-    Any other exception would be logged as an internal error with a traceback. If an empty list were returned
-    instead, every endpoint would be removed.
+    Any exception but MalformedEndpointList would be logged as an internal error with a traceback. If an empty
+    list were returned instead, every endpoint would be removed.
     """
     with pytest.raises(MalformedEndpointList):
         make_decoder().decode(parse_json(bytearray(body)))
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -60,7 +60,7 @@
 
 
 def read_events(*records: bytes) -> list[tuple[int, Any]]:
-    """Decode records; the load reports of instance 3 have two columns."""
+    """Return the instance and the event of each record. The load reports of instance 3 have two columns."""
     return list(read_batch(make_frame(*records), {3: ("concurrent", "depth")})[1])
 
 
@@ -221,7 +221,10 @@
 
 
 def test_instance_is_halted_and_initialized_again_in_one_batch() -> None:
-    """Each of three batches must get a reply, and the reply to an empty batch consists of a header only."""
+    """An instance is killed, and a new one with the same number starts in the same batch.
+
+    Each batch must get a reply. The reply to an empty batch must consist of its header only.
+    """
     sink = io.BytesIO()
     halt = make_record(1020, struct.pack("<I", 3))
     serve(io.BytesIO(make_frame(make_init()) + make_frame(halt, make_init()) + make_frame()), sink)
@@ -237,7 +240,7 @@
 def test_exception_in_the_decisions_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     """The decisions raise an exception because of a bug.
 
-    The simulator must get the message of the exception in a record: the process must not end without a reply.
+    The simulator must get the message of the exception in a record. The process must not end without a reply.
     """
 
     def fail(*_: object) -> None:
--- a/tests/simulator/test_settings.py
+++ b/tests/simulator/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of invalid settings and of events for an unknown class, plan or request."""
+"""Tests of invalid settings, and of events for an unknown request class, quota plan or request."""
 
 from dataclasses import replace
 from typing import Any
@@ -45,9 +45,9 @@
 
 
 def test_end_of_an_attempt_of_an_unknown_request_is_ignored() -> None:
-    """An attempt ends, but the gateway does not know its request.
+    """An attempt ends whose request the gateway does not know.
 
-    If it were counted, the number of attempts in flight would stay wrong for good.
+    If this end were counted, the number of attempts in flight would be wrong from then on.
     """
     driver = GatewayDriver()
     assert driver.deliver(AttemptEnded(99, 0, make_endpoint_id(1), Outcome.OK, 1000, True)) == []
@@ -58,9 +58,9 @@
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An instance is initialized with a rank that is out of range for its fleet.
+    """An instance is initialized with a rank that is not lower than the number of gateways in its fleet.
 
-    The simulator must get one line on standard error and the exit code, not a traceback.
+    The adapter must write one line to standard error and return exit code 2, instead of raising the error.
     """
 
     def serve(*_: object) -> None:
--- a/yardlane/simulator/adapter.py
+++ b/yardlane/simulator/adapter.py
@@ -1,7 +1,7 @@
 """The command that a simulator runs to simulate front doors.
 
-It reads batches of events from standard input, and writes replies with actions to standard output. It runs one
-`Gateway` for each instance, that is, for each front door in the simulation.
+It reads batches of events from standard input, and writes replies with actions to standard output. It runs
+one `Gateway` for each instance, that is, for each front door in the simulation.
 
 The process exits with code 0 at the end of the input, and with code 2 if the input is malformed or the
 settings in it are invalid. In the latter case, it writes one line that names the error to standard error. An
