--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -3,7 +3,7 @@
 A call is written without waiting for the reply to the previous one. The counter replies to the calls in the
 order in which they were written, with one line each (see `counter_protocol`).
 
-Each `tally` call gets exactly one result, whatever the counter does. Its outcome means:
+Each `tally` call gets exactly one result, whatever the counter does. Its outcome is one of these:
 
     OK             The amount was added; the result has the new total.
     REJECTED       The amount was not added: the counter refused the call.
@@ -45,12 +45,12 @@
 MIN_CONNECT_TIMEOUT_S = 0.25
 # After this time without a call, a connection is pinged, because the counter closes idle connections.
 PING_INTERVAL_S = 2.0
-# The minimum time until the next connect, after a connect failed or a connection ended without any reply.
-# Otherwise each call to a counter that is down would connect, which costs processor time.
+# The minimum delay before connecting again after connecting failed, or after a connection ended on which no
+# `tally` was answered. Otherwise each call to a counter that is down would connect, which costs processor time.
 RECONNECT_DELAY_S = 0.1
 # How long an old connection may wait for its replies after the counter's address has changed.
 DRAIN_TIMEOUT_S = 1.5
-# Because of rounding, a timer may fire up to this time early. So a call that is due within this time is due.
+# A timer may fire early by up to this time because of rounding. A call that is due within it counts as due.
 TIMER_TOLERANCE_S = 0.0005
 
 
--- a/yardlane/proxy/counter_protocol.py
+++ b/yardlane/proxy/counter_protocol.py
@@ -1,6 +1,6 @@
 """The text format of calls to the shared quota counter, and of its replies. It is defined only here.
 
-Each call is one line, and so is each reply. The key is a hexadecimal number:
+Each call is one line, and so is each reply. The key of a `tally` call is a hexadecimal number.
 
     tally <key> <amount> <lifetime in ms>  ->  ok <total>     the amount was added
                                                busy           the amount was not added
--- a/yardlane/proxy/discovery_timing.py
+++ b/yardlane/proxy/discovery_timing.py
@@ -10,9 +10,9 @@
 
 from yardlane.units import MS_PER_S, US_PER_S
 
-# Upper bounds from the specification for the time until a change is received. It is measured from the moment
-# when discovery has the change and can be reached, or when the peer of a watch stops responding. After a
-# reload, it is measured from the arrival of SIGHUP.
+# Upper bounds from the specification for the time until a change is received. This time is measured from the
+# moment when discovery has the change and can be reached, or when the peer of a watch stops responding. After
+# a reload, it is measured from the arrival of SIGHUP.
 MAX_NOTIFICATION_DELAY_US = 6_000_000
 MAX_NOTIFICATION_DELAY_AFTER_RELOAD_US = 4_000_000
 # The part of these bounds that timeouts and backoffs must leave free. It covers the decoding of the largest
@@ -56,10 +56,10 @@
 def worst_case_notification_delays_us(drain_grace_us: int) -> dict[str, int]:
     """Return the longest time in µs until a change is received, by the client's state when it occurs.
 
-    In each state but "start", one poll fails that began before the change or before discovery worked. The
-    next poll is answered as late as its timeouts allow. Only tests call this function, to compare each delay
-    with the bounds above and with a simulation of the state. If you change a timeout or the backoff, adapt
-    the sums.
+    In each state but "start", one poll fails because it began before the change, or before discovery worked.
+    The next poll is answered as late as its timeouts allow. Only tests call this function, to compare each
+    delay with the bounds above and with a simulation of the state. If you change a timeout or the backoff,
+    adapt the sums.
     """
     timeout_s = response_timeout_s(drain_grace_us)
     backoff_s = max_backoff_s(drain_grace_us)
@@ -79,7 +79,7 @@
         "slow response": max_poll_s + backoff_s + max_poll_s,  # or an incomplete one
         "malformed list": backoff_s + max_poll_s,
         "internal error": backoff_s + max_poll_s,
-        "moved": max_poll_s + INITIAL_BACKOFF_S + max_poll_s,  # discovery's address; measured from SIGHUP
-        "start": max_poll_s,  # of a process, until it may use the cached list
+        "moved": max_poll_s + INITIAL_BACKOFF_S + max_poll_s,  # to a new address; from SIGHUP
+        "start": max_poll_s,  # from the start of a process until it may use the cached list
     }
     return {state: round(delay_s * US_PER_S) for state, delay_s in delays_s.items()}
--- a/yardlane/simulator/codec.py
+++ b/yardlane/simulator/codec.py
@@ -41,8 +41,8 @@
 
     `columns` has the load report columns of each instance. Each event is decoded only when the iterator
     reaches it, because an earlier `Init` in the same batch may define the columns that are needed to decode
-    it. Raises CodecError if the frame is malformed, and SettingsError if the settings of an `Init` are
-    invalid. The iteration may raise them, too.
+    it. Raises CodecError if the frame is malformed. The iteration may raise it, too, and also raises
+    SettingsError if the settings of an `Init` are invalid.
     """
     if len(data) < BATCH_HEADER.size:
         raise CodecError(f"frame header truncated after {len(data)} bytes")
--- a/yardlane/simulator/record_layout.py
+++ b/yardlane/simulator/record_layout.py
@@ -10,15 +10,15 @@
 class Layout:
     """Reads the fixed fields of one kind of record.
 
-    Each field is given as `name:format`, with a format character of `struct`. The names are only for the
-    reader of the code. A record may omit fields at its end; these are read as 0.
+    Each field is given as `name:format`, where the format is one of `struct`. The name is not used by the
+    code. A record may omit fields at its end; these are read as 0.
     """
 
     def __init__(self, *fields: str) -> None:
         formats = [field.partition(":")[2] for field in fields]
         self.struct = struct.Struct("<" + "".join(formats))
         self.size = self.struct.size
-        # The lengths of a record that ends between two of these fields, or before or after all of them.
+        # The lengths at which a record does not end inside a field.
         self.field_ends = {struct.calcsize("<" + "".join(formats[:n])) for n in range(len(formats) + 1)}
 
     def read(self, frame: memoryview, start: int, end: int) -> tuple:  # type: ignore[type-arg]
