--- a/yardlane/proxy/counter_connection.py
+++ b/yardlane/proxy/counter_connection.py
@@ -46,7 +46,7 @@
 # After this time without a call, a connection is pinged, because the counter closes idle connections.
 PING_INTERVAL_S = 2.0
 # The minimum delay before connecting again after connecting failed, or after a connection ended on which no
-# `tally` was answered. Otherwise each call to a counter that is down would connect, which costs processor time.
+# `tally` was answered. Otherwise each call to a counter that is down would connect, which costs CPU time.
 RECONNECT_DELAY_S = 0.1
 # How long an old connection may wait for its replies after the counter's address has changed.
 DRAIN_TIMEOUT_S = 1.5
--- a/yardlane/simulator/action_encoder.py
+++ b/yardlane/simulator/action_encoder.py
@@ -33,7 +33,7 @@
 class ActionCode(IntEnum):
     """The codes of action records. Event records use the same numbers with other meanings.
 
-    A comment gives the name in the wire format's documentation if it differs.
+    A comment gives the code's name in the wire format's documentation if that differs.
     """
 
     FAIL = 1000  # REPORT_FAILURE
--- a/yardlane/simulator/event_decoder.py
+++ b/yardlane/simulator/event_decoder.py
@@ -41,7 +41,7 @@
 
 
 class EventCode(IntEnum):
-    """The codes of event records. A comment gives the name in the wire format's documentation if it differs."""
+    """The codes of event records, each with its name in the wire format's documentation if that differs."""
 
     ATTEMPT_ENDED = 1000  # COMPLETED
     TIMER_FIRED = 1010  # RING
