--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -54,7 +54,7 @@
     def loop_time_s(self) -> float:
         """Return the time of the event loop's clock in seconds."""
 
-    def is_near_connection_limit(self) -> bool:
+    def is_above_high_watermark(self) -> bool:
         """Return whether the number of open connections is near the limit.
 
         If it is, each connection must close after the response to its newest request.
@@ -282,7 +282,7 @@
         if request.response or transport is None or transport.is_closing():
             return
         server = self.server
-        if (server.is_draining or server.is_near_connection_limit()) and request is self.pending[-1]:
+        if (server.is_draining or server.is_above_high_watermark()) and request is self.pending[-1]:
             self._close_after(request)  # closing after an earlier request would lose the later responses
         self._free_trace_id(request)
         request.response = encode_response(status, body, header_lines, request.closes_connection)
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -15,10 +15,10 @@
 # How long a connection may be idle between requests.
 IDLE_TIMEOUT_S = 15.0
 # Above this share of `max_connections`, a connection closes after the response to its newest request, and an
-# idle connection closes after NEAR_LIMIT_IDLE_TIMEOUT_S.
-NEAR_LIMIT_SHARE = 0.85
+# idle connection closes after HIGH_WATERMARK_IDLE_TIMEOUT_S.
+HIGH_WATERMARK_SHARE = 0.85
 # Also how long a connection must have been idle before it may be closed to make room for a new one.
-NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
+HIGH_WATERMARK_IDLE_TIMEOUT_S = 2.0
 TIMEOUT_CHECK_INTERVAL_S = 0.2
 
 
@@ -73,19 +73,19 @@
         """Called when a connection has been closed; removes it from the registered connections."""
         self.connections.pop(connection, None)
 
-    def is_near_connection_limit(self) -> bool:
+    def is_above_high_watermark(self) -> bool:
         """Return whether the number of open connections is near the limit.
 
         If it is, each connection must close after the response to its newest request.
         """
-        return len(self.connections) > NEAR_LIMIT_SHARE * self.max_connections
+        return len(self.connections) > HIGH_WATERMARK_SHARE * self.max_connections
 
     def _evict_connection(self) -> bool:
         """Abort one connection that serves no request; return whether there was one.
 
         The first choice is the oldest connection that is closing or on which no request has begun; what is
         unsent of the last response on a closing connection is lost. The second choice is the connection that
-        has been idle for longest. Connections that became idle less than `NEAR_LIMIT_IDLE_TIMEOUT_S` ago are
+        has been idle for longest. Connections that became idle less than `HIGH_WATERMARK_IDLE_TIMEOUT_S` ago are
         kept, because their next request may be on its way.
         """
         connection = self._find_closing_or_unused() or self._find_longest_idle()
@@ -103,7 +103,7 @@
         return None
 
     def _find_longest_idle(self) -> ClientConnection | None:
-        idle_before_s = self.loop_time_s() - NEAR_LIMIT_IDLE_TIMEOUT_S
+        idle_before_s = self.loop_time_s() - HIGH_WATERMARK_IDLE_TIMEOUT_S
         idle = [
             connection
             for connection in self.connections
@@ -130,7 +130,7 @@
     def check_all_timeouts(self) -> None:
         """Check the timeouts of all connections."""
         now_s = self.loop_time_s()
-        idle_timeout_s = NEAR_LIMIT_IDLE_TIMEOUT_S if self.is_near_connection_limit() else IDLE_TIMEOUT_S
+        idle_timeout_s = HIGH_WATERMARK_IDLE_TIMEOUT_S if self.is_above_high_watermark() else IDLE_TIMEOUT_S
         for connection in list(self.connections):
             connection.check_timeouts(now_s, idle_timeout_s)
 
