--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -90,10 +90,10 @@
         """
         self.timers.detect_stall(now_us)
         self.polling.decay_backoff(now_us - self.now_us)
-        is_first_turn = self.now_us == NEVER_US
+        is_first_call = self.now_us == NEVER_US
         self.now_us = now_us
         self.actions = []
-        if is_first_turn:
+        if is_first_call:
             self._start()
         for event in events:
             self._dispatch(event)
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -93,7 +93,7 @@
                 return
             except OSError as error:
                 if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
-                    self._pause_accepting(self.socket, error)
+                    self._suspend_accepting(self.socket, error)
                     return
                 continue  # the client disconnected before its connection was accepted
             self._handle_accepted_socket(accepted_socket)
@@ -108,7 +108,7 @@
         self.tasks.add(task)  # the event loop only holds a weak reference to the task
         task.add_done_callback(self.tasks.discard)
 
-    def _pause_accepting(self, listening_socket: socket.socket, error: OSError) -> None:
+    def _suspend_accepting(self, listening_socket: socket.socket, error: OSError) -> None:
         """Stop accepting for `ACCEPT_BACKOFF_S`.
 
         The listening socket stays readable, so without a pause the event loop would call `_accept` in every
