--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -53,7 +53,7 @@
 
 
 @uvloop_test
-async def test_all_events_of_a_turn_are_handled_in_one_call() -> None:
+async def test_events_posted_together_are_passed_in_one_call() -> None:
     """Several events arrive before the next turn. A call of the decider for each event would cost more time
     than one call for all. A retry could also go to an endpoint that a later event of the same turn reports as
     draining."""
@@ -83,7 +83,7 @@
     script = ScriptedDecider(reject_or_raise_on(2))
     decision_loop, handler = make_decision_loop(script)
     for request_id in (1, 2, 3):
-        decision_loop.forget_after_turn(request_id)
+        decision_loop.forget_after_next_call(request_id)
         decision_loop.post(RequestEnded(request_id))
     await asyncio.sleep(0)
     assert (handler.actions, handler.failed_request_ids, handler.forgotten_request_ids) == (
@@ -105,7 +105,7 @@
         return [UNUSABLE_ACTION, Reject(1)]
 
     decision_loop, handler = make_decision_loop(ScriptedDecider(reject_after_unusable_action))
-    decision_loop.forget_after_turn(1)
+    decision_loop.forget_after_next_call(1)
     decision_loop.post(RequestEnded(1))
     await asyncio.sleep(0)
     assert (handler.actions, handler.forgotten_request_ids) == ([Reject(1)], [1])
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -55,7 +55,7 @@
         """Return the time of the event loop's clock in seconds."""
 
     def is_above_high_watermark(self) -> bool:
-        """Return whether the number of open connections is near the limit.
+        """Return whether the number of open connections is above the high watermark.
 
         If it is, each connection must close after the response to its newest request.
         """
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -74,7 +74,7 @@
         self.connections.pop(connection, None)
 
     def is_above_high_watermark(self) -> bool:
-        """Return whether the number of open connections is near the limit.
+        """Return whether the number of open connections is above `HIGH_WATERMARK_SHARE` of the maximum.
 
         If it is, each connection must close after the response to its newest request.
         """
@@ -83,10 +83,9 @@
     def _evict_connection(self) -> bool:
         """Abort one connection that serves no request; return whether there was one.
 
-        The first choice is the oldest connection that is closing or on which no request has begun; what is
-        unsent of the last response on a closing connection is lost. The second choice is the connection that
-        has been idle for longest. Connections that became idle less than `HIGH_WATERMARK_IDLE_TIMEOUT_S` ago are
-        kept, because their next request may be on its way.
+        The first choice is the oldest connection that is closing, which loses the unsent rest of its last
+        response, or on which no request has begun. The second choice is the connection that has been idle for
+        longest, but for at least `HIGH_WATERMARK_IDLE_TIMEOUT_S`: the next request may be on its way.
         """
         connection = self._find_closing_or_unused() or self._find_longest_idle()
         if connection is None:
--- a/yardlane/proxy/decision_loop.py
+++ b/yardlane/proxy/decision_loop.py
@@ -94,13 +94,13 @@
         self.events.append(event)
         if not self.is_scheduled:
             self.is_scheduled = True
-            self.loop.call_soon(self._run_turn)
+            self.loop.call_soon(self._call_decider)
 
-    def schedule_turn(self) -> None:
+    def schedule_call(self) -> None:
         """Schedule a turn although nothing has happened, so that the decider runs callbacks that are due."""
         self.post(TimerFired(ANY_TOKEN))
 
-    def forget_after_turn(self, request_id: int) -> None:
+    def forget_after_next_call(self, request_id: int) -> None:
         """Forget a request after the next turn.
 
         The caller posts `RequestEnded` or the last `AttemptEnded` of the request right after this call. The
@@ -109,7 +109,7 @@
         """
         self.ended_request_ids.append(request_id)
 
-    def _run_turn(self) -> None:
+    def _call_decider(self) -> None:
         """Pass the queued events to the decider, carry out its actions, and forget the ended requests."""
         events = self.events
         ended_request_ids = self.ended_request_ids
@@ -147,5 +147,5 @@
         for event in events[events.handled_count :]:
             self.post(event)
         # Callbacks that were due in this turn may not have run, and the decider has set no timer for them.
-        call_after(self.loop, RECOVERY_DELAY_US, self.schedule_turn)
+        call_after(self.loop, RECOVERY_DELAY_US, self.schedule_call)
         return list(self.decider.actions)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -222,7 +222,7 @@
             request.client_request.reply(status, body)
         self._end_request(request)
         if not request.attempts_in_flight:
-            self.decision_loop.forget_after_turn(request_id)
+            self.decision_loop.forget_after_next_call(request_id)
         self.post(RequestEnded(request_id))
 
     def _end_by_decision(self, request_id: int, request: RequestInFlight) -> None:
@@ -238,7 +238,7 @@
         stall of the process, the decider's own timer may be due but not have fired yet. If the decider
         rejects the request, the client learns that it may safely retry, which a failure does not tell it.
         """
-        self.decision_loop.schedule_turn()
+        self.decision_loop.schedule_call()
         self.loop.call_soon(self._fail_if_unanswered, request_id)
 
     def _fail_if_unanswered(self, request_id: int) -> None:
@@ -344,7 +344,7 @@
             request.client_request.reply(Status.OK, response.body, header_line)
             self._end_request(request)
         if request.has_ended and not request.attempts_in_flight:
-            self.decision_loop.forget_after_turn(attempt.request_id)
+            self.decision_loop.forget_after_next_call(attempt.request_id)
         self.post(
             AttemptEnded(
                 attempt.request_id,
