--- a/tests/proxy/test_decision_loop.py
+++ b/tests/proxy/test_decision_loop.py
@@ -54,8 +54,8 @@
 
 @uvloop_test
 async def test_events_posted_together_are_passed_in_one_call() -> None:
-    """Several events arrive before the next turn. A call of the decider for each event would cost more time
-    than one call for all. A retry could also go to an endpoint that a later event of the same turn reports as
+    """Several events arrive before the next call of the decider. A call for each event would cost more time
+    than one call for all. A retry could also go to an endpoint that a later one of these events reports as
     draining."""
     batches: list[list[Event]] = []
     script = ScriptedDecider(leave_pending)
@@ -78,8 +78,8 @@
 @uvloop_test
 async def test_exception_in_decider_keeps_earlier_actions_and_reposts_later_events() -> None:
     """The decider raises an exception on the second of three events. The action of the first event must be
-    carried out, the request of the second must fail, and the third event must be handled in the next turn. An
-    extra turn must follow for callbacks that were due."""
+    carried out, the request of the second must fail, and the third event must be handled in the next call. An
+    extra call must follow for callbacks that were due."""
     script = ScriptedDecider(reject_or_raise_on(2))
     decision_loop, handler = make_decision_loop(script)
     for request_id in (1, 2, 3):
@@ -146,7 +146,7 @@
 @uvloop_test
 async def test_exception_before_the_first_event_fails_no_request() -> None:
     """The decider raises an exception before the first event. The exception belongs to no request, so no
-    request may fail, and all events must be handled in the next turn."""
+    request may fail, and all events must be handled in the next call."""
     script = DeciderRaisingOutsideEvents(is_after_events=False)
     decision_loop, handler = make_decision_loop(script)
     decision_loop.post(RequestEnded(1))
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -59,8 +59,8 @@
 
 @uvloop_test
 async def test_unusable_action_does_not_stop_later_actions() -> None:
-    """The decider returns actions that cannot be carried out, followed by a rejection. If the turn ended at
-    the first of them, the client would wait until the watchdog timer fails its request."""
+    """The decider returns actions that cannot be carried out, followed by a rejection. If the proxy stopped
+    at the first of them, the client would wait until the watchdog timer fails its request."""
 
     def return_unusable_actions(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
@@ -129,8 +129,8 @@
 
 @uvloop_test
 async def test_decider_may_still_answer_when_the_watchdog_expires() -> None:
-    """No timer of the decider is set, as after an exception in the decider. The watchdog must give the
-    decider a turn before it fails the request."""
+    """No timer of the decider is set, as after an exception in the decider. When the
+    watchdog expires, the decider must be called once more before the request fails."""
 
     def reject_on_timer(event: Event) -> list[Action]:
         return [Reject(1)] if isinstance(event, TimerFired) else []
--- a/yardlane/decisions/counter_polling.py
+++ b/yardlane/decisions/counter_polling.py
@@ -77,10 +77,7 @@
 
 
 class CountingPeriods:
-    """The periods of one tenant's count.
-
-    `tenant_key` is unique to a tenant and its plan.
-    """
+    """The periods of one tenant's count; `tenant_key` is unique to a tenant and its plan."""
 
     __slots__ = ("_phase_us", "_tenant_key", "period_us")
 
@@ -138,10 +135,7 @@
         return len(self._pending)
 
     def decay_backoff(self, elapsed_us: int) -> None:
-        """Decay the backoff by the time since the last turn.
-
-        Must be called in each turn (one call of `Gateway.handle`).
-        """
+        """Decay the backoff by the time since the last call. Each call of `Gateway.handle` must do this."""
         if self.backoff_factor > 1.0:
             decayed = (self.backoff_factor - 1.0) * math.exp(-elapsed_us / BACKOFF_DECAY_TIME_US)
             self.backoff_factor = 1.0 + decayed
--- a/yardlane/decisions/gateway.py
+++ b/yardlane/decisions/gateway.py
@@ -62,7 +62,7 @@
     """Makes all decisions of one gateway.
 
     An instance holds the requests and the tenants; each rule holds its own state. One call of `handle` is a
-    turn. `now_us` is the time of the current turn, and `actions` are the actions that were decided in it.
+    turn. `now_us` is the time of the current turn, and `actions` are the actions decided in it.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -104,10 +104,7 @@
         return self.actions
 
     def _start(self) -> None:
-        """Record the start time of the gateway, and watch the endpoint list unless it is pushed.
-
-        Called at the beginning of the first turn.
-        """
+        """Record the start time of the gateway, and watch the endpoint list unless it is pushed."""
         self.slow_start.gateway_started_at_us = self.now_us
         if not self.settings.endpoint_list_is_pushed:
             self._watch_endpoints()
@@ -171,7 +168,7 @@
         return request
 
     def _get_or_create_tenant(self, event: RequestArrived) -> Tenant:
-        """Return the tenant of a request; create it if necessary, and move it to the end of `tenants`."""
+        """Return the tenant of a request, created if necessary, and move it to the end of `tenants`."""
         tenant_id = (event.tenant, event.quota_plan)
         tenant = self.tenants.pop(tenant_id, None)
         if tenant is None:
@@ -194,7 +191,7 @@
             self._decide_admission(request)
 
     def _decide_admission(self, request: Request) -> None:
-        """Reject a request, or queue it and forward the requests of its tenant that may leave the queue."""
+        """Reject a request, or queue it and forward its tenant's requests that may leave the queue."""
         tenant = request.tenant
         if not admission.decide_admission(
             tenant, request.units, self._mean_service_time_us(request), self.now_us
@@ -227,11 +224,7 @@
             self._start_attempt(request, endpoint)
 
     def _schedule_forwarding(self, tenant: Tenant, missing_units: float) -> None:
-        """Schedule the next `_forward_queued` of this tenant, unless one is already scheduled.
-
-        By then the missing units of the hard rate may have been refilled, an endpoint may be available, or
-        the limit on all attempts may allow the request.
-        """
+        """Schedule the next `_forward_queued` of this tenant, unless one is already scheduled."""
         if tenant.next_forwarding_at_us > self.now_us:
             return
         delay_us = admission.queue_recheck_delay_us(tenant, missing_units, self.now_us)
@@ -270,9 +263,8 @@
         """Called at the time when an attempt is overdue, even if it has ended before.
 
         If the attempt is still in flight, count it as overdue and send a hedged request if one is allowed. If
-        the settings allow cancelling but not hedging, cancel the overdue attempt instead, provided that a
-        retry could be sent now. The `AttemptEnded` of the cancelled attempt then triggers the retry
-        (`_on_attempt_ended`). If the settings allow neither, leave the attempt in flight.
+        the settings allow cancelling but not hedging, cancel the attempt instead, provided that a retry could
+        be sent now. Its `AttemptEnded` then triggers the retry.
         """
         if not attempt.is_in_flight:
             return
@@ -355,17 +347,14 @@
     def _on_request_ended(self, request_id: int) -> None:
         """Called when a response begins to stream to the client, or a request ends without a decision.
 
-        The request needs no more decisions, so end it; no further attempt is then sent for it.
+        End the request, so that no further attempt is sent for it.
         """
         request = self.requests.get(request_id)
         if request is not None:
             self._end_request(request)
 
     def _end_request(self, request: Request) -> None:
-        """End a request and remove it from its queue.
-
-        It stays in `requests` until it has no attempt in flight.
-        """
+        """End a request and dequeue it. It stays in `requests` until it has no attempt in flight."""
         request.has_ended = True
         if request.is_queued:
             request.tenant.queue.remove(request)
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -49,8 +49,8 @@
 # hard rate is then enough for the whole quota, so no part of the hard rate needs to be split by demand.
 ASSUMED_HARD_RATE_TO_QUOTA_RATIO = 2.0
 INITIAL_SLACK_SHARE = 0.5  # share of the slack that is in the bucket when the process starts
-# With no demand, the first total fills the bucket to this share of its depth. With demand, the ratio of the
-# fleet's demand to the hard rate is subtracted from the share.
+# If there is no demand, the first total fills the bucket to this share of its depth; with demand, it fills it
+# to less (see `HardRateBucket.fill_on_first_total`).
 FIRST_TOTAL_FILL_SHARE = 0.5
 MAX_WAIT_US = 1e9
 MIN_UNITS_PER_US = 1e-9  # avoids a division by zero in a gateway whose share is 0
@@ -120,7 +120,7 @@
     def refill(self, now_us: int) -> None:
         """Add the units that this gateway's share of the rate has supplied since the last call."""
         elapsed_us = now_us - self._refilled_at_us
-        if elapsed_us == 0:  # already refilled in this turn (one call of `Gateway.handle`)
+        if elapsed_us == 0:  # already refilled in this call of `Gateway.handle`
             return
         self._refilled_at_us = now_us
         filled = self.units + self._plan.hard_rate_per_s * self.rate_share(now_us) * elapsed_us / SECOND_US
@@ -133,16 +133,12 @@
     def take(self, units: float) -> None:
         """Take a request's units from the bucket.
 
-        Call this for the first attempt of a request only, because the hard rate limits requests, not
-        attempts.
+        Call this only for the first attempt, because the hard rate limits requests, not attempts.
         """
         self.units -= units
 
     def time_to_fill_us(self, units: float, now_us: int) -> int:
-        """Return the time in which this many units flow into the bucket, at most `MAX_WAIT_US`.
-
-        The result is 0 if `units` is 0 or less.
-        """
+        """Return the time in which `units` flow into the bucket, at most `MAX_WAIT_US`; 0 if `units` <= 0."""
         units_per_us = self._plan.hard_rate_per_s * self.rate_share(now_us) / SECOND_US
         return int(min(MAX_WAIT_US, max(0.0, units) / max(MIN_UNITS_PER_US, units_per_us)))
 
@@ -150,11 +146,8 @@
         """Fill a part of the bucket when the first total has been received.
 
         Fill it to (`FIRST_TOTAL_FILL_SHARE` - fleet's demand / hard rate) of this gateway's share of the
-        depth, unless it already holds more.
-
-        A gateway that has just started does not know whether the previous process emptied the bucket. With
-        high demand it probably did, so a full bucket would exceed the hard rate. The lower the demand, the
-        more of the bucket is made available, up to half of it.
+        depth, unless it already holds more. The higher the demand, the more likely a previous process has
+        emptied the bucket, and a full bucket would then exceed the hard rate.
         """
         demand_to_hard_rate = (
             self._demand.fleet_demand * SECOND_US / self._demand.decay_time_us / self._plan.hard_rate_per_s
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -22,7 +22,7 @@
 
 log = logging.getLogger("yardlane.proxy.client_connection")
 
-# Reading pauses while at least this number of requests is pending, except after a fatal error.
+# Reading is paused from this number of pending requests on; see `_update_reading`.
 MAX_PENDING_REQUESTS = 4
 # A single read may bring more requests than MAX_PENDING_REQUESTS. Up to this number of excess requests are
 # each answered with 503. One more is a fatal error, after which the connection closes.
@@ -55,10 +55,7 @@
         """Return the time of the event loop's clock in seconds."""
 
     def is_above_high_watermark(self) -> bool:
-        """Return whether the number of open connections is above the high watermark.
-
-        If it is, each connection must close after the response to its newest request.
-        """
+        """Return whether each connection must close after the response to its newest request."""
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
         """Called when the connection has been closed; from then on it does not count towards the limit."""
@@ -85,10 +82,9 @@
     # State
 
     def _change_state(self, event: ClientEvent) -> bool:
-        """Change the state as `TRANSITIONS` defines it; return whether the state has changed.
+        """Change the state as `TRANSITIONS` defines it, and return whether it has changed.
 
-        An event that the table does not allow in this state is a bug in this program: it is logged and
-        changes nothing.
+        An event that the table does not allow is a bug in this program: it is logged and changes nothing.
         """
         old_state = self.state
         new_state = TRANSITIONS[old_state].get(event)
@@ -108,10 +104,7 @@
         return True
 
     def _release_pending(self) -> None:
-        """Drop the pending requests.
-
-        Free the trace ids of the unanswered ones, and notify the handler that they cannot be answered.
-        """
+        """Drop the pending requests; notify the handler of those that have not been answered."""
         released = self.pending
         self.pending = deque()
         for request in released:
@@ -129,9 +122,9 @@
     def _update_reading(self) -> None:
         """Pause or resume reading from the socket.
 
-        Reading pauses while `MAX_PENDING_REQUESTS` or more requests are pending, or while the client does not
-        read its responses. After a fatal error and while closing, the connection is always read, because
-        closing a socket with unread bytes resets the connection.
+        Reading is paused while `MAX_PENDING_REQUESTS` or more requests are pending, or while the client does
+        not read its responses. After a fatal error and while closing, it is never paused, because closing a
+        socket with unread bytes resets the connection.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -141,7 +134,7 @@
         if should_read is transport.is_reading():
             return
         if should_read:
-            # The timeout starts anew, because the client could not send during the pause.
+            # The timeout starts anew, because the client could not send while reading was paused.
             self.request_timeout_started_s = self.server.loop_time_s()
             transport.resume_reading()
         else:
@@ -160,10 +153,7 @@
     # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called when the transport has been created.
-
-        The transport is aborted if the connection has been closed in the meantime to make room for another.
-        """
+        """Called when the transport has been created; aborts it if the connection was closed meanwhile."""
         # The cast is needed because uvloop's transport is not a subclass of asyncio.Transport.
         transport = cast(asyncio.Transport, transport)
         self.transport = transport
@@ -191,7 +181,7 @@
         """Called when the client has closed its side; closes the connection and ends its pending requests.
 
         HTTP allows a client to half-close a connection and still read the response. But the proxy cannot
-        distinguish this from a client that has disconnected, whose requests would take capacity from others.
+        distinguish this from a disconnect, after which the requests would take capacity from other clients.
         """
         self._on_client_disconnected()
         return False
@@ -213,10 +203,7 @@
         self.request_timeout_started_s = self.server.loop_time_s()
 
     def on_expect_continue(self) -> None:
-        """Called when the client waits for 100 Continue before it sends the body; sends 100 Continue.
-
-        Nothing is sent while other requests are pending, because it would precede their responses.
-        """
+        """Called when the client waits for 100 Continue; sends it unless it would precede other responses."""
         if self.transport is not None and not self.pending:
             self.transport.write(CONTINUE_RESPONSE)
 
@@ -249,10 +236,9 @@
             request.reply(Status.SERVICE_UNAVAILABLE, b"not ready\n")
 
     def _dispatch_request(self, request: ClientRequest) -> None:
-        """Pass the request to the handler.
+        """Pass the request to the handler, or answer it with an error if it is invalid.
 
-        Answer with an error if the request is invalid, or with 500 after an unexpected exception. The
-        connection stays usable in all cases.
+        The connection stays usable, even after an unexpected exception, which is answered with 500.
         """
         try:
             parsed = parse_request(self.parser, self.server.rules, self.server.open_trace_ids)
@@ -274,9 +260,8 @@
         """Answer `request`: write the response now, or once all earlier requests have been answered.
 
         A second response to the same request is discarded, and so is a response after the client has
-        disconnected. The request's trace id becomes free for reuse. While draining or near the connection
-        limit, the connection closes after the response to its newest request. Otherwise, reading resumes if
-        it was paused and there is room for another request.
+        disconnected. While draining or above the high watermark, the connection closes after the response to
+        its newest request.
         """
         transport = self.transport
         if request.response or transport is None or transport.is_closing():
@@ -360,19 +345,15 @@
         return not (self.pending or self.parser.is_in_message)
 
     def has_pending_work(self) -> bool:
-        """Return whether a request is pending or being read.
-
-        In CLOSING, return whether the transport still has unsent bytes.
-        """
+        """Return whether a request is pending or being read, or in CLOSING, whether bytes are unsent."""
         if self.state is CLOSING:
             return self.transport is not None and self.transport.get_write_buffer_size() > 0
         return not self.is_idle()
 
     def close_idle(self) -> None:
-        """Close the connection while it is idle.
+        """Close the idle connection.
 
-        A request that the client has sent but that has not been read yet is lost. It was not processed, so
-        the client can safely send it again.
+        A request that has not been read yet is lost. It was not processed, so the client can safely retry.
         """
         if self._change_state(ClientEvent.IDLE_CLOSED) and self.transport is not None:
             self.transport.close()
@@ -384,8 +365,9 @@
     def is_client_disconnected(self) -> bool:
         """Return whether the client has closed its side or reset the connection.
 
-        This asks the kernel, so it also detects a disconnect that the event loop has not reported yet. Also
-        return true if there is no transport or the proxy is closing it.
+        Also return true if there is no transport or the proxy is closing it. This method asks the kernel,
+        because the event loop reports a disconnect only in its next iteration, and not at all while reading
+        is paused.
         """
         if self.transport is None or self.transport.is_closing():
             return True
@@ -398,8 +380,7 @@
         """If the client has disconnected, close the connection and end its requests; return whether it has.
 
         Must be called before an attempt starts, because an attempt for a disconnected client would take
-        capacity from other clients. The event loop reports a disconnect only in its next iteration, and does
-        not report it at all while reading is paused.
+        capacity from other clients.
         """
         is_disconnected = self.is_client_disconnected()
         if is_disconnected:
@@ -416,7 +397,7 @@
     def check_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
         """Act on an expired timeout: close an idle connection, abort a closing one, or end a slow request.
 
-        While reading is paused, the event loop does not report a disconnect, so this method checks for it.
+        While reading is paused, also check for a disconnect, which the event loop does not report then.
         """
         if self.state is CLOSING:
             self._check_lingering_close(now_s)
@@ -430,19 +411,15 @@
             self._check_idle_timeout(now_s, idle_timeout_s)
 
     def _check_lingering_close(self, now_s: float) -> None:
-        """Abort the connection if the client has not closed it in time after the last response.
-
-        Otherwise, such a client would keep a file descriptor in use.
-        """
+        """Abort the connection if the client keeps it, and thus a file descriptor, open for too long."""
         if now_s - self.last_active_s > LINGERING_CLOSE_TIMEOUT_S:
             self.abort()
 
     def _check_request_timeout(self, now_s: float) -> None:
         """If the request timeout has expired, answer an incomplete request with 408 and close the connection.
 
-        The handler answers the unanswered requests before it at once. The timeout applies to the whole
-        request, so a client cannot extend it by sending single bytes. In ERROR_PENDING, it limits how long
-        the error response waits for the responses to earlier requests.
+        The handler answers the earlier, unanswered requests at once. The timeout applies to the whole
+        request, so a client cannot extend it by sending single bytes.
         """
         if now_s - self.request_timeout_started_s <= REQUEST_TIMEOUT_S:
             return
--- a/yardlane/proxy/client_server.py
+++ b/yardlane/proxy/client_server.py
@@ -74,18 +74,16 @@
         self.connections.pop(connection, None)
 
     def is_above_high_watermark(self) -> bool:
-        """Return whether the number of open connections is above `HIGH_WATERMARK_SHARE` of the maximum.
-
-        If it is, each connection must close after the response to its newest request.
-        """
+        """Return whether more than `HIGH_WATERMARK_SHARE` of `max_connections` are open."""
         return len(self.connections) > HIGH_WATERMARK_SHARE * self.max_connections
 
     def _evict_connection(self) -> bool:
         """Abort one connection that serves no request; return whether there was one.
 
-        The first choice is the oldest connection that is closing, which loses the unsent rest of its last
-        response, or on which no request has begun. The second choice is the connection that has been idle for
-        longest, but for at least `HIGH_WATERMARK_IDLE_TIMEOUT_S`: the next request may be on its way.
+        The first choice is the oldest connection that is closing or on which no request has begun. A closing
+        connection loses what is unsent of its last response. The second choice is the connection that has
+        been idle for longest. It must have been idle for more than `HIGH_WATERMARK_IDLE_TIMEOUT_S`, because
+        the next request may be on its way until then.
         """
         connection = self._find_closing_or_unused() or self._find_longest_idle()
         if connection is None:
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -20,7 +20,7 @@
 
 BACKLOG = 1024
 MAX_ACCEPTS_PER_ITERATION = 16  # per event loop iteration; further connections wait for the next one
-ACCEPT_BACKOFF_S = 0.05  # the pause after file descriptors or memory have run out
+ACCEPT_BACKOFF_S = 0.05  # how long to stop accepting after file descriptors or memory have run out
 RESOURCE_EXHAUSTION_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
@@ -111,8 +111,8 @@
     def _suspend_accepting(self, listening_socket: socket.socket, error: OSError) -> None:
         """Stop accepting for `ACCEPT_BACKOFF_S`.
 
-        The listening socket stays readable, so without a pause the event loop would call `_accept` in every
-        iteration.
+        Otherwise, the event loop would call `_accept` in every iteration, as the listening socket stays
+        readable.
         """
         log.warning("cannot accept client connections: %s; retrying after a pause", error)
         self.loop.remove_reader(listening_socket)
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -7,8 +7,6 @@
 - The client has disconnected, or a request timeout closes its connection.
 - The graceful shutdown has reached its deadline.
 - The decider has raised an exception, or has not answered before the watchdog timer fired.
-
-The proxy forgets a request once it has ended, all its attempts have ended, and the decider knows both.
 """
 
 from __future__ import annotations
@@ -81,7 +79,7 @@
         self.requests: dict[int, RequestInFlight] = {}
         self.last_request_id = 0
         self.endpoint_addresses: Addresses = {}
-        self.has_usable_endpoint_list = False  # see `is_ready`
+        self.has_usable_endpoint_list = False  # for a cached list, see `on_poll_failed`
         self.drain_deadline_us = 0  # when all requests must be answered; 0 before the graceful shutdown
         self.action_handlers: dict[type, Callable[[Any], None]] = {
             StartAttempt: self._start_attempt,
@@ -96,11 +94,7 @@
     # Called by the client connections
 
     def handle_request(self, client_request: ClientRequest, parsed: ParsedRequest) -> None:
-        """Start to serve a valid request: register it and notify the decider of its arrival.
-
-        During the graceful shutdown, its time left ends at the drain deadline. A watchdog timer fails the
-        request if the decider does not answer it in time.
-        """
+        """Register a valid request, start its watchdog timer, and notify the decider of its arrival."""
         now_us = self.clock.now_us()
         time_left_us = parsed.time_left_us
         if self.drain_deadline_us:
@@ -130,24 +124,15 @@
         )
 
     def on_client_disconnected(self, client_request: ClientRequest) -> None:
-        """Called when the client of a request has disconnected; ends the request without an answer.
-
-        Attempts that the upstream may have begun to process continue and still count as in flight.
-        """
+        """Called when the client of a request has disconnected; ends the request without an answer."""
         self._end_without_decision(client_request.request_id)
 
     def abandon_request(self, client_request: ClientRequest) -> None:
-        """Fail a request with status 502, because a request timeout is about to close its connection.
-
-        Attempts that the upstream may have begun to process continue and still count as in flight.
-        """
+        """Fail a request with status 502, because a request timeout is about to close its connection."""
         self._end_without_decision(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
     def is_ready(self) -> bool:
-        """Return whether there is a usable endpoint list.
-
-        A cached list becomes usable only when a poll of discovery has failed.
-        """
+        """Return whether there is a usable endpoint list."""
         return self.has_usable_endpoint_list
 
     # Called by discovery, on a reload of the configuration and on the graceful shutdown
@@ -169,14 +154,14 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def on_poll_failed(self) -> None:
-        """Called when a poll of discovery has failed; makes the cached endpoint list usable, if there is one.
+        """Called when a poll of discovery has failed; makes a cached endpoint list usable.
 
-        It is not used earlier, because it may name endpoints that no longer exist.
+        A cached list does not count as usable earlier, because it may name endpoints that no longer exist.
         """
         self.has_usable_endpoint_list = self.has_usable_endpoint_list or bool(self.endpoint_addresses)
 
     def change_counter_address(self, address: Address | None) -> None:
-        """Use the shared counter at another address from now on.
+        """Use the shared counter at `address` from now on.
 
         Do nothing if the address is None or the proxy was started without a shared counter.
         """
@@ -198,10 +183,10 @@
     # Ending requests
 
     def _end_request(self, request: RequestInFlight) -> None:
-        """Mark the request as ended, after its answer if it gets one. No other function does this.
+        """Mark the request as ended, after its answer if it gets one; no other function does this.
 
-        Attempts that the upstream may have begun to process continue. The others end as NOT_SENT, even if a
-        part of the request has been sent.
+        Attempts that the upstream may have begun to process continue and still count as in flight. The others
+        end as NOT_SENT, even if a part of the request has been sent.
         """
         request.has_ended = True
         if request.watchdog_timer is not None:
@@ -211,9 +196,9 @@
                 attempt.finish(Outcome.NOT_SENT)
 
     def _end_without_decision(self, request_id: int, status: int = 0, body: bytes = b"") -> None:
-        """End a request without a decision, and notify the decider.
+        """End a request without a decision and notify the decider; do nothing if it has already ended.
 
-        The client gets no answer if `status` is 0. Do nothing if the request has already ended.
+        The client gets no answer if `status` is 0.
         """
         request = self.requests.get(request_id)
         if request is None or request.has_ended:
@@ -234,9 +219,9 @@
     def _on_watchdog_expired(self, request_id: int) -> None:
         """Called when the deadline of a request and the grace period after it have passed.
 
-        The decider gets a turn first, and the request fails only if it is unanswered after that. After a
-        stall of the process, the decider's own timer may be due but not have fired yet. If the decider
-        rejects the request, the client learns that it may safely retry, which a failure does not tell it.
+        The decider is called once more first, because its own timer may be due but not have fired yet after a
+        stall of the process. If it rejects the request, the client learns that it may safely retry, which a
+        failure does not tell it. The request fails if it is still unanswered after that.
         """
         self.decision_loop.schedule_call()
         self.loop.call_soon(self._fail_if_unanswered, request_id)
@@ -277,8 +262,7 @@
     def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt. For a known request, exactly one `AttemptEnded` follows, even if nothing is sent.
 
-        The steps are to register the attempt, check whether it may be sent, fill in its details, and pass it
-        to the pool. They are in one function, because it runs for each attempt and every call costs time.
+        This is one function, because it runs for each attempt and every further call would cost time.
         """
         request = self.requests.get(action.request_id)
         if request is None:
@@ -306,14 +290,14 @@
         attempt.address = address
         attempt.request_bytes = request.encode(time_left_us)
         attempt.deadline_timer = call_after(self.loop, time_left_us, attempt.on_deadline)
-        # The connection may be established long after this check, so the client is then checked again.
+        # Establishing a connection may take long, so the client is checked again after it.
         attempt.on_connected = request.client_request.connection.close_if_client_disconnected
         if action.send_within_us:  # 0: no limit
             self._set_send_deadline(attempt, action.send_within_us)
         self.pool.send(attempt)
 
     def _set_send_deadline(self, attempt: Attempt, send_within_us: int) -> None:
-        """Let the attempt end if its request has not been sent completely `send_within_us` after its start.
+        """Set timers and checks that end the attempt if it is not sent completely within `send_within_us`.
 
         An upstream forgets an idempotency key after some time, so the request must not be sent later.
         """
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -129,8 +129,6 @@
     def feed(self, data: bytes) -> bool:
         """Parse `data`; return False if the client asked to change to another protocol.
 
-        The bytes that follow may then be of that protocol.
-
         Raises `FatalRequestError` if the data is malformed or exceeds a limit.
         """
         if self._http is None:
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -40,10 +40,11 @@
 from yardlane.units import US_PER_MS
 
 MAX_EXPIRES_IN_US = 3_600_000_000  # one hour; a request with a longer time is invalid
-# Deducted from the time left, for the transit of request and response and for the proxy's own processing.
+# Deducted from the time left, so that the response reaches the client in time. It covers the transit of
+# request and response and the proxy's own processing.
 TRANSIT_MARGIN_US = 10_000
-# The maximum cost of a request under a plan without a rate or a hard rate, which has no token bucket to limit
-# it. This limit keeps huge numbers out of the sums of units.
+# The maximum cost of a request under a plan with neither a rate nor a hard rate, and so no token bucket. It
+# keeps huge numbers out of the sums of units.
 MAX_UNITS_OF_UNLIMITED_PLAN = 1000.0
 MAX_QUOTA_INFO_BYTES = 100  # a longer header is invalid; this also limits the size of the cached values
 QUOTA_INFO_CACHE_SIZE = 512  # only a few values recur; the limit keeps the others from filling the memory
@@ -62,11 +63,10 @@
 class ParsedRequest:
     """A valid request. `request_class` and `quota_plan` are indices into the settings.
 
-    `time_left_us` is counted from the arrival of the request. `units` is the cost of the request, which
-    counts against the rates of its plan. The tenant's requests go to `gateway_count` gateways with
-    consecutive ranks, beginning with rank `first_gateway` and continuing at rank 0 after the last gateway of
-    the fleet. `head` is the request line and the forwarded headers, without those that the proxy writes
-    itself.
+    `time_left_us` is counted from the arrival of the request. `units` is its cost, which counts against the
+    rates of its plan. The tenant's requests go to `gateway_count` gateways with consecutive ranks, beginning
+    with rank `first_gateway`; rank 0 follows the last rank of the fleet. `head` is the request line and the
+    forwarded headers, without those that the proxy writes itself.
     """
 
     trace_id: bytes
@@ -84,10 +84,9 @@
 
 
 class QuotaInfo(NamedTuple):
-    """The content of a Quota-Info header.
+    """The content of a Quota-Info header; for the fields, see `ParsedRequest`.
 
-    `units` is the cost of the request. The other fields say which gateways serve the tenant according to the
-    client's list of gateways; see `ParsedRequest`.
+    Which gateways serve the tenant follows from the client's list of gateways.
     """
 
     units: float
@@ -96,15 +95,12 @@
 
 
 class ClassRule(NamedTuple):
-    """The requirements for requests of one class, which has the index `settings_index` in the settings.
-
-    `deadline_us` is counted from the arrival of a request.
-    """
+    """The requirements for requests of one class, which has the index `settings_index` in the settings."""
 
     settings_index: int
     method: bytes
     needs_idempotency_key: bool
-    deadline_us: int
+    deadline_us: int  # counted from the arrival of a request
 
 
 class PlanRule(NamedTuple):
@@ -115,15 +111,11 @@
 
 
 class RequestRules(NamedTuple):
-    """The rules that requests are checked against.
-
-    Classes and plans are keyed by their names on the wire. `fleet_size` is the number of gateways in the
-    fleet.
-    """
+    """The rules that requests are checked against. Classes and plans are keyed by their wire names."""
 
     classes: Mapping[bytes, ClassRule]
     plans: Mapping[bytes, PlanRule]
-    fleet_size: int
+    fleet_size: int  # the number of gateways in the fleet
 
     @classmethod
     def from_config(cls, config: Config) -> RequestRules:
@@ -169,11 +161,7 @@
 def parse_request(
     parser: RequestParser, rules: RequestRules, open_trace_ids: Container[bytes]
 ) -> ParsedRequest:
-    """Return the request that `parser` has collected. Raises `InvalidRequest` if it is not valid.
-
-    `open_trace_ids` holds the trace ids of the unanswered requests of this process; a new request must not
-    use one of them.
-    """
+    """Return the request that `parser` has collected. Raises `InvalidRequest` if it is not valid."""
     headers = parser.headers
     class_rule = _read_class(headers, rules)
     plan_rule = _read_plan(headers, rules)
@@ -233,10 +221,10 @@
 
 
 def _read_trace_id(headers: Mapping[bytes, bytes], open_trace_ids: Container[bytes]) -> bytes:
-    """Return the trace id.
+    """Return the trace id. Raises `InvalidRequest` if it is malformed or one of `open_trace_ids`.
 
-    Raises `InvalidRequest` if it is malformed or belongs to an unanswered request of this process. Upstreams
-    identify a request by its trace id, so they could not distinguish the two requests.
+    These belong to the unanswered requests of this process. Upstreams identify a request by its trace id, so
+    they could not distinguish two requests with the same one.
     """
     trace_id = headers.get(TRACE_ID_HEADER, b"")
     if not TOKEN_PATTERN.fullmatch(trace_id):
@@ -262,10 +250,9 @@
 
 
 def _read_time_left_us(headers: Mapping[bytes, bytes], deadline_us: int) -> int:
-    """Return the shorter of X-Expires-In and the deadline of the class, less `TRANSIT_MARGIN_US`.
+    """Return the shorter of X-Expires-In and the class's deadline, less `TRANSIT_MARGIN_US`; at least 1.
 
-    The deduction lets the response reach the client in time. The result is at least 1. Raises
-    `InvalidRequest` if X-Expires-In is malformed, 0, or more than `MAX_EXPIRES_IN_US`.
+    Raises `InvalidRequest` if X-Expires-In is malformed, 0, or more than `MAX_EXPIRES_IN_US`.
     """
     duration = DURATION_PATTERN.fullmatch(headers.get(EXPIRES_IN_HEADER, b""))
     if duration is None:
@@ -290,10 +277,7 @@
 
 @lru_cache(maxsize=QUOTA_INFO_CACHE_SIZE)
 def decode_quota_info(text: bytes, fleet_size: int) -> QuotaInfo | None:
-    """Return the content of a Quota-Info header, or None if a field is missing, malformed or out of range.
-
-    `fleet_size` is the number of gateways in the fleet.
-    """
+    """Return the content of a Quota-Info header, or None if a field is missing, malformed or out of range."""
     fields: dict[bytes, bytes] = {}
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
