--- a/tests/decisions/test_hard_rate.py
+++ b/tests/decisions/test_hard_rate.py
@@ -268,7 +268,10 @@
 
 
 def test_hard_rate_holds_when_demand_moves_between_gateways() -> None:
-    """Ten gateways poll one counter; which of them gets most of the requests changes every 60 requests."""
+    """Ten gateways poll one counter, and the demand moves between them, as it does in a real fleet.
+
+    After every 60 requests, another gateway begins to get most of the requests.
+    """
     plan = TEN_GATEWAYS_PLAN
     drivers = [
         GatewayDriver(gateway_count=10, quota_plans=(plan,), rank=rank, seed=rank) for rank in range(10)
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -130,7 +130,7 @@
 
 
 def test_rejections_count_only_for_the_rejected_plan() -> None:
-    """An endpoint may reject the requests of one plan and serve those of the others.
+    """An endpoint that is full for one plan rejects the requests of that plan and serves the others.
 
     If the rejections counted for all plans, the requests of all plans would be sent to other endpoints, which
     would be overloaded.
--- a/tests/decisions/test_retry_after.py
+++ b/tests/decisions/test_retry_after.py
@@ -19,7 +19,7 @@
     assert rejections  # in the same turn as the request's arrival
     retry_after_us = rejections[0].retry_after_us
     assert 0 < retry_after_us <= driver.settings.max_retry_after_us
-    # After a longer delay, the retry would miss its latency objective.
+    # The longer a client waits, the less likely its retry is to be served within the latency objective.
     assert retry_after_us < driver.gateway.service_times.mean_us[0]
 
 
--- a/tests/decisions/warm_up_simulation.py
+++ b/tests/decisions/warm_up_simulation.py
@@ -131,8 +131,8 @@
             informed_work_us = sum(earlier.work_us for earlier in window if earlier.sender_knew_start_time)
             factor = warm_up_factor(settings, started_at_us, attempt.at_us)
             allowed = settings.overload_multiple * factor * settings.overload_window_us / mean_work_us
-            # A window is ignored if at least a third of its work came from gateways that did not know of the
-            # endpoint's start.
+            # A window is ignored if at least a third of its work came from gateways that could not know of
+            # the endpoint's start yet. Slow start cannot limit what such gateways send.
             if informed_work_us > total_us * 2 / 3:
                 max_ratio = max(max_ratio, total_us / mean_work_us / (allowed + 2 * math.sqrt(allowed) + 2))
         until_us = min(now_us, started_at_us + settings.warm_up_us)
--- a/tests/proxy/test_discovery_client.py
+++ b/tests/proxy/test_discovery_client.py
@@ -201,10 +201,10 @@
 
 
 @uvloop_test
-async def test_cached_list_is_used_only_after_first_poll_has_failed() -> None:
+async def test_health_check_passes_with_cached_list_only_after_first_poll_has_failed() -> None:
     """The cached list may contain endpoints that no longer exist.
 
-    Therefore the process must not use it until its first poll has failed.
+    Therefore the health check must not pass with it until the first poll has failed.
     """
     health = b"GET /_health HTTP/1.1\r\nHost: svc\r\n\r\n"
     cached = endpoint_list_dict(member_dict("s-1", 9))
--- a/tests/proxy/test_graceful_shutdown.py
+++ b/tests/proxy/test_graceful_shutdown.py
@@ -268,7 +268,7 @@
 @uvloop_test
 async def test_unanswered_request_is_answered_with_500_before_the_shutdown_ends() -> None:
     """A backend has not answered a request when the shutdown begins, and never does. The request must be
-    answered with 500 before the process stops."""
+    answered with 500 before the process stops, and before the platform could send SIGKILL."""
     script = ScriptedDecider(
         lambda event: [StartAttempt(event.request_id, b"s-1")] if isinstance(event, RequestArrived) else []
     )
--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -154,7 +154,8 @@
 
         A gateway that has just started does not know whether the previous process emptied the bucket. With
         high demand it probably did, so a full bucket would exceed the hard rate. The lower the demand, the
-        more of the bucket is made available, up to half of it.
+        more of the bucket is made available, up to half of it. Otherwise, when many gateways start with
+        nearly empty buckets, most requests of the first seconds would be rejected.
         """
         demand_to_hard_rate = (
             self._demand.fleet_demand * SECOND_US / self._demand.decay_time_us / self._plan.hard_rate_per_s
--- a/yardlane/decisions/load_balancing.py
+++ b/yardlane/decisions/load_balancing.py
@@ -5,8 +5,7 @@
 
 - The expected time until the endpoint has finished the attempt. This is the mean service time of the request
   class, times the endpoint's latency ratio, times the number of attempts there (those in flight and the new
-  one), divided by the endpoint's warm-up factor. The number of attempts is a factor because they are assumed
-  to share the capacity of the endpoint.
+  one), divided by the endpoint's warm-up factor.
 - The expected cost of a failure. This is the latency objective times the sum of two failure rates of the
   endpoint: the rate over all plans and the rate of the request's plan. So a failure costs as much as a
   response that takes the whole latency objective.
--- a/yardlane/decisions/outliers.py
+++ b/yardlane/decisions/outliers.py
@@ -4,10 +4,10 @@
 endpoint are, the more an attempt there costs in load balancing (`load_balancing.py`).
 
 Each endpoint has a failure rate over all plans and one for each quota plan, each from 0 to 1. The rates per
-plan are kept because an endpoint may reject the requests of one plan only. An endpoint also has a latency
-ratio: its service times relative to the mean service times of all endpoints. All of these are moving averages
-over attempts. `decay_factor` reduces their effect while an endpoint is not used, so that the endpoint gets
-requests again and can recover.
+plan are kept because an endpoint may be full for one plan only, and then it rejects only the requests of that
+plan. An endpoint also has a latency ratio: its service times relative to the mean service times of all
+endpoints. All of these are moving averages over attempts. `decay_factor` reduces their effect while an
+endpoint is not used, so that the endpoint gets requests again and can recover.
 
 Attempts are counted as follows:
 
--- a/yardlane/decisions/quota.py
+++ b/yardlane/decisions/quota.py
@@ -75,7 +75,10 @@
 
 
 def is_large_fleet(gateway_count: int) -> bool:
-    """Return whether so many gateways serve a tenant that each of them gets few of its requests."""
+    """Return whether so many gateways serve a tenant that each of them gets few of its requests.
+
+    The local demand at one gateway then says little about the tenant's demand.
+    """
     return gateway_count > LARGE_FLEET_GATEWAY_COUNT
 
 
--- a/yardlane/decisions/retries.py
+++ b/yardlane/decisions/retries.py
@@ -33,7 +33,7 @@
 
 A `Reject` has a `Retry-After` time only if `may_send_retry_after` is set. The time is `RETRY_AFTER_SHARE` of
 the mean service time, but at most `max_retry_after_us`. By then some of the attempts in flight have ended,
-and a client that waited longer would be less likely to be served within the latency objective.
+and the longer a client waits, the less likely its retry is to be served within the latency objective.
 """
 
 from __future__ import annotations
--- a/yardlane/proxy/client_connection.py
+++ b/yardlane/proxy/client_connection.py
@@ -28,7 +28,8 @@
 # each answered with 503. One more is a fatal error, after which the connection closes.
 MAX_EXCESS_REQUESTS = 64
 # The time to receive a whole request, and to receive the first byte on a new connection. After a fatal error,
-# also the time that the error response waits for the responses to earlier requests.
+# it also limits how long the error response waits for the responses to earlier requests. This wait counts
+# from the start of the request timeout, not from the error.
 REQUEST_TIMEOUT_S = 1.5
 # The time that a client has to read the last response and close its side of the connection. After that, the
 # connection is aborted.
@@ -141,7 +142,7 @@
         if should_read is transport.is_reading():
             return
         if should_read:
-            # The timeout starts anew, because the client could not send during the pause.
+            # The timeout starts anew: during the pause the proxy did not read, so the client was not slow.
             self.request_timeout_started_s = self.server.loop_time_s()
             transport.resume_reading()
         else:
@@ -154,7 +155,7 @@
         return self
 
     def on_transport_creation_failed(self) -> None:
-        """Called when the client has reset the connection before its transport was created."""
+        """Called when no transport could be created, usually because the client reset the connection."""
         self.connection_lost(None)
 
     # Called by the transport
--- a/yardlane/proxy/discovery_client.py
+++ b/yardlane/proxy/discovery_client.py
@@ -5,9 +5,10 @@
 when the watch times out. The next poll follows at once.
 
 If a poll fails, the next one follows after a backoff, which doubles with each failure up to a maximum. After
-a network error, the next poll makes the same request again, because the current list is still valid. After
-any other failure, it fetches the complete list. In that case the last response may have contained a change
-that was lost, or discovery may have been restarted and may not know the current version.
+a network error, the next poll uses the same version, because the current list is still valid. If it is a
+watch, it waits only `RECOVERY_WATCH_TIMEOUT_MS`. After any other failure, the next poll fetches the complete
+list. In that case the last response may have contained a change that was lost, or discovery may have been
+restarted and may not know the current version.
 """
 
 from __future__ import annotations
--- a/yardlane/proxy/discovery_timing.py
+++ b/yardlane/proxy/discovery_timing.py
@@ -80,6 +80,6 @@
         "malformed list": backoff_s + max_poll_s,
         "internal error": backoff_s + max_poll_s,
         "moved": max_poll_s + INITIAL_BACKOFF_S + max_poll_s,  # to a new address; from SIGHUP
-        "start": max_poll_s,  # from the start of a process until it may use the cached list
+        "start": max_poll_s,  # from the start of a process until `is_ready` accepts the cached list
     }
     return {state: round(delay_s * US_PER_S) for state, delay_s in delays_s.items()}
--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -31,7 +31,7 @@
         """Return the protocol that the transport is created for."""
 
     def on_transport_creation_failed(self) -> None:
-        """Called when the client has reset the connection before its transport was created."""
+        """Called when no transport could be created, usually because the client reset the connection."""
 
 
 class Listener:
--- a/yardlane/proxy/proxy.py
+++ b/yardlane/proxy/proxy.py
@@ -144,9 +144,9 @@
         self._end_without_decision(client_request.request_id, Status.BAD_GATEWAY, FAILED_BODY)
 
     def is_ready(self) -> bool:
-        """Return whether there is a usable endpoint list.
+        """Return whether there is an endpoint list with which the health check may pass.
 
-        A cached list becomes usable only when a poll of discovery has failed.
+        A cached list counts only if it has an address, and only after a poll of discovery has failed.
         """
         return self.has_usable_endpoint_list
 
@@ -169,9 +169,10 @@
                 self.pool.drain_endpoint(endpoint.endpoint_id)
 
     def on_poll_failed(self) -> None:
-        """Called when a poll of discovery has failed; makes the cached endpoint list usable, if there is one.
+        """Called when a poll of discovery has failed; the cached list, if any, now counts for `is_ready`.
 
-        It is not used earlier, because it may name endpoints that no longer exist.
+        It does not count earlier, because it may name endpoints that no longer exist. However, the decider
+        has the cached list from the start, and requests that arrive earlier are forwarded according to it.
         """
         self.has_usable_endpoint_list = self.has_usable_endpoint_list or bool(self.endpoint_addresses)
 
--- a/yardlane/proxy/request_parser.py
+++ b/yardlane/proxy/request_parser.py
@@ -106,7 +106,7 @@
         self._receiver: RequestReceiver | None = receiver
         self._http: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.is_in_message = False
-        self.method = b""  # set when the request is complete, like `should_keep_alive`
+        self.method = b""  # as received; set when the request is complete, like `should_keep_alive`
         self.should_keep_alive = True
         self.url = b""
         self.headers: dict[bytes, bytes] = {}  # the headers that the proxy reads, by lower-case name
--- a/yardlane/proxy/request_validation.py
+++ b/yardlane/proxy/request_validation.py
@@ -58,7 +58,7 @@
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 
 
-@dataclass(slots=True)  # not frozen, because construction would then make one extra call per field
+@dataclass(slots=True)  # not frozen: creating a frozen instance takes one more call per field
 class ParsedRequest:
     """A valid request. `request_class` and `quota_plan` are indices into the settings.
 
