--- a/yardlane/decisions/hard_rate.py
+++ b/yardlane/decisions/hard_rate.py
@@ -146,8 +146,12 @@
         """Fill a part of the bucket when the first total has been received.
 
         Fill it to (`FIRST_TOTAL_FILL_SHARE` - fleet's demand / hard rate) of this gateway's share of the
-        depth, unless it already holds more. The higher the demand, the more likely a previous process has
-        emptied the bucket, and a full bucket would then exceed the hard rate.
+        depth, unless it already holds more.
+
+        A gateway that has just started does not know whether the previous process emptied the bucket. With
+        high demand it probably did, so a full bucket would exceed the hard rate. The lower the demand, the
+        more of the bucket is made available, up to half of it. Otherwise, when many gateways start with
+        nearly empty buckets, most requests of the first seconds would be rejected.
         """
         demand_to_hard_rate = (
             self._demand.fleet_demand * SECOND_US / self._demand.decay_time_us / self._plan.hard_rate_per_s
