--- a/yardlane/config.py
+++ b/yardlane/config.py
@@ -1,8 +1,8 @@
 """Loads `Config` from the JSON configuration file and the environment variables that override it.
 
-All names of the configuration file are defined here, except those inside its `settings` object. These are
-read by `yardlane.settings_reader`, apart from the few that only the proxy uses, which `parse_config` reads.
-An invalid configuration raises ConfigError with a message that names the value.
+This module defines all names of the configuration file outside its `settings` object, and the few inside it
+that only the proxy uses. `yardlane.settings_reader` reads the other settings. If the configuration is
+invalid, `load_config` raises ConfigError with a message that names the value.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 Address = tuple[str, int]
 
 MAX_PORT = 65_535
-DEFAULT_DESCRIPTORS = 1_024
+DEFAULT_DESCRIPTORS = 1_024  # also used if limits.sockets is 0 or null
+# These defaults are texts, as `SettingsReader` takes them.
 DEFAULT_CONNECT_TIMEOUT_US = "250000"
 DEFAULT_KEEPALIVE_US = "30000000"
 
@@ -39,13 +40,14 @@
     discovery: Address
     counter: Address | None
     seed: int
-    descriptors: int
+    """The seed of the decider's random choices."""
+    max_descriptors: int
     """The maximum number of file descriptors that the process may hold."""
     cached_endpoint_list: object | None
     """The endpoint list that an earlier process had, as decoded JSON in discovery's format, or None."""
     settings: Settings
     request_class_names: tuple[str, ...]
-    """Ordered by index in the settings, like the three fields below."""
+    """Ordered by index in the settings, as are the next three fields."""
     quota_plan_names: tuple[str, ...]
     zones: tuple[str, ...]
     hardware_kinds: tuple[str, ...]
@@ -77,10 +79,7 @@
 
 
 def parse_config(document: Mapping[str, Any]) -> Config:
-    """Return the configuration for a decoded JSON object.
-
-    Raises SettingsError if its settings are invalid, and ConfigError if any other value is.
-    """
+    """Parse decoded JSON. Raises SettingsError if a value in `settings` is invalid, else ConfigError."""
     settings_json = document.get("settings")
     if not isinstance(settings_json, dict):
         raise ConfigError("settings is missing or not a JSON object")
@@ -97,7 +96,7 @@
         discovery=parse_address(document.get("discovery"), "discovery"),
         counter=parse_address(counter, "counter") if counter else None,
         seed=seed,
-        descriptors=descriptors,
+        max_descriptors=descriptors,
         cached_endpoint_list=document.get("known"),
         settings=settings,
         request_class_names=_read_names(reader, "profiles", len(settings.request_classes)),
@@ -124,7 +123,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterable[tuple[str, str]]:
-    """Yield the paths and values that nested JSON has in the settings text.
+    """Yield the path and the text of each value of nested JSON, as `settings_reader` takes them.
 
     A list of objects becomes a count and one numbered path per object, as in `profiles.count` and
     `profiles.0.name`. The items of any other list are joined by commas.
@@ -190,6 +189,7 @@
 
 
 def _parse_list(value: object) -> tuple[str, ...]:
+    """Return the items of a JSON list or of a text with commas, without the empty ones."""
     items = value if isinstance(value, list) else str(value or "").split(",")
     return tuple(str(item) for item in items if item)
 
--- a/yardlane/descriptors.py
+++ b/yardlane/descriptors.py
@@ -2,9 +2,8 @@
 
 A process without a free descriptor can neither accept nor open a connection. If client connections could use
 all descriptors, the process could not connect to discovery or an upstream until clients disconnect. Clients
-and upstreams therefore have a connection limit each. Together with the descriptors that the process itself
-needs, the limits do not exceed the descriptors that it may hold, unless it may hold very few
-(see `connection_limits`).
+and upstreams therefore have a connection limit each. The two limits and `RESERVED_DESCRIPTORS` add up to the
+descriptors that the process may hold, unless those are very few (see `connection_limits`).
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 log = logging.getLogger("yardlane.descriptors")
 
 # Reserved for the event loop, signals, the listener and the standard streams; for discovery and the counter,
-# each of which has two connections while its address changes; and for connections that are being closed,
+# which may each have two connections while their address changes; and for connections that are being closed,
 # which hold their descriptor until the end of the event loop iteration.
 RESERVED_DESCRIPTORS = 40
 # With fewer connections in all, the front door could not serve its clients.
@@ -33,9 +32,10 @@
 def connection_limits(descriptors: int) -> ConnectionLimits:
     """Return the connection limits for a process that may hold `descriptors` file descriptors.
 
-    Clients and upstreams get one half each: requests come from a third of all connections, and each request
-    may need an upstream connection. With fewer than `RESERVED_DESCRIPTORS + MIN_CONNECTIONS` descriptors, the
-    limits still add up to `MIN_CONNECTIONS`, so the process may run out of descriptors.
+    Clients and upstreams each get half of what is not reserved: requests come from a third of all
+    connections, and each request may need an upstream connection. With fewer than
+    `RESERVED_DESCRIPTORS + MIN_CONNECTIONS` descriptors, the limits still add up to `MIN_CONNECTIONS`, so
+    the process may run out of descriptors.
     """
     connections = max(MIN_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS)
     clients = connections // 2
@@ -43,7 +43,7 @@
 
 
 def usable_descriptors(configured: int) -> int:
-    """Return the configured number, or the process's own limit (`ulimit -n`) if that is lower."""
+    """Return the configured number, or the process's soft limit (`ulimit -n`) if that is lower."""
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed == resource.RLIM_INFINITY or configured <= allowed:
         return configured
--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -22,25 +22,27 @@
 
 log = logging.getLogger("yardlane.server")
 
-# The protocol allows clients to open new connections for up to 0.4 s after SIGTERM.
+# The protocol allows clients to open new connections for up to 0.4 s after SIGTERM; the rest is margin.
 ACCEPT_AFTER_SIGTERM_S = 0.5
 # How long to wait, after the listener has closed, for first requests on connections that it accepted.
 FIRST_REQUEST_WAIT_S = 0.3
 # The time from SIGTERM to the platform's SIGKILL is at least
-# min(longest deadline, LONGEST_COUNTED_DEADLINE_US) + KILL_MARGIN_US.
+# min(longest deadline of a request class, LONGEST_COUNTED_DEADLINE_US) + KILL_MARGIN_US.
 LONGEST_COUNTED_DEADLINE_US = 3_000_000
 KILL_MARGIN_US = 700_000
 # The time reserved before SIGKILL for writing the last responses.
 WRITE_RESERVE_US = 300_000
 SHUTDOWN_POLL_INTERVAL_S = 0.01
-# How long to wait for connections to close while their last response is being written.
-CLOSE_WAIT_S = 0.15
+# How long to wait at the end for clients to close their side of the connections, and for responses that are
+# still unsent when the shutdown timeout has passed. This has to fit in WRITE_RESERVE_US.
+LINGERING_CLOSE_WAIT_S = 0.15
 
 
 def shutdown_timeout_us(settings: Settings) -> int:
-    """Return the time in microseconds after SIGTERM by which all requests must be answered.
+    """Return how many microseconds after SIGTERM all requests must have been answered.
 
-    SIGKILL follows later, so it interrupts no open request.
+    Those that are still unanswered fail then. SIGKILL follows at least `WRITE_RESERVE_US` later, so it
+    interrupts no open request.
     """
     longest_us = max(request_class.deadline_us for request_class in settings.request_classes)
     return max(0, min(longest_us, LONGEST_COUNTED_DEADLINE_US) + KILL_MARGIN_US - WRITE_RESERVE_US)
@@ -50,7 +52,7 @@
     """Runs one front door from its start to the end of its graceful shutdown."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop, decider: Decider) -> None:
-        limits = connection_limits(usable_descriptors(config.descriptors))
+        limits = connection_limits(usable_descriptors(config.max_descriptors))
         self.loop = loop
         self.pool = UpstreamPool(config, limits.upstreams, loop)
         self.proxy = Proxy(config, decider, self.pool, loop)
@@ -81,9 +83,9 @@
         self.discovery.stop()
 
     def reload(self) -> None:
-        """Reload the configuration and apply the addresses of discovery and the counter.
+        """Reload the configuration, but apply only its addresses of discovery and the counter.
 
-        Keep the old configuration if the new one is invalid.
+        Keep the old addresses if the new configuration is invalid.
         """
         try:
             config = load_config(os.environ, is_reload=True)
@@ -91,7 +93,7 @@
             log.error("reload failed, keeping the old configuration: %s", error.one_line())
             return
         log.info(
-            "configuration reloaded: discovery %s:%d, counter %s:%d",
+            "configuration reloaded, applying addresses: discovery %s:%d, counter %s:%d (none:0: unchanged)",
             *config.discovery,
             *(config.counter or ("none", 0)),
         )
@@ -99,21 +101,22 @@
         self.proxy.change_counter_address(config.counter)
 
     def shut_down(self) -> None:
-        """Start the graceful shutdown, unless it has started: answer open and new requests, then stop."""
+        """Start the graceful shutdown, unless already started: answer open and new requests, then stop."""
         if self.shutdown_task is not None:
             return
         self.clients.is_draining = True
         self.proxy.drain(self.proxy.clock.now_us() + shutdown_timeout_us(self.proxy.settings))
-        self.shutdown_task = self.loop.create_task(self._shut_down())
+        self.shutdown_task = self.loop.create_task(self._run_shutdown())
 
-    async def _shut_down(self) -> None:
+    async def _run_shutdown(self) -> None:
         """Keep accepting for a while, close idle connections, and stop once no work is pending or time is up.
 
         A client may connect just before it learns that this front door is draining. If the listener closed
-        at SIGTERM, that connection would be reset. If connections without a request were closed together
-        with the idle ones, the client's first request would be lost. The listener therefore accepts for
-        another `ACCEPT_AFTER_SIGTERM_S`, and the connections that it accepted then have
-        `FIRST_REQUEST_WAIT_S` to send a first request.
+        at SIGTERM, that connection would be reset. If connections that have not sent a request yet were
+        closed together with the other idle ones, the client's first request would be lost. The listener
+        therefore accepts for another `ACCEPT_AFTER_SIGTERM_S`, and the connections that it accepted then
+        have `FIRST_REQUEST_WAIT_S` to send a first request. If the longest deadline is below 0.25 s, all
+        waits together may last until after SIGKILL.
         """
         try:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
@@ -123,11 +126,11 @@
             self.clients.close_idle_connections()
             left_us = self.proxy.drain_deadline_us - self.proxy.clock.now_us()
             await self._wait_while(self.clients.has_pending_work, left_us / US_PER_S)
-            await self._wait_while(lambda: bool(self.clients.connections), CLOSE_WAIT_S)
+            await self._wait_while(lambda: bool(self.clients.connections), LINGERING_CLOSE_WAIT_S)
         finally:
             self.stopped.set()
 
     async def _wait_while(self, is_pending: Callable[[], bool], timeout_s: float) -> None:
-        deadline = self.loop.time() + timeout_s
-        while is_pending() and self.loop.time() < deadline:
+        deadline_s = self.loop.time() + timeout_s
+        while is_pending() and self.loop.time() < deadline_s:
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
--- a/yardlane/settings_reader.py
+++ b/yardlane/settings_reader.py
@@ -1,15 +1,14 @@
-"""Reads `Settings` from the settings text.
+"""Reads `Settings` from text values by path.
 
-The settings text has one line `path=value` for each setting. The front door's configuration has the same
-settings as nested JSON, which `yardlane.config` flattens to the same paths.
+The values come from a settings text, which has one line `path=value` for each setting, or from the front
+door's configuration, whose nested JSON `yardlane.config` flattens to the same paths.
 
 All external names and values of the settings are defined here, except those that only the proxy uses.
 `yardlane.config` reads these itself: `permissions.connect_timeout_us`, `permissions.keepalive_us` and the
 names of `profiles` and `packages` through `SettingsReader`, and `zones` and `kinds` from the nested JSON.
 
-Invalid settings raise SettingsError. The message names the path of a value that is missing or cannot be
-parsed, but the field of `Settings` for a value that is out of range: for the path `peers_total` it is
-`gateway_count is 0`.
+Missing or invalid settings raise SettingsError. The message names the path of the value, unless `Settings`
+checks its range. Then it names the field: for the path `peers_total` it is `gateway_count is 0`.
 """
 
 from __future__ import annotations
@@ -27,7 +26,8 @@
     "depth": "queued",
     "load_share": "utilization",
 }
-"""The load report columns that are read: their names in the settings, and their fields in `LoadReport`."""
+"""The metrics of a load report that are read: their names (columns, in the settings), and their fields in
+`LoadReport`."""
 
 IDEMPOTENCY = {
     "free": Idempotency.IDEMPOTENT,
@@ -38,7 +38,7 @@
     "pushed": True,
     "on_request": False,
 }
-"""The values of the setting `discovery`, and whether discovery pushes the endpoint list with each."""
+"""Whether discovery pushes the endpoint list, by the value of the setting `discovery`."""
 DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
@@ -55,7 +55,7 @@
     """Looks up typed values by path.
 
     Each method takes an optional default in text form, which is used if the setting is missing. All raise
-    SettingsError if the setting is missing without a default, or if its value cannot be parsed.
+    SettingsError if the setting is missing without a default, or if its value is invalid.
     """
 
     def __init__(self, values: dict[str, str]) -> None:
@@ -91,7 +91,7 @@
         return number
 
     def flag(self, path: str, default: str | None = None) -> bool:
-        """Return True for `true`, and False for `false`."""
+        """Return True for `true`, and False for `false`. Other spellings are invalid."""
         text = self.text(path, default)
         if text not in FLAG_VALUES:
             raise SettingsError(f"setting {path} is neither true nor false: {text!r}")
@@ -127,10 +127,7 @@
 
 
 def read_settings(values: dict[str, str]) -> tuple[Settings, tuple[str, ...]]:
-    """Return the settings, and the column names of the load report, from text values by path.
-
-    Raises SettingsError if a value is missing or invalid.
-    """
+    """Return settings and load report columns. Raises SettingsError if a value is missing or invalid."""
     reader = SettingsReader(values)
     endpoint_list_is_pushed = reader.one_of("discovery", DISCOVERY_MODES)
     columns = tuple(column for column in reader.text("report.columns", "").split(",") if column)
