--- a/yardlane/server.py
+++ b/yardlane/server.py
@@ -93,8 +93,9 @@
             log.error("reload failed, keeping the old configuration: %s", error.one_line())
             return
         log.info(
-            "configuration reloaded, applying addresses: discovery %s:%d, counter %s:%d (none:0: unchanged)",
+            "configuration reloaded: discovery %s:%d, counter %s:%d",
             *config.discovery,
+            # "none:0" is logged if the new file names no counter; the counter's address then stays as it is.
             *(config.counter or ("none", 0)),
         )
         self.discovery.change_address(config.discovery)
