--- a/tests/proxy/test_connection_reuse.py
+++ b/tests/proxy/test_connection_reuse.py
@@ -85,8 +85,9 @@
 
 @uvloop_test
 async def test_failed_reuse_shortens_the_idle_limit() -> None:
-    """A backend aborts a connection that was idle, just as the next request is sent on it, and the request is
-    lost. Connections that have been idle for as long are then closed instead of reused."""
+    """A backend forgets an idle connection without closing it, so the check before reuse finds nothing, and
+    the next request on it is lost. Connections that have been idle for as long are then closed instead of
+    reused."""
     async with running_server_with_backend(ScriptedDecider(forward_all)) as (server, backend):
         pool = server.pool
         pool.reuse_policy.reuse_delay_s = NO_REUSE_DELAY_S
--- a/tests/proxy/test_upstream_state.py
+++ b/tests/proxy/test_upstream_state.py
@@ -48,7 +48,9 @@
                 expected = documented_state(event, state)
                 assert connection._apply(event) is (expected is not None)
                 assert connection.state is (state if expected is None else expected)
-                error = f"unexpected event {event.name} in state {state.name} of an upstream connection"
+                error = (
+                    f"ignoring unexpected event {event.name} in state {state.name} of an upstream connection"
+                )
                 assert caplog.messages == [error] * (expected is None)
                 caplog.clear()
 
--- a/yardlane/proxy/connection_reuse.py
+++ b/yardlane/proxy/connection_reuse.py
@@ -1,16 +1,16 @@
-"""Decides how long a connection to an upstream must and may be idle before it is reused.
+"""Decides after which idle times a connection to an upstream is reused.
 
 The idle time has a lower bound, the reuse delay, and an upper bound, the idle limit. Each guards against one
 fault of upstreams:
 
 - **Unsolicited bytes.** An upstream may send a second response to a request, or a late one. A response does
   not identify its request, so it would be read as the response to the next request. Such bytes can be
-  detected while the connection is idle. Therefore a connection is reused only after a delay of twice the
-  lateness seen so far.
+  detected while the connection is idle. Therefore a connection is reused only after a delay of about twice
+  the recent lateness (the time from the last response to such bytes), and at least DEFAULT_REUSE_DELAY_S.
 - **Stale connections.** An upstream may close an idle connection just as a request is sent on it. The attempt
-  then ends as CONNECTION_LOST, and a non-idempotent request may not be retried. Therefore a connection is
-  reused only if it has been idle for less time than the shortest idle time after which reuse failed. A new
-  connection costs far less than a lost request.
+  then ends as CONNECTION_LOST, and a non-idempotent request may not be retried. Therefore the idle limit is
+  cut to below an idle time after which reuse failed, but not below MIN_IDLE_LIMIT_S. A new connection costs
+  far less than a lost request.
 
 Both bounds return to their defaults over time. Otherwise a bound that prevents all reuse would stay for good,
 because only reuse can show that it is no longer needed.
@@ -18,19 +18,21 @@
 
 from __future__ import annotations
 
-DEFAULT_REUSE_DELAY_S = 0.01  # unsolicited bytes usually arrive within this time
-REUSE_DELAY_MARGIN = 2.0  # factor on the observed lateness
+DEFAULT_REUSE_DELAY_S = 0.01  # also the shortest; unsolicited bytes usually arrive within this time
+REUSE_DELAY_MARGIN = 2.0  # factor on the observed lateness; also limits each raise of the shared delay
 # Factor per second. It is close to 1 because, when the fleet has little traffic, a proxy uses an upstream
 # only about once in ten seconds.
 REUSE_DELAY_DECAY = 0.99
 MAX_SHARED_REUSE_DELAY_S = 0.25
-# Fraction of the keepalive time in the settings. The upstream starts to count its idle time later than the
-# proxy does.
+# Fraction of the keepalive time in the settings. Some upstreams close sooner than the settings say, and the
+# two sides do not begin to count at the same moment. A request on a connection that the upstream closes
+# meanwhile ends as a reset.
 MAX_IDLE_LIMIT_FRACTION = 0.5
 # Fraction of the idle limit. With a longer reuse delay, hardly any connection would be reused.
 MAX_SHARED_REUSE_DELAY_FRACTION = 0.5
 MIN_IDLE_LIMIT_S = 0.05
-IDLE_LIMIT_CUT = 0.8  # factor on the idle time after which reuse failed
+# Factor on the idle time after which reuse failed. An idle time above this share of the limit is close to it.
+IDLE_LIMIT_CUT = 0.8
 IDLE_LIMIT_RAISE = 1.02  # factor on the limit after a successful reuse at nearly the limit
 IDLE_LIMIT_RECOVERY = 1.1  # factor on the limit per second
 
@@ -42,7 +44,7 @@
         self.max_idle_limit_s = keepalive_s * MAX_IDLE_LIMIT_FRACTION
         self.idle_limit_s = self.max_idle_limit_s
         self.reuse_delay_s = DEFAULT_REUSE_DELAY_S
-        # The individual reuse delays of upstreams that sent unsolicited bytes, by endpoint id.
+        # The own reuse delays of upstreams that sent unsolicited bytes, by endpoint id.
         self.endpoint_reuse_delays_s: dict[bytes, float] = {}
 
     def reuse_delay_of(self, endpoint_id: bytes) -> float:
@@ -54,12 +56,13 @@
     def on_unsolicited_bytes(self, endpoint_id: bytes, lateness_s: float) -> None:
         """Called when unsolicited bytes have arrived `lateness_s` after the last response; adapts the delays.
 
-        The upstream's own reuse delay is raised to cover the whole lateness. If it then exceeds the idle
-        limit, none of the upstream's connections is reused.
+        The upstream's own reuse delay is raised to REUSE_DELAY_MARGIN times the lateness, at most
+        `max_idle_limit_s`. If it then exceeds the idle limit, none of the upstream's connections is reused.
 
-        The reuse delay that all upstreams share is raised only if neither delay covered the lateness, and at
-        most doubles at a time. So a few faulty upstreams cause few new connections to the others, while a
-        fault that many upstreams have soon lengthens the delay for rarely used upstreams too.
+        The reuse delay that all upstreams share is raised only if neither delay covered the lateness, and
+        then at most to its double, to MAX_SHARED_REUSE_DELAY_S and to half the idle limit. So a few faulty
+        upstreams cause few new connections to the others, while a fault that many upstreams have soon
+        lengthens the delay for rarely used ones too.
         """
         own_delay_s = self.endpoint_reuse_delays_s.get(endpoint_id, 0.0)
         target_delay_s = min(lateness_s * REUSE_DELAY_MARGIN, self.max_idle_limit_s)
@@ -73,20 +76,20 @@
             self.reuse_delay_s = max(self.reuse_delay_s, min(target_delay_s, max_shared_delay_s))
 
     def on_reuse_succeeded(self, idle_s: float) -> None:
-        """Called when a connection that was idle for `idle_s` has returned a complete response."""
+        """Called when a connection idle for `idle_s` has answered; raises a limit close to that."""
         if idle_s > self.idle_limit_s * IDLE_LIMIT_CUT:
             self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RAISE)
 
     def on_reuse_failed(self, idle_s: float) -> None:
-        """Called when a connection that was idle for `idle_s` was closed before a response began."""
+        """Called when a connection idle for `idle_s` closed before a response began; cuts the idle limit."""
         self.idle_limit_s = max(MIN_IDLE_LIMIT_S, min(self.idle_limit_s, idle_s) * IDLE_LIMIT_CUT)
 
     def forget_endpoint(self, endpoint_id: bytes) -> None:
-        """Discard the upstream's own reuse delay; whatever serves its address later is another upstream."""
+        """Discard the own reuse delay of an upstream that moved or was removed; its successor may differ."""
         self.endpoint_reuse_delays_s.pop(endpoint_id, None)
 
     def relax_bounds(self) -> None:
-        """Move both bounds towards their defaults; called once a second."""
+        """Move the idle limit and all reuse delays towards their defaults; called once a second."""
         self.idle_limit_s = min(self.max_idle_limit_s, self.idle_limit_s * IDLE_LIMIT_RECOVERY)
         if self.reuse_delay_s > DEFAULT_REUSE_DELAY_S:
             self.reuse_delay_s = max(DEFAULT_REUSE_DELAY_S, self.reuse_delay_s * REUSE_DELAY_DECAY)
--- a/yardlane/proxy/response.py
+++ b/yardlane/proxy/response.py
@@ -8,10 +8,12 @@
 from yardlane.errors import MalformedResponse
 from yardlane.settings_reader import LOAD_REPORT_FIELDS
 
+# A response beyond one of these limits is malformed: its attempt ends as CONNECTION_LOST.
 MAX_BODY_BYTES = 65_536
-MAX_HEAD_BYTES = 16_384
+MAX_HEAD_BYTES = 16_384  # of the names and values of all headers
 MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
-MAX_NUMBER_DIGITS = 9  # in the values of Content-Length and Usage-Percent
+
+MAX_NUMBER_DIGITS = 9  # a longer Content-Length is malformed, a longer Usage-Percent is ignored
 FIRST_FINAL_STATUS = 200
 STATUS_OK = 200
 STATUS_SERVICE_UNAVAILABLE = 503
@@ -19,34 +21,35 @@
 # Only with these statuses does the proxy believe an upstream that says it never ran the request.
 REJECTION_STATUSES = frozenset({STATUS_SERVICE_UNAVAILABLE, STATUS_GATEWAY_TIMEOUT})
 
-LOAD_REPORT_FORMAT = "TEXT"  # the header's value begins with this; metrics follow as `name=value, ...`
+# The value of Endpoint-Load-Metrics may begin with this; the metrics follow as `name=value, ...`.
+LOAD_REPORT_FORMAT = "TEXT"
 # Maps the metrics that the decisions use to `LoadReport` fields. A metric is accepted by its name in the
-# settings and by a second, plain name.
+# settings and by a second, plain name; if a report has both, the last one counts.
 LOAD_METRIC_FIELDS = {**LOAD_REPORT_FIELDS, "inflight": "in_flight", "queue": "queued", "util": "utilization"}
-MAX_REQUESTS = 10_000.0
-MAX_LOAD_SHARE = 1.5
-MAX_LATENCY_MS = 60_000.0
-MAX_RATE_PER_S = 1e6
+MAX_REPORTED_REQUESTS = 10_000.0
+MAX_REPORTED_LOAD_SHARE = 1.5
+MAX_REPORTED_LATENCY_MS = 60_000.0
+MAX_REPORTED_RATE_PER_S = 1e6
 # The largest plausible value of each metric. Greater values are ignored as invalid.
 MAX_METRIC_VALUES = {
-    "concurrent": MAX_REQUESTS,
-    "inflight": MAX_REQUESTS,
-    "depth": MAX_REQUESTS,
-    "queue": MAX_REQUESTS,
-    "load_share": MAX_LOAD_SHARE,
-    "util": MAX_LOAD_SHARE,
-    "mean_ms": MAX_LATENCY_MS,
-    "latency_ms": MAX_LATENCY_MS,
-    "tps": MAX_RATE_PER_S,
-    "qps": MAX_RATE_PER_S,
-    "err_ps": MAX_RATE_PER_S,
-    "eps": MAX_RATE_PER_S,
+    "concurrent": MAX_REPORTED_REQUESTS,
+    "inflight": MAX_REPORTED_REQUESTS,
+    "depth": MAX_REPORTED_REQUESTS,
+    "queue": MAX_REPORTED_REQUESTS,
+    "load_share": MAX_REPORTED_LOAD_SHARE,
+    "util": MAX_REPORTED_LOAD_SHARE,
+    "mean_ms": MAX_REPORTED_LATENCY_MS,
+    "latency_ms": MAX_REPORTED_LATENCY_MS,
+    "tps": MAX_REPORTED_RATE_PER_S,
+    "qps": MAX_REPORTED_RATE_PER_S,
+    "err_ps": MAX_REPORTED_RATE_PER_S,
+    "eps": MAX_REPORTED_RATE_PER_S,
 }
 UNKNOWN_METRIC_MAX = -1.0  # below every valid value, so that unknown metrics are ignored
 
 
 class UpstreamResponse:
-    """The final response to a request."""
+    """A response to a request; the proxy uses only the final one."""
 
     __slots__ = ("body", "content_type", "load_report", "never_ran", "status", "usage_percent")
 
@@ -60,11 +63,11 @@
 
 
 def outcome_of(response: UpstreamResponse) -> Outcome:
-    """Return the outcome of an attempt that got this complete response, following the protocol's table.
+    """Return the outcome of an attempt that got this complete response.
 
-    Only status 200 is a success. Any other status, including 201, 304 and 404, for which the table has no
-    row, is an error after which the request may have run. An upstream's statement that it never ran the
-    request is believed only with 503 and 504.
+    Only status 200 is a success. 503 and 504 are a rejection if the upstream says that it never ran the
+    request. Any other response, including 201, 304 and 404, for which the protocol has no rule, is an error
+    after which the request may have run.
     """
     if response.status == STATUS_OK:
         return Outcome.OK
@@ -114,7 +117,8 @@
     def feed(self, data: bytes) -> None:
         """Parse further received bytes.
 
-        Raises `MalformedResponse` if they are not valid HTTP, exceed a limit or follow a complete response.
+        Raises `MalformedResponse` if they are not valid HTTP, exceed a limit, follow a complete response or
+        change to another protocol.
         """
         assert self.parser is not None
         try:
@@ -153,7 +157,7 @@
             raise MalformedResponse(f"response head over {MAX_HEAD_BYTES} bytes")
         key = name.lower()
         if key == b"content-length":
-            # Reject a huge response by its head, rather than after reading its body up to the limit.
+            # Refuse a huge response by its head, rather than after reading its body up to the limit.
             if len(value) > MAX_NUMBER_DIGITS or int(value) > MAX_BODY_BYTES:
                 raise MalformedResponse(f"Content-Length announces a body over {MAX_BODY_BYTES} bytes")
         elif key == b"endpoint-load-metrics":
--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -32,11 +32,11 @@
 
 log = logging.getLogger("yardlane.proxy.upstream_connection")
 
-# The result of TIOCOUTQ, a native int, when the peer has acknowledged all sent bytes (tcp(7)).
+# The native int 0, as ioctl(TIOCOUTQ) returns it when the peer has acknowledged all sent bytes (tcp(7)).
 NOTHING_UNACKNOWLEDGED = bytes(4)
 
 
-class ConnectionOwner(Protocol):
+class UpstreamConnectionOwner(Protocol):
     """The part of the pool's interface that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
@@ -53,7 +53,7 @@
 class UpstreamConnection(asyncio.Protocol):
     """One connection to an upstream."""
 
-    def __init__(self, pool: ConnectionOwner, endpoint_id: bytes, address: Address) -> None:
+    def __init__(self, pool: UpstreamConnectionOwner, endpoint_id: bytes, address: Address) -> None:
         self.pool = pool
         self.endpoint_id = endpoint_id
         self.address = address
@@ -61,11 +61,12 @@
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.reader: ResponseReader | None = None
-        # True if the upstream announced that it closes the connection, sent malformed or unsolicited bytes,
-        # moved to another address or was removed.
+        # True if the upstream announced that it closes the connection or sent malformed bytes (set here), or
+        # if it moved to another address or was removed (set by the pool).
         self.closes_after_response = False
-        self.idle_since_s = 0.0
-        self.idle_before_request_s: float | None = None  # None: the connection is new
+        self.idle_since_s = 0.0  # set by the pool, on the event loop's clock
+        # How long the connection was idle before the current request, set by the pool; None: it is new.
+        self.idle_before_request_s: float | None = None
         self.file_descriptor = -1
         self.probe: SocketProbe | None = None  # created by the first call of `is_reusable`
         self.connect_task: asyncio.Task[None] | None = None
@@ -80,7 +81,7 @@
         next_state = TRANSITIONS[self.state].get(event)
         if next_state is None:
             log.error(
-                "unexpected event %s in state %s of an upstream connection",
+                "ignoring unexpected event %s in state %s of an upstream connection",
                 event.name,
                 self.state.name,
             )
@@ -91,21 +92,30 @@
     # Called by the pool
 
     async def connect(self, timeout_s: float) -> None:
-        """Open the connection; `connection_made` sends the request once it is established."""
+        """Open the connection; `connection_made` sends the request once it is established.
+
+        If that fails or takes longer than `timeout_s`, the attempt ends as NOT_CONNECTED.
+        """
         timer = self.pool.loop.call_later(timeout_s, self._on_connect_timeout)
         try:
             await self.pool.loop.create_connection(lambda: self, *self.address)
         except OSError as error:
-            log.warning("connecting to upstream %s:%d failed: %s", *self.address, error)
+            log.warning(
+                "connecting to upstream %s:%d failed: %s; ending the attempt as NOT_CONNECTED",
+                *self.address,
+                error,
+            )
             self._fail_connection()
         finally:
             timer.cancel()
             self.connect_task = None
 
     def _on_connect_timeout(self) -> None:
-        # Once the connection is established, its request has been sent, and the attempt's deadline applies.
+        # Once connected, the request has been passed to the transport, and the attempt's deadline applies.
         if self.transport is None:
-            log.warning("connecting to upstream %s:%d timed out", *self.address)
+            log.warning(
+                "connecting to upstream %s:%d timed out; ending the attempt as NOT_CONNECTED", *self.address
+            )
             self._close_with_outcome(Outcome.NOT_CONNECTED)
 
     def assign(self, attempt: Attempt) -> None:
@@ -118,9 +128,9 @@
     def is_reusable(self) -> bool:
         """Return whether the connection is open and nothing has been received since the last response.
 
-        This includes what the event loop has not read from the socket yet: unread bytes would be taken for
-        the response to the next request, and if the upstream has closed the connection, the request would be
-        lost. Unsolicited bytes that are found here lengthen the reuse delay.
+        The socket is polled, because the event loop may not have noticed yet what has arrived: unread bytes
+        would be taken for the response to the next request, and on a connection that the upstream has closed,
+        the request would be lost. Unsolicited bytes that are found here lengthen the reuse delay.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -132,10 +142,7 @@
         return not events
 
     def close(self) -> None:
-        """Close the connection at once.
-
-        Bytes that have not been sent yet are discarded, and the upstream is not told the reason.
-        """
+        """Close the connection at once and discard unsent bytes; the caller has ended the attempt."""
         if self.state is CLOSED:
             return
         is_sending = self.state is SENDING
@@ -203,8 +210,8 @@
             # With these limits the transport calls `resume_writing` once its buffer is empty.
             transport.set_write_buffer_limits(0)
         elif not transport.is_closing():
-            # If the transport were closing, the write would have failed or come too late, and nothing would
-            # have been sent.
+            # A transport that is closing has sent nothing, because the write failed or came too late; the
+            # state stays SENDING then.
             self._apply(UpstreamEvent.REQUEST_SENT)
 
     def resume_writing(self) -> None:
@@ -225,18 +232,21 @@
     def _fail_connection(self) -> None:
         """Close the connection, with an outcome that says whether the attempt's request may have run.
 
-        The connection's state decides this, because the transport empties its write buffer on an error.
+        The state tells this, not the write buffer, which the transport empties on an error.
         """
         self._close_with_outcome(Outcome.CONNECTION_LOST if self.may_have_run() else Outcome.NOT_CONNECTED)
 
     def _on_response_begun(self) -> None:
-        """Called when part of a response has been received; starts the stall timer unless it is running."""
+        """Called when a read ends within a response; starts the stall timer unless it is running.
+
+        The timer runs until the attempt ends, also if an interim response started it.
+        """
         self._apply(UpstreamEvent.RESPONSE_BEGUN)
         if self.stall_timer is None:
             self.stall_timer = self.pool.loop.call_later(self.pool.stall_timeout_s, self._on_stalled)
 
     def _on_stalled(self) -> None:
-        """Called when a response is still incomplete after the stall timeout; closes the connection.
+        """Called if the final response is not complete when the stall timer expires; closes the connection.
 
         Upstreams write a response in one go, so the proxy does not wait for the rest until the deadline.
         """
@@ -247,7 +257,8 @@
             )
             self._close_with_outcome(Outcome.CONNECTION_LOST)
 
-    # Unsolicited bytes
+    # Unsolicited bytes are received while the connection is idle; premature bytes are received during a
+    # request, but were sent before the upstream had the whole of it.
 
     def _on_unsolicited_bytes(self) -> None:
         """Report to the reuse policy that bytes were received while the connection was idle."""
@@ -262,16 +273,17 @@
         has arrived, and whatever it sends from then on acknowledges that byte. So while sent bytes are still
         unacknowledged, the received bytes are not the response to the current request.
 
-        The kernel is asked for unacknowledged bytes only for as long as the shared reuse delay after the
-        connection is reused, because the call takes a notable part of an attempt's processor time. The
-        shared delay applies even if this upstream's own delay is longer. Bytes for an earlier request that
-        arrive after this time are therefore read as the response. Before the request, though, the connection
-        was idle for the upstream's own reuse delay, which is twice the lateness that the upstream has shown.
+        The kernel is asked for unacknowledged bytes only until the shared reuse delay has passed since the
+        request was passed on, even if the upstream's own delay is longer: the call takes a notable part of an
+        attempt's processor time. Bytes for an earlier request that arrive after that are read as the
+        response. Before the request, though, the connection was idle for the upstream's own reuse delay,
+        which was about twice the lateness that the upstream has recently shown.
         """
         if self.state is SENDING:
             return True
         if self.state is not AWAITING or self.idle_before_request_s is None:
             return False  # the response has begun already, or the connection had no earlier request
+        # The request was passed on at idle_since_s + idle_before_request_s.
         sent_for_s = self.pool.loop.time() - self.idle_since_s - self.idle_before_request_s
         if sent_for_s >= self.pool.reuse_policy.reuse_delay_s:
             return False
@@ -284,14 +296,15 @@
             *self.address,
         )
         if self.idle_before_request_s is not None:
+            # The lateness is this plus the time since the request, which is left out.
             self.pool.reuse_policy.on_unsolicited_bytes(self.endpoint_id, self.idle_before_request_s)
         self._fail_connection()
 
     # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called when the connection is established; sends the request that it was opened for."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's transport does not derive from it
+        """Called when the connection is established; sends the request, or closes if the attempt ended."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass of asyncio.Transport
         self.transport = transport
         if self.attempt is not None:
             self.attempt.on_connected()  # may finish the attempt, which closes this connection
@@ -311,7 +324,7 @@
         self.transport = None
         is_unanswered = self.attempt is not None and self.state is not RECEIVING
         if is_unanswered and self.idle_before_request_s is not None:
-            # The connection is assumed to have been closed while it was idle. An upstream that stopped
+            # The connection is assumed to have been closed while it was idle. An upstream that crashed
             # before it responded looks the same.
             self.pool.reuse_policy.on_reuse_failed(self.idle_before_request_s)
         self._fail_connection()
@@ -334,8 +347,7 @@
                 "malformed response from upstream %s:%d: %s; closing the connection", *self.address, error
             )
             self.closes_after_response = True
-            # If the response is complete, the error is in the bytes after it, and the response still counts.
-            if not reader.is_complete:
+            if not reader.is_complete:  # a complete response counts; the error is in the bytes after it
                 self._close_with_outcome(Outcome.CONNECTION_LOST)
                 return
         if reader.is_complete:
