--- a/yardlane/proxy/upstream_connection.py
+++ b/yardlane/proxy/upstream_connection.py
@@ -94,16 +94,15 @@
     async def connect(self, timeout_s: float) -> None:
         """Open the connection; `connection_made` sends the request once it is established.
 
-        If that fails or takes longer than `timeout_s`, the attempt ends as NOT_CONNECTED.
+        If that takes longer than `timeout_s`, or fails before the request has been sent, the attempt ends as
+        NOT_CONNECTED.
         """
         timer = self.pool.loop.call_later(timeout_s, self._on_connect_timeout)
         try:
             await self.pool.loop.create_connection(lambda: self, *self.address)
         except OSError as error:
             log.warning(
-                "connecting to upstream %s:%d failed: %s; ending the attempt as NOT_CONNECTED",
-                *self.address,
-                error,
+                "connecting to upstream %s:%d failed: %s; closing the connection", *self.address, error
             )
             self._fail_connection()
         finally:
