--- a/yardlane/proxy/listener.py
+++ b/yardlane/proxy/listener.py
@@ -123,7 +123,7 @@
             self.loop.add_reader(listening_socket, self._accept)
 
     async def _connect(self, accepted_socket: socket.socket, connection: AcceptedConnection) -> None:
-        """Create the transport, or close the socket if the client has already reset the connection."""
+        """Create the transport; close the socket if that fails, mostly because the client reset it."""
         try:
             accepted_socket.setblocking(False)
             accepted_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
